--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -15,9 +15,9 @@
 mod candidate;
 mod check;
 mod choose;
+mod completions;
 mod contact;
 mod crashes;
-mod ends;
 mod evacuation;
 mod forget;
 mod guarantee;
@@ -57,8 +57,8 @@
     advice::{Question, Ticket},
     archive::Archival,
     batch::{Batch, Entry},
+    completions::{End, EndKind, Listing, RunningTask},
     contact::Unanswered,
-    ends::{End, EndKind, Listing, RunningTask},
     evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
     observe::Observation,
     orders::{Order, StartReply},
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Scheduler,
-    ends::{Listing, RunningTask},
+    completions::{Listing, RunningTask},
     live::{Member, Phase, StopReason},
     observe::Observation,
     orders::Order,
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Scheduler,
-    ends::{End, EndKind},
+    completions::{End, EndKind},
     live::{GroupId, Occurrence, StopReason},
     observe::Observation,
     server::PendingEnd,
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     Scheduler,
-    ends::RunningTask,
+    completions::RunningTask,
     live::{GroupId, Member, Phase},
 };
 
