--- a/crates/scheduler/src/archive.rs
+++ b/crates/scheduler/src/archive.rs
@@ -7,7 +7,7 @@
 use jobs::{EndedJob, JobId, OccurrenceId};
 use model::Moment;
 
-use crate::{Scheduler, live::JobEntry};
+use crate::{Scheduler, run_state::JobEntry};
 
 /// A job that can leave the intake.
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -5,7 +5,7 @@
 use jobs::{OccurrenceId, Progress};
 use model::{AvailabilityZoneId, BackendServerId, Revision};
 
-use crate::{Scheduler, live::Phase};
+use crate::{Scheduler, run_state::Phase};
 
 /// One occurrence's progress as it is to be stored.
 #[derive(Debug, Clone)]
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -10,10 +10,10 @@
     crashes::has_its_last_try,
     guarantee::Guarantees,
     headroom::STANDS_AT_MOST,
-    live::GroupId,
     policy::ServiceId,
     ready::{ReadyStep, ReadySteps},
     room::Room,
+    run_state::GroupId,
 };
 
 /// A job that is later than this many objectives counts for nothing any more and goes behind the others.
--- a/crates/scheduler/src/choose.rs
+++ b/crates/scheduler/src/choose.rs
@@ -11,9 +11,9 @@
     Scheduler,
     candidate::{Candidate, Wanted},
     crashes::{has_crashed_at, is_suspect},
-    live::GroupId,
     room::Room,
     rooms::{Rack, Rooms, Slot},
+    run_state::GroupId,
     speed::SpeedClass,
 };
 
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -4,8 +4,8 @@
 
 use crate::{
     Scheduler,
-    live::StopReason,
     observe::Observation,
+    run_state::StopReason,
     server::{Server, ServerInfo},
 };
 
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -17,8 +17,8 @@
     Scheduler,
     candidate::Candidate,
     headroom::STANDS_AT_MOST,
-    live::{Group, GroupId, Member, Phase, Trial},
     observe::Observation,
+    run_state::{Group, GroupId, Member, Phase, Trial},
     server::Place,
 };
 
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, Member, StopReason},
+    run_state::{GroupId, Member, StopReason},
     server::Server,
 };
 
--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -12,7 +12,7 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, StopReason},
+    run_state::{GroupId, StopReason},
 };
 
 /// Who has asked for an evacuation. One that both have asked for is over only when both have taken it back.
--- a/crates/scheduler/src/guarantee.rs
+++ b/crates/scheduler/src/guarantee.rs
@@ -4,7 +4,7 @@
 
 use model::CustomerId;
 
-use crate::{Scheduler, live::JobEntry};
+use crate::{Scheduler, run_state::JobEntry};
 
 /// Guaranteed accelerators by customer.
 #[derive(Debug)]
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -8,9 +8,9 @@
 use crate::{
     Scheduler,
     completions::{Listing, RunningTask},
-    live::{Member, Phase, StopReason},
     observe::Observation,
     orders::Order,
+    run_state::{Member, Phase, StopReason},
     server::Stray,
 };
 
--- a/crates/scheduler/src/lives.rs
+++ b/crates/scheduler/src/lives.rs
@@ -6,7 +6,7 @@
 
 use model::{BackendServerId, Incarnation, Moment};
 
-use crate::{Scheduler, live::Member};
+use crate::{Scheduler, run_state::Member};
 
 impl Scheduler {
     /// A life of a backend server answers. If it is another one than the one that answered last, that one is over.
--- a/crates/scheduler/src/observe.rs
+++ b/crates/scheduler/src/observe.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, JobEntry},
+    run_state::{GroupId, JobEntry},
 };
 
 /// Something that happened to a job.
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -6,8 +6,8 @@
 use crate::{
     Scheduler,
     completions::{End, EndKind},
-    live::{GroupId, Occurrence, StopReason},
     observe::Observation,
+    run_state::{GroupId, Occurrence, StopReason},
     server::PendingEnd,
 };
 
--- a/crates/scheduler/src/pace.rs
+++ b/crates/scheduler/src/pace.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, Member, Phase},
     orders::Order,
+    run_state::{GroupId, Member, Phase},
 };
 
 /// Full speed, in percent.
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -8,7 +8,7 @@
 use crate::{
     Scheduler,
     crashes::is_suspect,
-    live::{JobEntry, Member, Occurrence},
+    run_state::{JobEntry, Member, Occurrence},
     server::Server,
 };
 
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, Member, Occurrence},
+    run_state::{GroupId, Member, Occurrence},
     server::{Place, Server},
 };
 
--- a/crates/scheduler/src/room.rs
+++ b/crates/scheduler/src/room.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     Scheduler,
-    live::Trial,
     policy::ServiceId,
+    run_state::Trial,
     server::{Place, Server, ServerInfo},
     speed::SpeedClass,
 };
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Scheduler,
-    live::{Group, GroupId, Member, Occurrence},
+    run_state::{Group, GroupId, Member, Occurrence},
 };
 
 impl Scheduler {
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -10,7 +10,7 @@
 use crate::{
     Scheduler,
     completions::RunningTask,
-    live::{GroupId, Member, Phase},
+    run_state::{GroupId, Member, Phase},
 };
 
 /// Variance of what is a run's own, in the logarithm of its time: tasks of one step differ by a sixth.
--- a/crates/scheduler/src/standing.rs
+++ b/crates/scheduler/src/standing.rs
@@ -8,8 +8,8 @@
 use crate::{
     Scheduler,
     candidate::Candidate,
-    live::{Group, GroupId, Member, Phase},
     ready::ReadyStep,
+    run_state::{Group, GroupId, Member, Phase},
     server::Server,
 };
 
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -7,8 +7,8 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, Occurrence, Phase, StopReason},
     orders::{Order, StartReply},
+    run_state::{GroupId, Occurrence, Phase, StopReason},
     server::Server,
 };
 
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -5,9 +5,9 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, Member, Phase, StopReason},
     observe::Observation,
     orders::Order,
+    run_state::{GroupId, Member, Phase, StopReason},
 };
 
 impl Scheduler {
--- a/crates/scheduler/src/upkeep.rs
+++ b/crates/scheduler/src/upkeep.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, StopReason},
+    run_state::{GroupId, StopReason},
     wave::{Machine, MachineId, Turn, UpkeepReply, Wave, WaveProgress, WaveRequest},
 };
 
