--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -4,7 +4,7 @@
 
 use crate::{
     Scheduler,
-    observe::Observation,
+    observations::Observation,
     run_state::StopReason,
     server::{Server, ServerInfo},
 };
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -17,7 +17,7 @@
     Scheduler,
     candidate::Candidate,
     headroom::STANDS_AT_MOST,
-    observe::Observation,
+    observations::Observation,
     run_state::{Group, GroupId, Member, Phase, Trial},
     server::Place,
 };
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -25,7 +25,7 @@
 mod health;
 mod incarnations;
 mod listing;
-mod observe;
+mod observations;
 mod orders;
 mod outcomes;
 mod pace;
@@ -60,7 +60,7 @@
     completions::{End, EndKind, Listing, RunningTask},
     contact::Unanswered,
     evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
-    observe::Observation,
+    observations::Observation,
     orders::{Order, StartReply},
     policy::{Advice, CustomerPolicy, Policy, QueuePolicy, ServiceId},
     scheduler::{Counts, Scheduler},
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -8,7 +8,7 @@
 use crate::{
     Scheduler,
     completions::{Listing, RunningTask},
-    observe::Observation,
+    observations::Observation,
     orders::Order,
     run_state::{Member, Phase, StopReason},
     server::Stray,
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -6,7 +6,7 @@
 use crate::{
     Scheduler,
     completions::{End, EndKind},
-    observe::Observation,
+    observations::Observation,
     run_state::{GroupId, Occurrence, StopReason},
     server::PendingEnd,
 };
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -11,7 +11,7 @@
     crashes::Lapsed,
     evacuation::Evacuations,
     headroom::StopTimes,
-    observe::Observation,
+    observations::Observation,
     orders::Order,
     policy::Policy,
     ready::ReadySteps,
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Scheduler,
-    observe::Observation,
+    observations::Observation,
     orders::Order,
     run_state::{GroupId, Member, Phase, StopReason},
 };
