--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -6,8 +6,8 @@
 use model::{BackendServerId, Incarnation, Moment, Revision};
 
 use crate::{
-    pace::Pace,
     speed::{Measured, StepTimes},
+    throttle::Pace,
 };
 
 /// How far a start has come.
