--- a/crates/scheduler/src/advice.rs
+++ b/crates/scheduler/src/advice.rs
@@ -14,8 +14,8 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Wanted},
-    room::Room,
     rooms::Rooms,
+    server_capacity::Room,
 };
 
 /// The adviser's leave for a step on a backend server, opaque to the scheduler.
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -12,8 +12,8 @@
     headroom::STANDS_AT_MOST,
     policy::ServiceId,
     ready::{ReadyStep, ReadySteps},
-    room::Room,
     run_state::GroupId,
+    server_capacity::Room,
 };
 
 /// A job that is later than this many objectives counts for nothing any more and goes behind the others.
--- a/crates/scheduler/src/choose.rs
+++ b/crates/scheduler/src/choose.rs
@@ -11,9 +11,9 @@
     Scheduler,
     candidate::{Candidate, Wanted},
     crashes::{has_crashed_at, is_suspect},
-    room::Room,
     rooms::{Rack, Rooms, Slot},
     run_state::GroupId,
+    server_capacity::Room,
     speed::SpeedClass,
 };
 
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -3,7 +3,9 @@
 use jobs::{Need, Step};
 use model::{BackendServerId, Moment};
 
-use crate::{Scheduler, candidate::Candidate, choose::Places, guarantee::Guarantees, room::Room, rooms::Rooms};
+use crate::{
+    Scheduler, candidate::Candidate, choose::Places, guarantee::Guarantees, rooms::Rooms, server_capacity::Room,
+};
 
 impl Scheduler {
     /// Places what can start now, and stops what has to make room. `wall_ms` is the time of day.
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -10,9 +10,9 @@
     candidate::{Candidate, Wanted},
     choose::is_near,
     guarantee::Guarantees,
-    room::Room,
     rooms::Rooms,
     run_state::{Group, GroupId, Member, StopReason},
+    server_capacity::Room,
 };
 
 /// Work that a run with checkpoints loses at most, in seconds: what it does between two (users: 0.5 s and 1 s).
--- a/crates/scheduler/src/rooms.rs
+++ b/crates/scheduler/src/rooms.rs
@@ -12,8 +12,8 @@
     Scheduler,
     choose::Places,
     policy::ServiceId,
-    room::{Room, Totals},
     server::Server,
+    server_capacity::{Room, Totals},
     speed::SpeedClass,
 };
 
