--- a/crates/scheduler/src/advice.rs
+++ b/crates/scheduler/src/advice.rs
@@ -14,7 +14,7 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Wanted},
-    rooms::Rooms,
+    fleet_capacity::Rooms,
     server_capacity::Room,
 };
 
--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -2,7 +2,7 @@
 
 use model::Moment;
 
-use crate::{Scheduler, rooms::Rooms};
+use crate::{Scheduler, fleet_capacity::Rooms};
 
 impl Scheduler {
     /// Tells of a difference, which is a fault of the scheduler.
--- a/crates/scheduler/src/choose.rs
+++ b/crates/scheduler/src/choose.rs
@@ -11,7 +11,7 @@
     Scheduler,
     candidate::{Candidate, Wanted},
     crashes::{has_crashed_at, is_suspect},
-    rooms::{Rack, Rooms, Slot},
+    fleet_capacity::{Rack, Rooms, Slot},
     run_state::GroupId,
     server_capacity::Room,
     speed::SpeedClass,
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -8,7 +8,7 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Wanted},
-    rooms::Rooms,
+    fleet_capacity::Rooms,
 };
 
 /// Share of a service's accelerators that is kept free where stops take no time: it spares work that is thrown away
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -9,8 +9,8 @@
     Scheduler,
     candidate::{Candidate, Wanted},
     choose::is_near,
+    fleet_capacity::Rooms,
     guarantee::Guarantees,
-    rooms::Rooms,
     run_state::{Group, GroupId, Member, StopReason},
     server_capacity::Room,
 };
