--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -41,7 +41,7 @@
 mod server;
 mod server_capacity;
 mod speed;
-mod standing;
+mod stalled;
 mod starts;
 mod stops;
 mod throttle;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -19,7 +19,7 @@
     run_state::{JobEntry, StopReason, Trial},
     server::Server,
     speed::FleetSpeed,
-    standing::Standing,
+    stalled::Standing,
     timing::Timing,
     unreached::Unreached,
     unstored::Unstored,
