--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -47,7 +47,7 @@
 mod throttle;
 mod timing;
 mod tuning;
-mod unreached;
+mod unreachable;
 mod unstored;
 mod upkeep;
 mod wave;
@@ -68,7 +68,7 @@
     speed::{SpeedReport, SpeedSummary},
     timing::Timing,
     tuning::Tuning,
-    unreached::{UnreachedNote, UnreachedWrite},
+    unreachable::{UnreachedNote, UnreachedWrite},
     wave::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
     witnesses::{WitnessNote, WitnessWrite},
 };
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -21,7 +21,7 @@
     speed::FleetSpeed,
     stalled::Standing,
     timing::Timing,
-    unreached::Unreached,
+    unreachable::Unreached,
     unstored::Unstored,
     upkeep::Upkeep,
     witnesses::Witnesses,
