--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -14,6 +14,7 @@
     headroom::StopTimes,
     observations::Observation,
     orders::Order,
+    pending_writes::Unstored,
     policy::Policy,
     ready::ReadySteps,
     run_state::{JobEntry, StopReason, Trial},
@@ -22,7 +23,6 @@
     stalled::Standing,
     timing::Timing,
     unreachable::Unreached,
-    unstored::Unstored,
     upkeep::Upkeep,
     witnesses::Witnesses,
 };
