--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -26,6 +26,7 @@
 mod health;
 mod incarnations;
 mod listing;
+mod maintenance;
 mod observations;
 mod orders;
 mod outcomes;
@@ -49,7 +50,6 @@
 mod timing;
 mod tuning;
 mod unreachable;
-mod upkeep;
 mod wave;
 mod witnesses;
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -12,6 +12,7 @@
     evacuation::Evacuations,
     fleet_capacity::Rooms,
     headroom::StopTimes,
+    maintenance::Upkeep,
     observations::Observation,
     orders::Order,
     pending_writes::Unstored,
@@ -23,7 +24,6 @@
     stalled::Standing,
     timing::Timing,
     unreachable::Unreached,
-    upkeep::Upkeep,
     witnesses::Witnesses,
 };
 
