--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -27,6 +27,7 @@
 mod incarnations;
 mod listing;
 mod maintenance;
+mod maintenance_batch;
 mod observations;
 mod orders;
 mod outcomes;
@@ -50,7 +51,6 @@
 mod timing;
 mod tuning;
 mod unreachable;
-mod wave;
 mod witnesses;
 
 pub use crate::{
@@ -60,6 +60,7 @@
     completions::{End, EndKind, Listing, RunningTask},
     contact::Unanswered,
     evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
+    maintenance_batch::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
     observations::Observation,
     orders::{Order, StartReply},
     policy::{Advice, CustomerPolicy, Policy, QueuePolicy, ServiceId},
@@ -69,6 +70,5 @@
     timing::Timing,
     tuning::Tuning,
     unreachable::{UnreachedNote, UnreachedWrite},
-    wave::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
     witnesses::{WitnessNote, WitnessWrite},
 };
--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -9,8 +9,8 @@
 
 use crate::{
     Scheduler,
+    maintenance_batch::{Machine, MachineId, Turn, UpkeepReply, Wave, WaveProgress, WaveRequest},
     run_state::{GroupId, StopReason},
-    wave::{Machine, MachineId, Turn, UpkeepReply, Wave, WaveProgress, WaveRequest},
 };
 
 /// All waves, and the machines as they were last listed.
