--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -9,7 +9,6 @@
 //! - *one place at a time*: a task is placed again only when its earlier run is known to be over: listed as
 //!   ended, absent from a listing that must show it, or past every lease that it can have been given.
 
-mod advice;
 mod archive;
 mod batch;
 mod candidate;
@@ -32,6 +31,7 @@
 mod orders;
 mod outcomes;
 mod pending_writes;
+mod permits;
 mod plan;
 mod policy;
 mod preempt;
@@ -54,7 +54,6 @@
 mod witnesses;
 
 pub use crate::{
-    advice::{Question, Ticket},
     archive::Archival,
     batch::{Batch, Entry},
     completions::{End, EndKind, Listing, RunningTask},
@@ -63,6 +62,7 @@
     maintenance_batch::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
     observations::Observation,
     orders::{Order, StartReply},
+    permits::{Question, Ticket},
     policy::{Advice, CustomerPolicy, Policy, QueuePolicy, ServiceId},
     scheduler::{Counts, Scheduler},
     server::{Place, ServerInfo},
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -5,7 +5,7 @@
 use jobs::{RunNumber, Saved, TaskId};
 use model::BackendServerId;
 
-use crate::advice::Ticket;
+use crate::permits::Ticket;
 
 /// An order to a backend server.
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -6,7 +6,6 @@
 use model::{BackendServerId, CustomerId, Duration, Moment};
 
 use crate::{
-    advice::AdviceBook,
     archive::Archived,
     crashes::Lapsed,
     evacuation::Evacuations,
@@ -16,6 +15,7 @@
     observations::Observation,
     orders::Order,
     pending_writes::Unstored,
+    permits::AdviceBook,
     policy::Policy,
     ready::ReadySteps,
     run_state::{JobEntry, StopReason, Trial},
