--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     Scheduler,
-    choose::Places,
+    placement::Places,
     policy::ServiceId,
     server::Server,
     server_capacity::{Room, Totals},
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -8,9 +8,9 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Wanted},
-    choose::is_near,
     fleet_capacity::Rooms,
     guarantee::Guarantees,
+    placement::is_near,
     run_state::{Group, GroupId, Member, StopReason},
     server_capacity::Room,
 };
