--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -37,7 +37,7 @@
 
 /// What one task needs of a backend server while it runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Need {
+pub struct Resources {
     /// Thousandths of a core.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cpu_milli: u64,
@@ -49,31 +49,31 @@
     pub accelerators: u64,
 }
 
-impl Need {
+impl Resources {
     /// Whether this holds `other` in every part.
-    pub fn contains(&self, other: &Need) -> bool {
+    pub fn contains(&self, other: &Resources) -> bool {
         self.cpu_milli >= other.cpu_milli
             && self.memory_mb >= other.memory_mb
             && self.accelerators >= other.accelerators
     }
 
     /// Adds `other`.
-    pub fn add(&mut self, other: &Need) {
+    pub fn add(&mut self, other: &Resources) {
         self.cpu_milli += other.cpu_milli;
         self.memory_mb += other.memory_mb;
         self.accelerators += other.accelerators;
     }
 
     /// Takes `other` away; nothing falls below zero.
-    pub fn remove(&mut self, other: &Need) {
+    pub fn remove(&mut self, other: &Resources) {
         self.cpu_milli = self.cpu_milli.saturating_sub(other.cpu_milli);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
         self.accelerators = self.accelerators.saturating_sub(other.accelerators);
     }
 
     /// The larger of both in each part.
-    pub fn max(&self, other: &Need) -> Need {
-        Need {
+    pub fn max(&self, other: &Resources) -> Resources {
+        Resources {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
             memory_mb: self.memory_mb.max(other.memory_mb),
             accelerators: self.accelerators.max(other.accelerators),
@@ -81,7 +81,7 @@
     }
 
     /// How many tasks of `each` fit in.
-    pub fn count_of(&self, each: &Need) -> u64 {
+    pub fn count_of(&self, each: &Resources) -> u64 {
         let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
         part(self.cpu_milli, each.cpu_milli)
             .min(part(self.memory_mb, each.memory_mb))
@@ -89,8 +89,8 @@
     }
 
     /// The need of `n` such tasks.
-    pub fn times(&self, n: u64) -> Need {
-        Need { cpu_milli: self.cpu_milli * n, memory_mb: self.memory_mb * n, accelerators: self.accelerators * n }
+    pub fn times(&self, n: u64) -> Resources {
+        Resources { cpu_milli: self.cpu_milli * n, memory_mb: self.memory_mb * n, accelerators: self.accelerators * n }
     }
 }
 
@@ -100,7 +100,7 @@
     /// How many tasks.
     pub count: u32,
     /// What each needs.
-    pub need: Need,
+    pub need: Resources,
     /// The caller's guess of a task's run time; it may be far off.
     pub estimate: Duration,
     /// Steps, by index, of which every task must be done before this one starts.
@@ -146,8 +146,8 @@
 
 impl Step {
     /// What a task takes of a backend server's room.
-    pub fn counted_need(&self) -> Need {
-        if self.best_effort { Need { cpu_milli: 0, ..self.need } } else { self.need }
+    pub fn counted_need(&self) -> Resources {
+        if self.best_effort { Resources { cpu_milli: 0, ..self.need } } else { self.need }
     }
 }
 
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -12,7 +12,7 @@
 pub use crate::{
     ended::{EndedJob, WorkDigest},
     id::{Fence, JobId, OccurrenceId, ParseNameError, QueueId, RunNumber, StepId, TaskId},
-    job::{Duration, Job, JobError, Need, RawJob, RawStep, Schedule, Step},
+    job::{Duration, Job, JobError, RawJob, RawStep, Resources, Schedule, Step},
     progress::{Crash, GroupProgress, Placed, Progress, Saved},
     state::JobState,
 };
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use jobs::{Need, OccurrenceId, Step, StepId};
+use jobs::{OccurrenceId, Resources, Step, StepId};
 use model::{BackendServerId, Duration, Moment};
 
 use crate::{
@@ -72,7 +72,7 @@
 /// What a step's tasks ask of the place that they run at.
 pub(crate) struct Wanted<'a> {
     pub(crate) step: &'a Step,
-    pub(crate) need: Need,
+    pub(crate) need: Resources,
     pub(crate) service: &'a ServiceId,
     /// It may take the place of others.
     pub(crate) urgent: bool,
@@ -112,7 +112,7 @@
     }
 
     /// How many more tasks of the step fit into `room`.
-    pub(crate) fn fitting(&self, id: &BackendServerId, room: &Need) -> u64 {
+    pub(crate) fn fitting(&self, id: &BackendServerId, room: &Resources) -> u64 {
         room.count_of(&self.need).min(self.spread_left(id))
     }
 }
--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -5,7 +5,7 @@
     sync::Arc,
 };
 
-use jobs::{Need, Step};
+use jobs::{Resources, Step};
 use model::{BackendServerId, Moment};
 
 use crate::{
@@ -26,7 +26,7 @@
 pub(crate) struct Rack {
     slots: Vec<Slot>,
     /// At least what is free soon on any of them, in each part of a need.
-    bound: Need,
+    bound: Resources,
 }
 
 /// Room by backend server.
@@ -115,7 +115,7 @@
     }
 
     /// Counts what is being stopped on a backend server as free soon.
-    pub(crate) fn free_soon(&mut self, id: &BackendServerId, need: &Need) {
+    pub(crate) fn free_soon(&mut self, id: &BackendServerId, need: &Resources) {
         let Some(&slot) = self.slots.get(id) else { return };
         let Some(room) = self.rooms[slot.0].as_mut() else { return };
         room.change_staying(|staying| staying.remove(need));
@@ -187,13 +187,13 @@
         let rooms = &self.rooms;
         let Some(rack) = self.racks.get_mut(name) else { return };
         let soon = rack.slots.iter().filter_map(|slot| rooms[slot.0].as_ref()).map(|room| room.soon);
-        rack.bound = soon.fold(Need::default(), |bound, soon| bound.max(&soon));
+        rack.bound = soon.fold(Resources::default(), |bound, soon| bound.max(&soon));
     }
 }
 
 impl Rack {
     /// Whether a task that needs so much may fit into one of the rooms, now or soon.
-    pub(crate) fn may_hold(&self, need: &Need) -> bool {
+    pub(crate) fn may_hold(&self, need: &Resources) -> bool {
         self.bound.contains(need)
     }
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -4,7 +4,7 @@
 
 use std::{cmp::Ordering, sync::Arc};
 
-use jobs::{Duration, Need, Step};
+use jobs::{Duration, Resources, Step};
 use model::Moment;
 
 use crate::{
@@ -41,7 +41,7 @@
         candidate: &Candidate,
         wanted: &Wanted<'_>,
         rooms: &Rooms,
-        part: impl Fn(&Room) -> Need,
+        part: impl Fn(&Room) -> Resources,
         left: &mut Vec<usize>,
         now: Moment,
     ) -> Places {
@@ -132,13 +132,13 @@
         name: GroupId,
         wanted: &Wanted<'_>,
         rooms: &Rooms,
-        part: impl Fn(&Room) -> Need,
+        part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Option<Places> {
         let slowest = rooms.slowest();
         let classes = SpeedClass::ALL.iter().filter(|class| wanted.urgent && **class < slowest);
         let mut faster = classes.filter_map(|class| {
-            let part = |room: &Room| if room.speed <= *class { part(room) } else { Need::default() };
+            let part = |room: &Room| if room.speed <= *class { part(room) } else { Resources::default() };
             self.choose_gang_among(name, wanted, rooms, part, now)
         });
         faster.next().or_else(|| self.choose_gang_among(name, wanted, rooms, &part, now))
@@ -150,7 +150,7 @@
         name: GroupId,
         wanted: &Wanted<'_>,
         rooms: &Rooms,
-        part: impl Fn(&Room) -> Need,
+        part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Option<Places> {
         let count = u64::from(wanted.step.count);
@@ -184,7 +184,7 @@
         name: GroupId,
         wanted: &Wanted<'_>,
         rooms: &'r Rooms,
-        part: impl Fn(&Room) -> Need,
+        part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Vec<(&'r Rack, u64)> {
         let count = |rack| {
@@ -215,7 +215,7 @@
         wanted: &Wanted<'_>,
         rooms: &Rooms,
         racks: &[&Rack],
-        part: impl Fn(&Room) -> Need,
+        part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Option<Places> {
         let mut places = Places::new();
@@ -281,13 +281,18 @@
 }
 
 /// Rooms of a rack that one more task of the step fits into.
-fn fitting_rooms<'r>(wanted: &Wanted<'_>, rooms: &'r Rooms, rack: &'r Rack, part: impl Fn(&Room) -> Need) -> Order<'r> {
+fn fitting_rooms<'r>(
+    wanted: &Wanted<'_>,
+    rooms: &'r Rooms,
+    rack: &'r Rack,
+    part: impl Fn(&Room) -> Resources,
+) -> Order<'r> {
     let fits = |room: &Room| part(room).contains(&wanted.need) && wanted.allows(room);
     let fitting = rooms.in_rack(rack).filter(|(_, room)| fits(room));
     fitting.map(|(slot, room)| (slot, room, wanted.fitting(&room.id, &part(room)))).collect()
 }
 
-fn fullest_first(part: impl Fn(&Room) -> Need, a: &Room, b: &Room) -> Ordering {
+fn fullest_first(part: impl Fn(&Room) -> Resources, a: &Room, b: &Room) -> Ordering {
     let free = |room: &Room| {
         let free = part(room);
         (free.accelerators, free.cpu_milli)
@@ -296,7 +301,12 @@
 }
 
 /// For a task that may crash its backend server: the fewer tasks run there the better, and best on one that is empty.
-fn fewest_tasks_first<'r>(wanted: &Wanted<'_>, rooms: &'r Rooms, part: impl Fn(&Room) -> Need, far: bool) -> Order<'r> {
+fn fewest_tasks_first<'r>(
+    wanted: &Wanted<'_>,
+    rooms: &'r Rooms,
+    part: impl Fn(&Room) -> Resources,
+    far: bool,
+) -> Order<'r> {
     let near_enough = |rack: &Arc<str>| far || is_near(wanted.step, rack);
     let racks = rooms.racks().filter(|(name, rack)| rack.may_hold(&wanted.need) && near_enough(name));
     let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(wanted, rooms, rack, &part)).collect();
@@ -310,7 +320,7 @@
 fn least_disturbed_first<'r>(
     wanted: &Wanted<'_>,
     rooms: &'r Rooms,
-    part: impl Fn(&Room) -> Need,
+    part: impl Fn(&Room) -> Resources,
     count: usize,
 ) -> Order<'r> {
     let best_effort = wanted.step.best_effort;
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -1,6 +1,6 @@
 //! Where and when groups start.
 
-use jobs::{Need, Step};
+use jobs::{Resources, Step};
 use model::{BackendServerId, Moment};
 
 use crate::{
@@ -40,9 +40,9 @@
     }
 
     /// What of a room a candidate may take now.
-    fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&Room) -> Need + use<> {
+    fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&Room) -> Resources + use<> {
         let apart = self.waits_for_empty_one(candidate, now);
-        move |room| if apart && room.tasks > 0 { Need::default() } else { room.free }
+        move |room| if apart && room.tasks > 0 { Resources::default() } else { room.free }
     }
 
     /// Starts a gang where it fits. If it is urgent, room is made or kept for it meanwhile.
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use jobs::{Need, TaskId};
+use jobs::{Resources, TaskId};
 use model::{BackendServerId, Moment};
 
 use crate::{
@@ -30,7 +30,7 @@
     group: GroupId,
     /// Core-seconds that would be thrown away.
     waste: f64,
-    freed: Need,
+    freed: Resources,
 }
 
 /// What making room for some tasks on one backend server takes.
@@ -193,7 +193,7 @@
         }
         victims.sort_by(|a, b| a.waste.total_cmp(&b.waste));
         let mut staying = room.staying;
-        let free_beside = |staying: &Need| {
+        let free_beside = |staying: &Resources| {
             let mut free = room.capacity;
             free.remove(staying);
             free
@@ -285,6 +285,6 @@
 }
 
 /// Weighs room in cores.
-fn weight(need: &Need) -> f64 {
+fn weight(need: &Resources) -> f64 {
     need.cpu_milli as f64 / 1000.0 + need.accelerators as f64 * CORES_PER_ACCELERATOR
 }
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -9,7 +9,7 @@
 };
 
 use derive_more::Display;
-use jobs::{Need, OccurrenceId, RunNumber, TaskId};
+use jobs::{OccurrenceId, Resources, RunNumber, TaskId};
 use model::{AvailabilityZoneId, Duration, Incarnation, Moment};
 
 use crate::{health::Health, policy::ServiceId, speed::Speed};
@@ -54,7 +54,7 @@
     /// What it can be chosen by.
     pub labels: Vec<Arc<str>>,
     /// Its whole room.
-    pub capacity: Need,
+    pub capacity: Resources,
     /// It is leaving and takes no new work.
     pub draining: bool,
     /// How long it stays at least, if it is leaving and says so.
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub(crate) struct Stray {
     pub(crate) run: RunNumber,
-    pub(crate) need: Need,
+    pub(crate) need: Resources,
     pub(crate) stop_sent: Moment,
 }
 
@@ -102,7 +102,7 @@
     /// Which life was last heard; `None` before that, and on a platform where each life has an id of its own.
     pub(crate) incarnation: Option<Incarnation>,
     /// Taken by members that are placed here.
-    pub(crate) used: Need,
+    pub(crate) used: Resources,
     /// Runs that are placed here.
     pub(crate) members: BTreeMap<TaskId, RunNumber>,
     pub(crate) strays: BTreeMap<TaskId, Stray>,
@@ -141,7 +141,7 @@
             listed: info.is_some(),
             incarnation: None,
             info,
-            used: Need::default(),
+            used: Resources::default(),
             members: BTreeMap::new(),
             strays: BTreeMap::new(),
             stocked: false,
@@ -172,7 +172,7 @@
     }
 
     /// Room that is taken, also by what is being stopped.
-    fn taken(&self) -> Need {
+    fn taken(&self) -> Resources {
         let mut taken = self.used;
         for stray in self.strays.values() {
             taken.add(&stray.need);
@@ -181,8 +181,8 @@
     }
 
     /// Room that is free now.
-    pub(crate) fn free(&self) -> Need {
-        let Some(info) = &self.info else { return Need::default() };
+    pub(crate) fn free(&self) -> Resources {
+        let Some(info) = &self.info else { return Resources::default() };
         let mut free = info.capacity;
         free.remove(&self.taken());
         free
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jobs::Need;
+use jobs::Resources;
 use model::{BackendServerId, Moment};
 
 use crate::{
@@ -21,19 +21,19 @@
     pub(crate) rack: Arc<str>,
     pub(crate) place: Place,
     pub(crate) labels: Vec<Arc<str>>,
-    pub(crate) capacity: Need,
+    pub(crate) capacity: Resources,
     /// Taken by what is placed there.
-    pub(crate) used: Need,
+    pub(crate) used: Resources,
     /// Taken by what stays: nothing of it is being stopped. More than there is where the capacity has shrunk.
-    pub(crate) staying: Need,
+    pub(crate) staying: Resources,
     /// Its backend server answers this scheduler.
     pub(crate) reached: bool,
     /// New work may be placed there.
     pub(crate) open: bool,
     /// Free now.
-    pub(crate) free: Need,
+    pub(crate) free: Resources,
     /// Free once everything that is being stopped has ended.
-    pub(crate) soon: Need,
+    pub(crate) soon: Resources,
     /// Tasks there, those among them that nobody wants.
     pub(crate) tasks: usize,
     /// Best-effort tasks there.
@@ -78,7 +78,7 @@
 
 impl Room {
     /// Takes more, or gives back what is being stopped.
-    pub(crate) fn change_staying(&mut self, change: impl FnOnce(&mut Need)) {
+    pub(crate) fn change_staying(&mut self, change: impl FnOnce(&mut Resources)) {
         change(&mut self.staying);
         self.soon = self.capacity;
         self.soon.remove(&self.staying);
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{Fixture, info, job, job_in, server_id, step};
-use jobs::{JobId, JobState, Need, OccurrenceId, RunNumber, TaskId};
+use jobs::{JobId, JobState, OccurrenceId, Resources, RunNumber, TaskId};
 use model::Revision;
 use scheduler::{EndKind, Listing, Order, RunningTask, ServerInfo};
 
 fn with_accelerators(accelerators: u64) -> ServerInfo {
-    ServerInfo { capacity: Need { accelerators, ..info(0).capacity }, ..info(0) }
+    ServerInfo { capacity: Resources { accelerators, ..info(0).capacity }, ..info(0) }
 }
 
 fn resize(fixture: &mut Fixture, i: usize, accelerators: u64) {
--- a/crates/scheduler/tests/common/capacity.rs
+++ b/crates/scheduler/tests/common/capacity.rs
@@ -1,6 +1,6 @@
 //! Backend servers whose capacity changes while they run.
 
-use jobs::{Need, TaskId};
+use jobs::{Resources, TaskId};
 use model::BackendServerId;
 use scheduler::ServerInfo;
 
@@ -18,7 +18,7 @@
         }
         let part = |whole: u64| whole * eighths.min(8) / 8;
         let whole = info(0).capacity;
-        let capacity = Need {
+        let capacity = Resources {
             cpu_milli: part(whole.cpu_milli),
             memory_mb: part(whole.memory_mb),
             accelerators: part(whole.accelerators),
@@ -33,7 +33,7 @@
     /// A task has begun on a backend server: where it does not guard its capacity, the scheduler has to.
     pub(crate) fn check_capacity(&mut self, id: &BackendServerId, task: TaskId) {
         let server = &self.servers[id];
-        let mut used = Need::default();
+        let mut used = Resources::default();
         for other in server.running.keys() {
             used.add(&self.jobs[&other.occurrence.job].steps[other.step as usize].need);
         }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -16,7 +16,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use jobs::{Fence, Job, JobId, JobState, Need, OccurrenceId, Progress, RunNumber, Step, TaskId};
+use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, Resources, RunNumber, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
     Advice, CustomerPolicy, End, EndKind, Listing, Order, Place, Policy, QueuePolicy, RunningTask, Scheduler,
@@ -42,7 +42,7 @@
 pub(crate) fn step(count: u32, accelerators: u64) -> Step {
     Step {
         count,
-        need: Need { cpu_milli: 1000, memory_mb: 100, accelerators },
+        need: Resources { cpu_milli: 1000, memory_mb: 100, accelerators },
         estimate: Duration::from_secs(2),
         ..Step::default()
     }
@@ -85,7 +85,7 @@
         labels: vec![Arc::clone(&rack), Arc::from("a")],
         rack,
         place: Place::from(format!("p{i:02}").as_str()),
-        capacity: Need { cpu_milli: 32_000, memory_mb: 64_000, accelerators: 8 },
+        capacity: Resources { cpu_milli: 32_000, memory_mb: 64_000, accelerators: 8 },
         draining: false,
         remaining: None,
         incarnation: None,
--- a/crates/scheduler/tests/common/returns.rs
+++ b/crates/scheduler/tests/common/returns.rs
@@ -1,6 +1,6 @@
 //! Backend servers that come back under their ids after a crash.
 
-use jobs::Need;
+use jobs::Resources;
 use model::{BackendServerId, Incarnation};
 use scheduler::{ServerInfo, Unanswered};
 
@@ -37,7 +37,7 @@
         }
         let accelerators = if self.rng.u8(..) < 64 { 4 } else { 8 };
         let incarnation = Some(Incarnation(self.now + ms));
-        let info = ServerInfo { incarnation, capacity: Need { accelerators, ..info.capacity }, ..info };
+        let info = ServerInfo { incarnation, capacity: Resources { accelerators, ..info.capacity }, ..info };
         let mut server = Box::new(FakeServer::new(id, info, rate));
         server.unguarded = unguarded;
         self.after(ms, Event::Return { server });
--- a/crates/scheduler/tests/common/runs.rs
+++ b/crates/scheduler/tests/common/runs.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use jobs::{Need, OccurrenceId, RunNumber, TaskId};
+use jobs::{OccurrenceId, Resources, RunNumber, TaskId};
 use model::BackendServerId;
 use scheduler::{EndKind, StartReply};
 
@@ -34,7 +34,7 @@
         let fails = self.now < self.fail_tasks_until && self.rng.u8(..) < 100 || self.fails_by_itself(task);
         let work = self.work(if saved { 300 } else { 600 });
         let new = Run { run, left: (!step.gang).then_some(work), waited: 0, fails, saved: None };
-        let mut used = Need::default();
+        let mut used = Resources::default();
         for other in self.servers[id].running.keys() {
             used.add(&self.jobs[&other.occurrence.job].steps[other.step as usize].need);
         }
--- a/crates/scheduler/tests/common/server.rs
+++ b/crates/scheduler/tests/common/server.rs
@@ -97,8 +97,8 @@
         run: Run,
         until: u64,
         fence: Fence,
-        need: &jobs::Need,
-        used: jobs::Need,
+        need: &jobs::Resources,
+        used: jobs::Resources,
     ) -> StartReply {
         if !self.obeys(fence) {
             return StartReply::Fenced;
--- a/crates/scheduler/tests/common/still.rs
+++ b/crates/scheduler/tests/common/still.rs
@@ -8,7 +8,7 @@
     sync::Arc,
 };
 
-use jobs::{Fence, JobId, Need, OccurrenceId, Step, TaskId};
+use jobs::{Fence, JobId, OccurrenceId, Resources, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Incarnation};
 use scheduler::EndKind;
 
@@ -27,7 +27,7 @@
 /// What shows that something has happened to the system from outside, when it changes.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Surroundings {
-    servers: Vec<(BackendServerId, Incarnation, Need, bool, bool)>,
+    servers: Vec<(BackendServerId, Incarnation, Resources, bool, bool)>,
     holder: Fence,
     evacuated: BTreeSet<AvailabilityZoneId>,
 }
@@ -118,8 +118,8 @@
         self.servers.values().filter(takes_work).map(free).collect()
     }
 
-    fn taken_on(&self, server: &FakeServer) -> Need {
-        let mut taken = Need::default();
+    fn taken_on(&self, server: &FakeServer) -> Resources {
+        let mut taken = Resources::default();
         for task in server.running.keys() {
             taken.add(&self.step_of(*task).need);
         }
@@ -207,7 +207,7 @@
 struct Free {
     rack: Arc<str>,
     labels: Vec<Arc<str>>,
-    free: Need,
+    free: Resources,
 }
 
 impl Free {
--- a/crates/scheduler/tests/trial.rs
+++ b/crates/scheduler/tests/trial.rs
@@ -8,7 +8,7 @@
 mod common;
 
 use common::{Fixture, Started, gang, info, job, job_in, server_id, step};
-use jobs::{JobId, Need, OccurrenceId, Step, TaskId};
+use jobs::{JobId, OccurrenceId, Resources, Step, TaskId};
 use model::{BackendServerId, Duration};
 use scheduler::{EndKind, ServerInfo};
 
@@ -130,7 +130,7 @@
 #[test]
 fn a_gang_under_a_crash_goes_where_the_fewest_tasks_run() {
     let mut fixture = Fixture::new(2);
-    let small = ServerInfo { capacity: Need { accelerators: 3, ..info(0).capacity }, ..info(0) };
+    let small = ServerInfo { capacity: Resources { accelerators: 3, ..info(0).capacity }, ..info(0) };
     fixture.scheduler.server_listed(server_id(0), small, fixture.now);
     fixture.submit(job_in("urgent", 1, vec![step(1, 3)]));
     assert_eq!(fixture.start_all()[0].server, server_id(0));
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt::Write, sync::Arc, time::Instant};
 
-use jobs::{Fence, Job, JobId, Need, Step};
+use jobs::{Fence, Job, JobId, Resources, Step};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Moment, Revision};
 use scheduler::{
     EvacuatedBy, Listing, Order, Place, Policy, QueuePolicy, RunningTask, Scheduler, ServerInfo, ServiceId, StartReply,
@@ -210,7 +210,7 @@
 }
 
 fn step(count: u32, accelerators: u64) -> Step {
-    let need = Need { cpu_milli: 1000 * accelerators, memory_mb: 100, accelerators };
+    let need = Resources { cpu_milli: 1000 * accelerators, memory_mb: 100, accelerators };
     Step { count, need, estimate: Duration::from_secs(5), ..Step::default() }
 }
 
@@ -226,7 +226,7 @@
         labels: vec![Arc::clone(&rack), Arc::from("a")],
         rack,
         place: Place::from(format!("10.1.{}.{}:8648", i / 250, i % 250).as_str()),
-        capacity: Need { cpu_milli: 32_000, memory_mb: 64_000, accelerators: ACCELERATORS },
+        capacity: Resources { cpu_milli: 32_000, memory_mb: 64_000, accelerators: ACCELERATORS },
         draining: false,
         remaining: None,
         incarnation: None,
