--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -146,7 +146,7 @@
 
 impl Step {
     /// What a task takes of a backend server's room.
-    pub fn counted_need(&self) -> Resources {
+    pub fn counted_resources(&self) -> Resources {
         if self.best_effort { Resources { cpu_milli: 0, ..self.need } } else { self.need }
     }
 }
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -194,7 +194,7 @@
         let progress = &occurrence.progress.groups[candidate.step];
         let careful = progress.iter().any(|group| !group.failed_runs.is_empty());
         let last_try = candidate.groups.iter().any(|&group| has_its_last_try(&progress[group]));
-        let need = step.counted_need();
+        let need = step.counted_resources();
         let urgent = queue.priority == 0 || step.long_running;
         let allowed = queue.advice.map(|_| self.advice.allowed(candidate.step_id(), now));
         let pressed = self.wall_ms(now) >= candidate.pressed_ms;
--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -87,7 +87,7 @@
 
     /// Takes room for a task of a step at each place.
     pub(crate) fn claim(&mut self, step: &Step, places: &Places) {
-        let need = &step.counted_need();
+        let need = &step.counted_resources();
         for &(_, slot) in places {
             let room = self.rooms[slot.0].as_mut().expect("places are chosen among the rooms");
             let totals = self.totals.entry(room.service.clone()).or_default();
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -108,7 +108,7 @@
         let mut strays = BTreeMap::new();
         for (task, run) in unwanted {
             // One of a job that is not known any more may take everything.
-            let need = self.group_of(task).map_or(whole, |name| self.step(name).counted_need());
+            let need = self.group_of(task).map_or(whole, |name| self.step(name).counted_resources());
             let stray = match before.remove(&task) {
                 Some(stray) if stray.run == run && stray.stop_sent + retry > now => stray,
                 _ => {
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -121,7 +121,7 @@
 
     /// Counts what a victim holds as room that is being made.
     fn free_soon(&self, victim: GroupId, rooms: &mut Rooms) {
-        let need = self.step(victim).counted_need();
+        let need = self.step(victim).counted_resources();
         for member in &self.group(victim).members {
             rooms.free_soon(&member.server, &need);
         }
@@ -237,7 +237,7 @@
         }
         let lost = if step.checkpoints { ran.min(UNSAVED_S) } else { ran };
         let waste = weight(&step.need) * (group.members.len() as f64) * (lost + RESTART_S);
-        Some(Victim { group: name, waste, freed: step.counted_need() })
+        Some(Victim { group: name, waste, freed: step.counted_resources() })
     }
 
     /// Whether a run ends sooner than it could be stopped, as far as its progress tells; that of a task that lasts tells
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -64,7 +64,7 @@
                     let server =
                         self.servers.entry(placed.server.clone()).or_insert_with(|| Server::new(None, earlier));
                     self.unreached.wait_for(&placed.server);
-                    server.used.add(&job.steps[s].counted_need());
+                    server.used.add(&job.steps[s].counted_resources());
                     server.members.insert(name.task(placed.index), group.run);
                     if !std::mem::replace(&mut server.touched, true) {
                         self.touched.push(placed.server.clone());
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -82,7 +82,7 @@
 
     /// Places a run of a group; the starts leave once the store holds it.
     pub(crate) fn place(&mut self, name: GroupId, servers: &[(u32, BackendServerId)], now: Moment) {
-        let need = self.step(name).counted_need();
+        let need = self.step(name).counted_resources();
         let run = self.progress_of(name).run.next();
         let placed: Vec<Placed> = servers.iter().map(|(index, id)| self.placed(*index, id)).collect();
         let members = placed.iter().map(Member::planned).collect();
@@ -139,7 +139,7 @@
 
     /// A member's run is over; its room is free.
     pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, saved: Option<Saved>, now: Moment) {
-        let need = self.step(name).counted_need();
+        let need = self.step(name).counted_resources();
         let checkpoints = self.step(name).checkpoints;
         let group = self.group_mut(name);
         let Some(at) = group.members.iter().position(|member| member.index == index) else { return };
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -132,7 +132,7 @@
             room.best_effort += u64::from(step.best_effort);
             room.serving += u64::from(step.target.is_some());
             if self.group(name).stopping.is_some() {
-                room.staying.remove(&step.counted_need());
+                room.staying.remove(&step.counted_resources());
             }
         }
         room.change_staying(|_| ());
