--- a/crates/jobs/src/progress.rs
+++ b/crates/jobs/src/progress.rs
@@ -12,7 +12,7 @@
 
 /// Where one task was told to run, or is about to be told.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Placed {
+pub struct Placement {
     /// The task's index in its step.
     #[serde(rename = "i")]
     pub index: u32,
@@ -71,7 +71,7 @@
     pub saved: Option<Saved>,
     /// Where the latest run was placed; empty once it is known to be over.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
-    pub placed: Vec<Placed>,
+    pub placed: Vec<Placement>,
 }
 
 /// The progress of one occurrence: its groups, by step.
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jobs::{Duration, Job, JobState, OccurrenceId, Placed, Progress, Saved, Step, StepId, TaskId};
+use jobs::{Duration, Job, JobState, OccurrenceId, Placement, Progress, Saved, Step, StepId, TaskId};
 use model::{BackendServerId, Incarnation, Moment, Revision};
 
 use crate::{
@@ -62,7 +62,7 @@
 
 impl Member {
     /// A task that is to start.
-    pub(crate) fn planned(placed: &Placed) -> Member {
+    pub(crate) fn planned(placed: &Placement) -> Member {
         Member {
             index: placed.index,
             server: placed.server.clone(),
@@ -80,7 +80,7 @@
     }
 
     /// A task that an earlier scheduler placed, found by one elected at `elected`.
-    pub(crate) fn restored(placed: &Placed, elected: Moment) -> Member {
+    pub(crate) fn restored(placed: &Placement, elected: Moment) -> Member {
         Member {
             phase: Phase::Restored,
             settled: Some(elected),
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jobs::{GroupProgress, JobId, OccurrenceId, Placed, Saved, Step, TaskId};
+use jobs::{GroupProgress, JobId, OccurrenceId, Placement, Saved, Step, TaskId};
 use model::{BackendServerId, Moment};
 
 use crate::{
@@ -84,7 +84,7 @@
     pub(crate) fn place(&mut self, name: GroupId, servers: &[(u32, BackendServerId)], now: Moment) {
         let need = self.step(name).counted_resources();
         let run = self.progress_of(name).run.next();
-        let placed: Vec<Placed> = servers.iter().map(|(index, id)| self.placed(*index, id)).collect();
+        let placed: Vec<Placement> = servers.iter().map(|(index, id)| self.placed(*index, id)).collect();
         let members = placed.iter().map(Member::planned).collect();
         for (index, id) in servers {
             let server = self.server_mut(id).expect("only known backend servers are chosen");
@@ -106,11 +106,11 @@
         self.begin_trial(name);
     }
 
-    fn placed(&self, index: u32, id: &BackendServerId) -> Placed {
+    fn placed(&self, index: u32, id: &BackendServerId) -> Placement {
         let server = self.servers.get(id);
         let incarnation = server.and_then(|server| server.incarnation);
         let place = server.and_then(|server| server.info.as_ref()).map_or("", |info| info.place.as_str());
-        Placed { index, server: id.clone(), incarnation, place: Arc::from(place) }
+        Placement { index, server: id.clone(), incarnation, place: Arc::from(place) }
     }
 
     /// Says where a run goes, and what that rests on.
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 
 use common::{Fixture, gang, job, job_in, run_of, server_id, step, zone};
-use jobs::{JobState, OccurrenceId, Placed, Progress, RunNumber, Step};
+use jobs::{JobState, OccurrenceId, Placement, Progress, RunNumber, Step};
 use model::{AvailabilityZoneId, Duration, Revision};
 use scheduler::{EndKind, EvacuatedBy, EvacuationRefused, Order, StartReply};
 
@@ -198,7 +198,8 @@
     let job = job_in("urgent", 1, vec![step(2, 4)]);
     let mut progress = Progress::new(&job);
     progress.groups[0][0].run = RunNumber(1);
-    progress.groups[0][0].placed = vec![Placed { index: 0, server: server_id(0), incarnation: None, place: "".into() }];
+    progress.groups[0][0].placed =
+        vec![Placement { index: 0, server: server_id(0), incarnation: None, place: "".into() }];
     fixture.submit(job.clone());
     fixture.scheduler.restore(OccurrenceId { job: job.id, number: 0 }, progress, Revision(5));
     fixture.add_server(0);
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{Fixture, gang, info, job, server_id, step};
-use jobs::{OccurrenceId, Placed, Progress, RunNumber};
+use jobs::{OccurrenceId, Placement, Progress, RunNumber};
 use model::{Duration, Revision};
 use scheduler::{ServerInfo, Unanswered};
 
@@ -98,7 +98,8 @@
     let job = job(1, vec![step(1, 4)]);
     let mut progress = Progress::new(&job);
     progress.groups[0][0].run = RunNumber(1);
-    progress.groups[0][0].placed = vec![Placed { index: 0, server: server_id(0), incarnation: None, place: "".into() }];
+    progress.groups[0][0].placed =
+        vec![Placement { index: 0, server: server_id(0), incarnation: None, place: "".into() }];
     fixture.submit(job.clone());
     fixture.scheduler.restore(OccurrenceId { job: job.id, number: 0 }, progress, Revision(5));
     announce(&mut fixture);
