--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -13,6 +13,6 @@
     ended::{EndedJob, WorkDigest},
     id::{Fence, JobId, OccurrenceId, ParseNameError, QueueId, RunNumber, StepId, TaskId},
     job::{Duration, Job, JobError, RawJob, RawStep, Resources, Schedule, Step},
-    progress::{Crash, GroupProgress, Placement, Progress, Saved},
+    progress::{Checkpoint, Crash, GroupProgress, Placement, Progress},
     state::JobState,
 };
--- a/crates/jobs/src/progress.rs
+++ b/crates/jobs/src/progress.rs
@@ -8,7 +8,7 @@
 use crate::{Job, JobState, RunNumber};
 
 /// A checkpoint, opaque to the scheduler.
-pub type Saved = Arc<str>;
+pub type Checkpoint = Arc<str>;
 
 /// Where one task was told to run, or is about to be told.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     pub run: RunNumber,
     /// The latest checkpoint of an earlier run.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<Saved>,
+    pub saved: Option<Checkpoint>,
     /// Where the latest run was placed; empty once it is known to be over.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub placed: Vec<Placement>,
--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/border.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Instant};
 
-use jobs::{Fence, RunNumber, Saved, StepId, TaskId};
+use jobs::{Checkpoint, Fence, RunNumber, StepId, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, BoxId, Duration, Incarnation};
 use net::{BoxFuture, NetError};
 use outside::Item;
@@ -67,7 +67,7 @@
     /// The job's text.
     pub text: std::sync::Arc<str>,
     /// Where to go on from.
-    pub saved: Option<Saved>,
+    pub saved: Option<Checkpoint>,
     /// How long it may run on without a renewal.
     pub lease: Lease,
     /// The adviser's leave, if the queue needs one.
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jobs::{RunNumber, Saved, TaskId};
+use jobs::{Checkpoint, RunNumber, TaskId};
 use model::BackendServerId;
 
 use crate::permits::Ticket;
@@ -21,7 +21,7 @@
         /// The job's text.
         text: Arc<str>,
         /// Where to go on from.
-        saved: Option<Saved>,
+        saved: Option<Checkpoint>,
         /// The adviser's leave to run there, if the queue needs one.
         ticket: Option<Ticket>,
     },
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jobs::{Duration, Job, JobState, OccurrenceId, Placement, Progress, Saved, Step, StepId, TaskId};
+use jobs::{Checkpoint, Duration, Job, JobState, OccurrenceId, Placement, Progress, Step, StepId, TaskId};
 use model::{BackendServerId, Incarnation, Moment, Revision};
 
 use crate::{
@@ -48,7 +48,7 @@
     /// When it was last told to stop.
     pub(crate) stop_sent: Option<Moment>,
     /// The latest checkpoint that it has told of.
-    pub(crate) saved: Option<Saved>,
+    pub(crate) saved: Option<Checkpoint>,
     /// How far it says that it has come, from 0 to 100.
     pub(crate) percent: u32,
     /// When it said so.
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jobs::{GroupProgress, JobId, OccurrenceId, Placement, Saved, Step, TaskId};
+use jobs::{Checkpoint, GroupProgress, JobId, OccurrenceId, Placement, Step, TaskId};
 use model::{BackendServerId, Moment};
 
 use crate::{
@@ -138,7 +138,7 @@
     }
 
     /// A member's run is over; its room is free.
-    pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, saved: Option<Saved>, now: Moment) {
+    pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, saved: Option<Checkpoint>, now: Moment) {
         let need = self.step(name).counted_resources();
         let checkpoints = self.step(name).checkpoints;
         let group = self.group_mut(name);
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -31,7 +31,7 @@
     pub(crate) server: BackendServerId,
     pub(crate) task: TaskId,
     pub(crate) run: RunNumber,
-    pub(crate) saved: Option<jobs::Saved>,
+    pub(crate) saved: Option<jobs::Checkpoint>,
     pub(crate) ticket: Option<scheduler::Ticket>,
 }
 
--- a/crates/scheduler/tests/common/server.rs
+++ b/crates/scheduler/tests/common/server.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, sync::Arc};
 
-use jobs::{Fence, RunNumber, Saved, TaskId};
+use jobs::{Checkpoint, Fence, RunNumber, TaskId};
 use model::{BackendServerId, Incarnation};
 use scheduler::{End, EndKind, Listing, RunningTask, ServerInfo, StartReply};
 
@@ -14,7 +14,7 @@
     pub(crate) left: Option<u64>,
     pub(crate) waited: u64,
     pub(crate) fails: bool,
-    pub(crate) saved: Option<Saved>,
+    pub(crate) saved: Option<Checkpoint>,
 }
 
 #[derive(Debug)]
