--- a/crates/jobs/src/progress.rs
+++ b/crates/jobs/src/progress.rs
@@ -68,7 +68,7 @@
     pub run: RunNumber,
     /// The latest checkpoint of an earlier run.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<Checkpoint>,
+    pub checkpoint: Option<Checkpoint>,
     /// Where the latest run was placed; empty once it is known to be over.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub placed: Vec<Placement>,
--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/border.rs
@@ -67,7 +67,7 @@
     /// The job's text.
     pub text: std::sync::Arc<str>,
     /// Where to go on from.
-    pub saved: Option<Checkpoint>,
+    pub checkpoint: Option<Checkpoint>,
     /// How long it may run on without a renewal.
     pub lease: Lease,
     /// The adviser's leave, if the queue needs one.
--- a/crates/scheduler/src/completions.rs
+++ b/crates/scheduler/src/completions.rs
@@ -34,7 +34,7 @@
     /// How.
     pub kind: EndKind,
     /// The latest checkpoint, if the run made one.
-    pub saved: Option<Checkpoint>,
+    pub checkpoint: Option<Checkpoint>,
 }
 
 /// A run that goes on.
@@ -45,7 +45,7 @@
     /// Which run of it.
     pub run: RunNumber,
     /// The latest checkpoint, if the run made one.
-    pub saved: Option<Checkpoint>,
+    pub checkpoint: Option<Checkpoint>,
     /// Share of its work that is done, 0 to 100; of a task that lasts, 100 once it is at work.
     pub percent: u32,
     /// The tail latency, in milliseconds, of what a task with a latency target serves; `None` for any other
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -76,8 +76,8 @@
         member.percent = running.percent;
         member.percent_at = now;
         member.latency_ms = running.latency_ms;
-        if running.saved.is_some() {
-            member.saved = running.saved.clone();
+        if running.checkpoint.is_some() {
+            member.checkpoint = running.checkpoint.clone();
         }
         match member.phase {
             Phase::Restored | Phase::Sent { .. } => {
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -21,7 +21,7 @@
         /// The job's text.
         text: Arc<str>,
         /// Where to go on from.
-        saved: Option<Checkpoint>,
+        checkpoint: Option<Checkpoint>,
         /// The adviser's leave to run there, if the queue needs one.
         ticket: Option<Ticket>,
     },
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -63,7 +63,7 @@
         if end.kind == EndKind::Done {
             self.measure_end(name, end.task.index, id, now);
         }
-        self.remove_member(name, end.task.index, end.saved.clone(), now);
+        self.remove_member(name, end.task.index, end.checkpoint.clone(), now);
         match end.kind {
             EndKind::Done => self.apply_done(name, id, now),
             _ => self.stop_group(name, StopReason::GangBroken, now),
@@ -89,7 +89,7 @@
         }
         self.change(name, |progress| {
             progress.done = true;
-            progress.saved = None;
+            progress.checkpoint = None;
         });
         if self.occurrence(name.occurrence).progress.step_done(name.step) {
             log::info!(
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -48,7 +48,7 @@
     /// When it was last told to stop.
     pub(crate) stop_sent: Option<Moment>,
     /// The latest checkpoint that it has told of.
-    pub(crate) saved: Option<Checkpoint>,
+    pub(crate) checkpoint: Option<Checkpoint>,
     /// How far it says that it has come, from 0 to 100.
     pub(crate) percent: u32,
     /// When it said so.
@@ -70,7 +70,7 @@
             phase: Phase::Planned,
             settled: None,
             stop_sent: None,
-            saved: None,
+            checkpoint: None,
             percent: 0,
             percent_at: Moment::ZERO,
             latency_ms: None,
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -128,7 +128,7 @@
             servers[0].1,
             progress.failed_runs.len(),
             progress.crashes.len(),
-            progress.saved.is_some(),
+            progress.checkpoint.is_some(),
             self.policy.version,
             self.fence
         );
@@ -138,7 +138,7 @@
     }
 
     /// A member's run is over; its room is free.
-    pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, saved: Option<Checkpoint>, now: Moment) {
+    pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, checkpoint: Option<Checkpoint>, now: Moment) {
         let need = self.step(name).counted_resources();
         let checkpoints = self.step(name).checkpoints;
         let group = self.group_mut(name);
@@ -154,11 +154,11 @@
             server.members.remove(&name.task(index));
         }
         self.look_for_trials(&member.server);
-        let saved = saved.or(member.saved).filter(|_| checkpoints);
+        let checkpoint = checkpoint.or(member.checkpoint).filter(|_| checkpoints);
         self.change(name, |progress| {
             progress.placed.retain(|placed| placed.index != index);
-            if saved.is_some() {
-                progress.saved = saved;
+            if checkpoint.is_some() {
+                progress.checkpoint = checkpoint;
             }
         });
     }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -201,9 +201,9 @@
 
 impl Member {
     /// From when its work can be measured: its start, unless it goes on from a checkpoint.
-    fn measured_from(&self, saved: bool) -> Measured {
+    fn measured_from(&self, checkpoint: bool) -> Measured {
         match (self.measured, self.phase, self.settled) {
-            (Measured::NotYet, Phase::Running, Some(begun)) if !saved => Measured::From(begun, 0),
+            (Measured::NotYet, Phase::Running, Some(begun)) if !checkpoint => Measured::From(begun, 0),
             (measured, ..) => measured,
         }
     }
@@ -267,13 +267,13 @@
 
     /// A run has told how far it has come.
     pub(crate) fn measure_progress(&mut self, name: GroupId, id: &BackendServerId, running: &RunningTask, now: Moment) {
-        let saved = self.progress_of(name).saved.is_some();
+        let checkpoint = self.progress_of(name).checkpoint.is_some();
         if self.step(name).long_running || self.step(name).best_effort {
             return;
         }
         let Some(member) = self.member_mut(name, running.task.index, id) else { return };
         let percent = running.percent;
-        match member.measured_from(saved) {
+        match member.measured_from(checkpoint) {
             // What has come to its end may have waited there for its gang.
             Measured::From(from, done) if percent >= done + TELLING && percent < 100 => {
                 member.measured = Measured::Done;
@@ -287,13 +287,13 @@
 
     /// A run by itself is done: what it took is told by that, if its progress has not told it before.
     pub(crate) fn measure_end(&mut self, name: GroupId, index: u32, id: &BackendServerId, now: Moment) {
-        let saved = self.progress_of(name).saved.is_some();
+        let checkpoint = self.progress_of(name).checkpoint.is_some();
         let step = self.step(name);
         if step.gang && step.count > 1 || step.long_running || step.best_effort {
             return;
         }
         let Some(member) = self.member_mut(name, index, id) else { return };
-        if let Measured::From(from, 0) = member.measured_from(saved) {
+        if let Measured::From(from, 0) = member.measured_from(checkpoint) {
             self.learn_speed(name, id, now.since(from).secs_f64(), now);
         }
     }
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -157,7 +157,7 @@
             task: name.task(index),
             run: progress.run,
             text: Arc::clone(&self.jobs[&name.occurrence.job].job.text),
-            saved: progress.saved.clone(),
+            checkpoint: progress.checkpoint.clone(),
             ticket: self.advice.ticket(name.step_id(), server),
         }
     }
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -89,7 +89,7 @@
 fn a_stray_of_an_unknown_size_leaves_no_room_until_it_is_gone() {
     let mut fixture = Fixture::new(1);
     // Its job has left the intake, and nobody knows what the run takes.
-    let unknown = RunningTask { task: task(99), run: RunNumber(1), saved: None, percent: 1, latency_ms: None };
+    let unknown = RunningTask { task: task(99), run: RunNumber(1), checkpoint: None, percent: 1, latency_ms: None };
     let listing = Listing { running: vec![unknown], ..Listing::default() };
     fixture.scheduler.listing(&server_id(0), &listing, fixture.now, fixture.now);
     fixture.submit(job_in("urgent", 1, vec![step(1, 1)]));
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -43,7 +43,7 @@
         run: RunNumber,
         until: u64,
         answered: bool,
-        saved: bool,
+        checkpoint: bool,
     },
     Started {
         leader: usize,
@@ -154,12 +154,12 @@
                 self.on_hold(leader, &server, acknowledged, until, sent);
             }
             Event::Held { leader, server, reply, clock, sent } => self.on_held(leader, server, reply, clock, sent),
-            Event::Start { leader, server, life, task, run, until, answered, saved } => {
+            Event::Start { leader, server, life, task, run, until, answered, checkpoint } => {
                 if answered {
                     self.check_evacuated(&server, task);
                 }
                 let reply = if self.is_life(&server, life) {
-                    self.start(leader, &server, task, run, until, saved)
+                    self.start(leader, &server, task, run, until, checkpoint)
                 } else {
                     StartReply::Unknown
                 };
--- a/crates/scheduler/tests/common/leading.rs
+++ b/crates/scheduler/tests/common/leading.rs
@@ -114,7 +114,7 @@
         let now = self.moment();
         let life = self.leaders[i].scheduler.incarnation(order.subject().0);
         match order {
-            Order::Start { server, task, run, saved, .. } => {
+            Order::Start { server, task, run, checkpoint, .. } => {
                 // As the host does: the order may have waited since an earlier life.
                 if !self.leaders[i].scheduler.may_start(&server, task, run) {
                     return self.leaders[i].scheduler.start_withdrawn(&server, task, run, now);
@@ -127,10 +127,10 @@
                 let Some(until) = lease_until(&leader.clocks, &server, life, lease, self.now) else { return };
                 leader.scheduler.lease_sent(&server, lease, now);
                 let answered = !lost && self.reachable_by(i, &server);
-                let saved = saved.is_some();
+                let checkpoint = checkpoint.is_some();
                 self.after(
                     late,
-                    Event::Start { leader: i, server: server.clone(), life, task, run, until, answered, saved },
+                    Event::Start { leader: i, server: server.clone(), life, task, run, until, answered, checkpoint },
                 );
                 if !answered {
                     let reply = StartReply::Unknown;
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -31,7 +31,7 @@
     pub(crate) server: BackendServerId,
     pub(crate) task: TaskId,
     pub(crate) run: RunNumber,
-    pub(crate) saved: Option<jobs::Checkpoint>,
+    pub(crate) checkpoint: Option<jobs::Checkpoint>,
     pub(crate) ticket: Option<scheduler::Ticket>,
 }
 
@@ -257,8 +257,8 @@
         let mut started = Vec::new();
         for order in self.scheduler.take_orders() {
             match order {
-                Order::Start { server, task, run, saved, ticket, .. } => {
-                    let start = Started { server: server.clone(), task, run, saved, ticket };
+                Order::Start { server, task, run, checkpoint, ticket, .. } => {
+                    let start = Started { server: server.clone(), task, run, checkpoint, ticket };
                     self.running.get_mut(&server).expect("it was added").push(start.clone());
                     self.scheduler.lease_sent(&server, Timing::default().lease, self.now);
                     self.scheduler.start_replied(&server, task, run, StartReply::Started, self.now);
@@ -279,7 +279,7 @@
         self.end_with(started, kind, None);
     }
 
-    pub(crate) fn end_with(&mut self, started: &Started, kind: EndKind, saved: Option<&str>) {
+    pub(crate) fn end_with(&mut self, started: &Started, kind: EndKind, checkpoint: Option<&str>) {
         let id = &started.server;
         self.running
             .get_mut(id)
@@ -287,7 +287,8 @@
             .retain(|other| other.task != started.task || other.run != started.run);
         let serial = self.serials.entry(id.clone()).or_insert(0);
         *serial += 1;
-        let end = End { serial: *serial, task: started.task, run: started.run, kind, saved: saved.map(Arc::from) };
+        let end =
+            End { serial: *serial, task: started.task, run: started.run, kind, checkpoint: checkpoint.map(Arc::from) };
         let incarnation = self.incarnation(id);
         let listing = Listing { incarnation, running: self.listed(id), ended: vec![end], ..Listing::default() };
         self.now = self.now + Duration::from_millis(1);
@@ -311,8 +312,8 @@
         let mut starts = Vec::new();
         for order in self.scheduler.take_orders() {
             match order {
-                Order::Start { server, task, run, saved, ticket, .. } => {
-                    starts.push(Started { server, task, run, saved, ticket });
+                Order::Start { server, task, run, checkpoint, ticket, .. } => {
+                    starts.push(Started { server, task, run, checkpoint, ticket });
                 }
                 other => self.stops.push(other),
             }
@@ -329,7 +330,7 @@
         let running = |s: &Started| RunningTask {
             task: s.task,
             run: s.run,
-            saved: None,
+            checkpoint: None,
             percent: self.percent,
             latency_ms: self.latency_ms.get(&s.task).copied(),
         };
--- a/crates/scheduler/tests/common/runs.rs
+++ b/crates/scheduler/tests/common/runs.rs
@@ -23,7 +23,7 @@
         task: TaskId,
         run: RunNumber,
         until: u64,
-        saved: bool,
+        checkpoint: bool,
     ) -> StartReply {
         if !self.reachable_by(leader, id) {
             return StartReply::Unknown;
@@ -32,8 +32,8 @@
         let job = self.jobs[&task.occurrence.job].clone();
         let step = &job.steps[task.step as usize];
         let fails = self.now < self.fail_tasks_until && self.rng.u8(..) < 100 || self.fails_by_itself(task);
-        let work = self.work(if saved { 300 } else { 600 });
-        let new = Run { run, left: (!step.gang).then_some(work), waited: 0, fails, saved: None };
+        let work = self.work(if checkpoint { 300 } else { 600 });
+        let new = Run { run, left: (!step.gang).then_some(work), waited: 0, fails, checkpoint: None };
         let mut used = Resources::default();
         for other in self.servers[id].running.keys() {
             used.add(&self.jobs[&other.occurrence.job].steps[other.step as usize].need);
--- a/crates/scheduler/tests/common/server.rs
+++ b/crates/scheduler/tests/common/server.rs
@@ -14,7 +14,7 @@
     pub(crate) left: Option<u64>,
     pub(crate) waited: u64,
     pub(crate) fails: bool,
-    pub(crate) saved: Option<Checkpoint>,
+    pub(crate) checkpoint: Option<Checkpoint>,
 }
 
 #[derive(Debug)]
@@ -144,7 +144,7 @@
         let running = |(task, run): (&TaskId, &Run)| RunningTask {
             task: *task,
             run: run.run,
-            saved: run.saved.clone(),
+            checkpoint: run.checkpoint.clone(),
             percent: 1,
             latency_ms: None,
         };
@@ -161,8 +161,8 @@
         self.serial += 1;
         let over = self.over.entry(task).or_default();
         *over = (*over).max(run.run);
-        let saved = Some(Arc::from(format!("{task}@{}", run.run)));
-        self.ended.push(End { serial: self.serial, task, run: run.run, kind, saved });
+        let checkpoint = Some(Arc::from(format!("{task}@{}", run.run)));
+        self.ended.push(End { serial: self.serial, task, run: run.run, kind, checkpoint });
         Some(run)
     }
 }
--- a/crates/scheduler/tests/elections.rs
+++ b/crates/scheduler/tests/elections.rs
@@ -55,7 +55,7 @@
 
 /// A backend server answers, and still runs what it ran.
 fn answer(fixture: &mut Fixture, started: &Started) {
-    let running = RunningTask { task: started.task, run: started.run, saved: None, percent: 1, latency_ms: None };
+    let running = RunningTask { task: started.task, run: started.run, checkpoint: None, percent: 1, latency_ms: None };
     let listing = Listing { running: vec![running], ..Listing::default() };
     fixture.scheduler.listing(&started.server, &listing, fixture.now, fixture.now);
 }
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -25,7 +25,10 @@
     for (i, task) in tasks.into_iter().enumerate() {
         let until = LATE_MS + LEASE_MS;
         let (server, run, life) = (server_id(i), RunNumber(1), None);
-        world.after(LATE_MS, Event::Start { leader: 0, server, life, task, run, until, answered: false, saved: false });
+        world.after(
+            LATE_MS,
+            Event::Start { leader: 0, server, life, task, run, until, answered: false, checkpoint: false },
+        );
     }
     world
 }
--- a/crates/scheduler/tests/plan.rs
+++ b/crates/scheduler/tests/plan.rs
@@ -88,13 +88,13 @@
     fixture.submit(job_in("archive", 1, vec![step(1, 8)]));
     fixture.start_all();
     fixture.submit(job_in("archive", 2, vec![Step { checkpoints: true, ..step(1, 8) }]));
-    let saved = fixture.start_all();
-    assert_eq!(ids(&saved), [2]);
+    let checkpoint = fixture.start_all();
+    assert_eq!(ids(&checkpoint), [2]);
     fixture.advance(3000);
     fixture.submit(job_in("urgent", 3, vec![gang(1, 8)]));
     assert!(fixture.start_all().is_empty(), "the room is not free yet");
     assert_eq!(stopped(&fixture), [2], "it goes on from its checkpoint; the other would lose 3 s of work");
-    fixture.end_with(&saved[0], EndKind::Stopped, Some("half"));
+    fixture.end_with(&checkpoint[0], EndKind::Stopped, Some("half"));
     assert_eq!(ids(&fixture.start_all()), [3]);
 }
 
@@ -105,7 +105,7 @@
     let first = fixture.start_all();
     fixture.end_with(&first[0], EndKind::Lapsed, Some("half"));
     let again = fixture.start_all();
-    assert_eq!(again[0].saved.as_deref(), Some("half"));
+    assert_eq!(again[0].checkpoint.as_deref(), Some("half"));
 }
 
 #[test]
--- a/crates/scheduler/tests/speed.rs
+++ b/crates/scheduler/tests/speed.rs
@@ -61,7 +61,7 @@
             let row = |start: &Started| RunningTask {
                 task: start.task,
                 run: start.run,
-                saved: None,
+                checkpoint: None,
                 percent: percent(id),
                 latency_ms: None,
             };
