--- a/crates/jobs/src/progress.rs
+++ b/crates/jobs/src/progress.rs
@@ -38,7 +38,7 @@
     pub run: RunNumber,
     /// The run is known to have begun: its start was answered, or it was listed.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
-    pub begun: bool,
+    pub started: bool,
     /// The run is not known to have outlived its start.
     #[serde(rename = "e", default, skip_serializing_if = "is_false")]
     pub early: bool,
@@ -56,7 +56,7 @@
     pub done: bool,
     /// A member has begun at some time.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
-    pub begun: bool,
+    pub started: bool,
     /// Runs that have failed: each counts against the budget, whichever of its members failed first.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_runs: Vec<RunNumber>,
@@ -99,8 +99,8 @@
     }
 
     /// Whether a task has begun.
-    pub fn begun(&self) -> bool {
-        self.groups.iter().flatten().any(|group| group.begun || group.done)
+    pub fn started(&self) -> bool {
+        self.groups.iter().flatten().any(|group| group.started || group.done)
     }
 
     /// Whether every task of a step has ended well.
@@ -119,7 +119,7 @@
         if cancelled {
             return JobState::Cancelled;
         }
-        if all.into_iter().any(Progress::begun) { JobState::Running } else { JobState::Queued }
+        if all.into_iter().any(Progress::started) { JobState::Running } else { JobState::Queued }
     }
 }
 
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -153,8 +153,8 @@
             let member = group.members.iter().find(here)?;
             let early = !group.outlived_start(server.silence.heard);
             let place = server.info.as_ref().map_or_else(|| Arc::from(""), |info| Arc::from(info.place.as_str()));
-            let begun = member.phase == Phase::Running;
-            let crash = Crash { index: task.index, run: *run, begun, early, place };
+            let started = member.phase == Phase::Running;
+            let crash = Crash { index: task.index, run: *run, started, early, place };
             (member.phase != Phase::Planned).then_some((name, crash))
         };
         server.members.iter().filter_map(charged).collect()
@@ -269,7 +269,7 @@
     fn has_crashed_enough(&self, name: GroupId, index: u32) -> bool {
         let crashes = self.progress_of(name).crashes.iter().filter(|crash| crash.index == index);
         let (early, late): (Vec<&Crash>, Vec<&Crash>) = crashes.partition(|crash| crash.early);
-        let begun = early.iter().filter(|crash| crash.begun).count();
-        early.len() >= EARLY_CRASHES && begun >= KNOWN_TO_HAVE_BEGUN || early.len() + late.len() >= CRASHES
+        let started = early.iter().filter(|crash| crash.started).count();
+        early.len() >= EARLY_CRASHES && started >= KNOWN_TO_HAVE_BEGUN || early.len() + late.len() >= CRASHES
     }
 }
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -56,11 +56,11 @@
 impl Member {
     /// Seconds that a run has left by how far it had come when it last told; `None` if it has told nothing. What it told may
     /// be as old as a renewal: taken for news, half of a run of 2 s seemed to be a quarter.
-    fn left_s(&self, begun: Moment, now: Moment) -> Option<f64> {
+    fn left_s(&self, started: Moment, now: Moment) -> Option<f64> {
         if self.percent == 0 {
             return None;
         }
-        let worked = self.percent_at.since(begun).secs_f64();
+        let worked = self.percent_at.since(started).secs_f64();
         let left_then = worked * f64::from(100 - self.percent.min(100)) / f64::from(self.percent);
         Some(left_then - now.since(self.percent_at).secs_f64())
     }
--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -31,7 +31,7 @@
             "event=wave number={} machines={} begun={}",
             request.number,
             request.machines.len(),
-            progress.begun.len()
+            progress.started.len()
         );
         let (emptying, down) = (BTreeMap::new(), BTreeMap::new());
         let stored = progress.succeeded;
@@ -88,7 +88,7 @@
         match reply {
             UpkeepReply::Begun => {
                 let turn = wave.emptying.remove(id).unwrap_or_else(|| Turn::new(None, now));
-                wave.progress.begun.insert(id.clone());
+                wave.progress.started.insert(id.clone());
                 wave.stored = false;
                 wave.down.insert(id.clone(), Turn { since: now, ..turn });
             }
@@ -121,7 +121,7 @@
         let taken = wave.count_taken(machines);
         let waits = |id: &&MachineId| {
             machines.get(*id).is_some_and(|machine| machine.up)
-                && !wave.progress.begun.contains(*id)
+                && !wave.progress.started.contains(*id)
                 && !wave.emptying.contains_key(*id)
                 && !wave.down.contains_key(*id)
         };
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -55,7 +55,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WaveProgress {
     /// Machines that have begun their upkeep.
-    pub begun: BTreeSet<MachineId>,
+    #[serde(rename = "begun")]
+    pub started: BTreeSet<MachineId>,
     /// Every machine that remains has.
     pub succeeded: bool,
 }
@@ -124,7 +125,7 @@
             !back && now.since(down.since) < DOWN_AT_MOST
         });
         self.emptying.retain(|id, _| machines.contains_key(id));
-        let remaining = |id: &&MachineId| machines.contains_key(*id) && !self.progress.begun.contains(*id);
+        let remaining = |id: &&MachineId| machines.contains_key(*id) && !self.progress.started.contains(*id);
         if !self.progress.succeeded && !machines.is_empty() && !self.request.machines.iter().any(|id| remaining(&id)) {
             self.progress.succeeded = true;
             self.stored = false;
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -100,8 +100,8 @@
     /// How long it is known to have run: from when that was first known until its backend server was last heard, at `heard`.
     /// `None` if this scheduler does not know that it has begun.
     pub(crate) fn known_at_work(&self, heard: Option<Moment>) -> Option<Duration> {
-        let begun = self.settled.filter(|_| self.phase == Phase::Running)?;
-        Some(heard.map_or(Duration::ZERO, |heard| heard.since(begun)))
+        let started = self.settled.filter(|_| self.phase == Phase::Running)?;
+        Some(heard.map_or(Duration::ZERO, |heard| heard.since(started)))
     }
 }
 
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -94,7 +94,7 @@
         self.log_placement(name, servers, now);
         self.change(name, |progress| {
             progress.run = run;
-            progress.begun = true;
+            progress.started = true;
             progress.placed = placed;
         });
         let version = self.occurrence(name.occurrence).version;
@@ -132,7 +132,7 @@
             self.policy.version,
             self.fence
         );
-        if !self.jobs[&job].occurrences.iter().any(|occurrence| occurrence.progress.begun()) {
+        if !self.jobs[&job].occurrences.iter().any(|occurrence| occurrence.progress.started()) {
             self.observe_start(job, now);
         }
     }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -203,7 +203,7 @@
     /// From when its work can be measured: its start, unless it goes on from a checkpoint.
     fn measured_from(&self, checkpoint: bool) -> Measured {
         match (self.measured, self.phase, self.settled) {
-            (Measured::NotYet, Phase::Running, Some(begun)) if !checkpoint => Measured::From(begun, 0),
+            (Measured::NotYet, Phase::Running, Some(started)) if !checkpoint => Measured::From(started, 0),
             (measured, ..) => measured,
         }
     }
--- a/crates/scheduler/tests/upkeep.rs
+++ b/crates/scheduler/tests/upkeep.rs
@@ -100,8 +100,8 @@
 #[test]
 fn a_new_scheduler_goes_on_from_what_the_store_remembers() {
     let mut fixture = Fixture::new(2);
-    let begun = [machine_id(0)].into();
-    ask(&mut fixture, 2, 2, WaveProgress { begun, succeeded: false });
+    let started = [machine_id(0)].into();
+    ask(&mut fixture, 2, 2, WaveProgress { started, succeeded: false });
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(1)]);
 }
 
