--- a/crates/jobs/src/progress.rs
+++ b/crates/jobs/src/progress.rs
@@ -24,7 +24,7 @@
     pub incarnation: Option<Incarnation>,
     /// Where it is reached: the platform may list it no more when another scheduler has to call it. Empty if that is not known.
     #[serde(rename = "at", default, skip_serializing_if = "str::is_empty")]
-    pub place: Arc<str>,
+    pub address: Arc<str>,
 }
 
 /// A backend server crashed while a task ran there.
@@ -44,7 +44,7 @@
     pub early: bool,
     /// Where: the backend server's place, which its next life has again. Empty if it is not known.
     #[serde(rename = "at", default, skip_serializing_if = "str::is_empty")]
-    pub place: Arc<str>,
+    pub address: Arc<str>,
 }
 
 /// The progress of a group: tasks that start and end together. A gang is one group; any other task is
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -86,8 +86,8 @@
 }
 
 /// Whether a backend server has crashed under a group at a place: the machine may be at fault.
-pub(crate) fn has_crashed_at(progress: &GroupProgress, place: &Place) -> bool {
-    progress.crashes.iter().any(|crash| *crash.place == *place.as_str())
+pub(crate) fn has_crashed_at(progress: &GroupProgress, address: &Place) -> bool {
+    progress.crashes.iter().any(|crash| *crash.address == *address.as_str())
 }
 
 impl Group {
@@ -152,9 +152,9 @@
             let here = |member: &&Member| member.index == task.index && member.server == *id && which(member);
             let member = group.members.iter().find(here)?;
             let early = !group.outlived_start(server.silence.heard);
-            let place = server.info.as_ref().map_or_else(|| Arc::from(""), |info| Arc::from(info.place.as_str()));
+            let address = server.info.as_ref().map_or_else(|| Arc::from(""), |info| Arc::from(info.address.as_str()));
             let started = member.phase == Phase::Running;
-            let crash = Crash { index: task.index, run: *run, started, early, place };
+            let crash = Crash { index: task.index, run: *run, started, early, address };
             (member.phase != Phase::Planned).then_some((name, crash))
         };
         server.members.iter().filter_map(charged).collect()
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -250,7 +250,7 @@
         let occurrence = self.occurrence(name.occurrence);
         let group = &occurrence.groups[name.step][name.group];
         let progress = &occurrence.progress.groups[name.step][name.group];
-        let was_bad = group.avoid.contains(&room.id) || has_crashed_at(progress, &room.place);
+        let was_bad = group.avoid.contains(&room.id) || has_crashed_at(progress, &room.address);
         was_bad && self.may_avoid(name, now)
     }
 
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -42,8 +42,8 @@
     pub fn restored_places(&self) -> BTreeMap<BackendServerId, Place> {
         let occurrences = self.open.iter().flat_map(|id| &self.jobs[id].occurrences);
         let placed = occurrences.flat_map(|o| o.progress.groups.iter().flatten()).flat_map(|group| &group.placed);
-        let known = placed.filter(|placed| !placed.place.is_empty());
-        known.map(|placed| (placed.server.clone(), Place::from(&*placed.place))).collect()
+        let known = placed.filter(|placed| !placed.address.is_empty());
+        known.map(|placed| (placed.server.clone(), Place::from(&*placed.address))).collect()
     }
 
     /// What was placed may run on, for as long as an earlier scheduler's leases keep it. Returns the groups that may run.
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -109,8 +109,8 @@
     fn placed(&self, index: u32, id: &BackendServerId) -> Placement {
         let server = self.servers.get(id);
         let incarnation = server.and_then(|server| server.incarnation);
-        let place = server.and_then(|server| server.info.as_ref()).map_or("", |info| info.place.as_str());
-        Placement { index, server: id.clone(), incarnation, place: Arc::from(place) }
+        let address = server.and_then(|server| server.info.as_ref()).map_or("", |info| info.address.as_str());
+        Placement { index, server: id.clone(), incarnation, address: Arc::from(address) }
     }
 
     /// Says where a run goes, and what that rests on.
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -48,7 +48,7 @@
     /// Where it is.
     pub availability_zone: AvailabilityZoneId,
     /// What stays when another life follows it.
-    pub place: Place,
+    pub address: Place,
     /// Its rack; one of its labels.
     pub rack: Arc<str>,
     /// What it can be chosen by.
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -19,7 +19,7 @@
     pub(crate) id: BackendServerId,
     pub(crate) service: ServiceId,
     pub(crate) rack: Arc<str>,
-    pub(crate) place: Place,
+    pub(crate) address: Place,
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) capacity: Resources,
     /// Taken by what is placed there.
@@ -109,7 +109,7 @@
             id: id.clone(),
             service: info.service.clone(),
             rack: Arc::clone(&info.rack),
-            place: info.place.clone(),
+            address: info.address.clone(),
             labels: info.labels.clone(),
             capacity: info.capacity,
             used: server.used,
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -84,7 +84,7 @@
         availability_zone: zone(i / 4),
         labels: vec![Arc::clone(&rack), Arc::from("a")],
         rack,
-        place: Place::from(format!("p{i:02}").as_str()),
+        address: Place::from(format!("p{i:02}").as_str()),
         capacity: Resources { cpu_milli: 32_000, memory_mb: 64_000, accelerators: 8 },
         draining: false,
         remaining: None,
@@ -179,7 +179,7 @@
 
     pub(crate) fn add_server(&mut self, i: usize) {
         self.scheduler.server_listed(server_id(i), info(i), self.now);
-        self.places.insert(server_id(i), info(i).place);
+        self.places.insert(server_id(i), info(i).address);
         self.infos.insert(server_id(i), info(i));
         self.running.insert(server_id(i), Vec::new());
         self.list(&server_id(i));
@@ -424,14 +424,14 @@
 
     /// A backend server crashes, and its next life is at the same place.
     pub(crate) fn crash_in_place(&mut self, id: &BackendServerId) {
-        let place = self.place_of(id);
+        let address = self.place_of(id);
         self.lose(id);
         self.added += 1;
         let next = server_id(self.added);
         self.add_server(self.added);
-        let info = ServerInfo { place, ..self.infos[&next].clone() };
+        let info = ServerInfo { address, ..self.infos[&next].clone() };
         self.scheduler.server_listed(next.clone(), info.clone(), self.now);
-        self.places.insert(next.clone(), info.place.clone());
+        self.places.insert(next.clone(), info.address.clone());
         self.infos.insert(next, info);
         self.advance(10);
     }
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -199,7 +199,7 @@
     let mut progress = Progress::new(&job);
     progress.groups[0][0].run = RunNumber(1);
     progress.groups[0][0].placed =
-        vec![Placement { index: 0, server: server_id(0), incarnation: None, place: "".into() }];
+        vec![Placement { index: 0, server: server_id(0), incarnation: None, address: "".into() }];
     fixture.submit(job.clone());
     fixture.scheduler.restore(OccurrenceId { job: job.id, number: 0 }, progress, Revision(5));
     fixture.add_server(0);
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -99,7 +99,7 @@
     let mut progress = Progress::new(&job);
     progress.groups[0][0].run = RunNumber(1);
     progress.groups[0][0].placed =
-        vec![Placement { index: 0, server: server_id(0), incarnation: None, place: "".into() }];
+        vec![Placement { index: 0, server: server_id(0), incarnation: None, address: "".into() }];
     fixture.submit(job.clone());
     fixture.scheduler.restore(OccurrenceId { job: job.id, number: 0 }, progress, Revision(5));
     announce(&mut fixture);
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -225,7 +225,7 @@
         availability_zone: zone(i),
         labels: vec![Arc::clone(&rack), Arc::from("a")],
         rack,
-        place: Place::from(format!("10.1.{}.{}:8648", i / 250, i % 250).as_str()),
+        address: Place::from(format!("10.1.{}.{}:8648", i / 250, i % 250).as_str()),
         capacity: Resources { cpu_milli: 32_000, memory_mb: 64_000, accelerators: ACCELERATORS },
         draining: false,
         remaining: None,
