--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -101,7 +101,7 @@
 /// Calls the backend servers with restored runs where they were reached before, without waiting for the platform's
 /// list: one that has fallen out of it may hold ends that no scheduler has stored, and may not answer for long.
 fn call_restored(active: &Arc<Active>) {
-    let places = active.lock().restored_places();
+    let places = active.lock().restored_addresses();
     for (id, place) in places {
         match place.as_str().parse() {
             Ok(addr) => active.links.open(&Target { id, incarnation: None, addr }, active),
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -19,7 +19,7 @@
     headroom::STANDS_AT_MOST,
     observations::Observation,
     run_state::{Group, GroupId, Member, Phase, Trial},
-    server::Place,
+    server::ServerAddress,
 };
 
 /// A run that its backend server still lists this long after its start has outlived it. Seen on the users' platform: such
@@ -86,7 +86,7 @@
 }
 
 /// Whether a backend server has crashed under a group at a place: the machine may be at fault.
-pub(crate) fn has_crashed_at(progress: &GroupProgress, address: &Place) -> bool {
+pub(crate) fn has_crashed_at(progress: &GroupProgress, address: &ServerAddress) -> bool {
     progress.crashes.iter().any(|crash| *crash.address == *address.as_str())
 }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -65,7 +65,7 @@
     permits::{Question, Ticket},
     policy::{Advice, CustomerPolicy, Policy, QueuePolicy, ServiceId},
     scheduler::{Counts, Scheduler},
-    server::{Place, ServerInfo},
+    server::{ServerAddress, ServerInfo},
     speed::{SpeedReport, SpeedSummary},
     timing::Timing,
     tuning::Tuning,
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -8,7 +8,7 @@
 use crate::{
     Scheduler,
     run_state::{GroupId, Member, Occurrence},
-    server::{Place, Server},
+    server::{Server, ServerAddress},
 };
 
 impl Scheduler {
@@ -39,11 +39,11 @@
     }
 
     /// Where backend servers with restored runs were reached as the runs were placed there: those that the platform no longer lists may answer there still.
-    pub fn restored_places(&self) -> BTreeMap<BackendServerId, Place> {
+    pub fn restored_addresses(&self) -> BTreeMap<BackendServerId, ServerAddress> {
         let occurrences = self.open.iter().flat_map(|id| &self.jobs[id].occurrences);
         let placed = occurrences.flat_map(|o| o.progress.groups.iter().flatten()).flat_map(|group| &group.placed);
         let known = placed.filter(|placed| !placed.address.is_empty());
-        known.map(|placed| (placed.server.clone(), Place::from(&*placed.address))).collect()
+        known.map(|placed| (placed.server.clone(), ServerAddress::from(&*placed.address))).collect()
     }
 
     /// What was placed may run on, for as long as an earlier scheduler's leases keep it. Returns the groups that may run.
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -25,18 +25,18 @@
 
 /// Where one life of a backend server follows another: its address.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
-pub struct Place(Arc<str>);
+pub struct ServerAddress(Arc<str>);
 
-impl Place {
+impl ServerAddress {
     /// The address.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-impl From<&str> for Place {
-    fn from(text: &str) -> Place {
-        Place(Arc::from(text))
+impl From<&str> for ServerAddress {
+    fn from(text: &str) -> ServerAddress {
+        ServerAddress(Arc::from(text))
     }
 }
 
@@ -48,7 +48,7 @@
     /// Where it is.
     pub availability_zone: AvailabilityZoneId,
     /// What stays when another life follows it.
-    pub address: Place,
+    pub address: ServerAddress,
     /// Its rack; one of its labels.
     pub rack: Arc<str>,
     /// What it can be chosen by.
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -9,7 +9,7 @@
     Scheduler,
     policy::ServiceId,
     run_state::Trial,
-    server::{Place, Server, ServerInfo},
+    server::{Server, ServerAddress, ServerInfo},
     speed::SpeedClass,
 };
 
@@ -19,7 +19,7 @@
     pub(crate) id: BackendServerId,
     pub(crate) service: ServiceId,
     pub(crate) rack: Arc<str>,
-    pub(crate) address: Place,
+    pub(crate) address: ServerAddress,
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) capacity: Resources,
     /// Taken by what is placed there.
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, Resources, RunNumber, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    Advice, CustomerPolicy, End, EndKind, Listing, Order, Place, Policy, QueuePolicy, RunningTask, Scheduler,
+    Advice, CustomerPolicy, End, EndKind, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler, ServerAddress,
     ServerInfo, ServiceId, StartReply, Timing, Unanswered, UnreachedNote, WitnessNote,
 };
 
@@ -84,7 +84,7 @@
         availability_zone: zone(i / 4),
         labels: vec![Arc::clone(&rack), Arc::from("a")],
         rack,
-        address: Place::from(format!("p{i:02}").as_str()),
+        address: ServerAddress::from(format!("p{i:02}").as_str()),
         capacity: Resources { cpu_milli: 32_000, memory_mb: 64_000, accelerators: 8 },
         draining: false,
         remaining: None,
@@ -119,7 +119,7 @@
     returns: BTreeMap<BackendServerId, u64>,
     infos: BTreeMap<BackendServerId, ServerInfo>,
     /// Also of those that have gone.
-    places: BTreeMap<BackendServerId, Place>,
+    places: BTreeMap<BackendServerId, ServerAddress>,
     jobs: Vec<Job>,
     stored: BTreeMap<OccurrenceId, (Progress, Revision)>,
     /// Backend servers that the latest scheduler had not reached.
@@ -454,7 +454,7 @@
     }
 
     /// The place of a backend server that is or was there.
-    pub(crate) fn place_of(&self, id: &BackendServerId) -> Place {
+    pub(crate) fn place_of(&self, id: &BackendServerId) -> ServerAddress {
         self.places[id].clone()
     }
 
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -5,8 +5,8 @@
 use jobs::{Fence, Job, JobId, Resources, Step};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Moment, Revision};
 use scheduler::{
-    EvacuatedBy, Listing, Order, Place, Policy, QueuePolicy, RunningTask, Scheduler, ServerInfo, ServiceId, StartReply,
-    Timing, Tuning,
+    EvacuatedBy, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler, ServerAddress, ServerInfo, ServiceId,
+    StartReply, Timing, Tuning,
 };
 
 const SERVICE: &str = "service";
@@ -225,7 +225,7 @@
         availability_zone: zone(i),
         labels: vec![Arc::clone(&rack), Arc::from("a")],
         rack,
-        address: Place::from(format!("10.1.{}.{}:8648", i / 250, i % 250).as_str()),
+        address: ServerAddress::from(format!("10.1.{}.{}:8648", i / 250, i % 250).as_str()),
         capacity: Resources { cpu_milli: 32_000, memory_mb: 64_000, accelerators: ACCELERATORS },
         draining: false,
         remaining: None,
