--- a/crates/scheduler/src/completions.rs
+++ b/crates/scheduler/src/completions.rs
@@ -24,7 +24,7 @@
 
 /// An end that a backend server lists until it is acknowledged.
 #[derive(Debug, Clone)]
-pub struct End {
+pub struct Completion {
     /// Counts the backend server's ends, from 1.
     pub serial: u64,
     /// What ended.
@@ -61,7 +61,7 @@
     /// What runs.
     pub running: Vec<RunningTask>,
     /// Ends that are not acknowledged yet.
-    pub ended: Vec<End>,
+    pub ended: Vec<Completion>,
     /// There may be more ends than are listed.
     pub more_ends: bool,
 }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Scheduler,
-    completions::{End, EndKind},
+    completions::{Completion, EndKind},
     observations::Observation,
     run_state::{GroupId, Occurrence, StopReason},
     server::PendingEnd,
@@ -13,7 +13,7 @@
 
 impl Scheduler {
     /// Takes an end in, unless it was before; it is acknowledged once the store holds what came of it.
-    pub(crate) fn take_end(&mut self, id: &BackendServerId, end: &End, now: Moment) {
+    pub(crate) fn take_end(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
         let server = self.servers.get_mut(id).expect("the caller has looked");
         if end.serial <= server.seen_end {
             if end.serial <= server.acknowledged {
@@ -38,7 +38,7 @@
         }
     }
 
-    fn apply_end(&mut self, name: GroupId, id: &BackendServerId, end: &End, now: Moment) {
+    fn apply_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
         if end.kind == EndKind::Failed {
             // It counts even if the run was given up before: what failed has used up an attempt.
             self.apply_failure(name, id, end.run, now);
@@ -71,7 +71,7 @@
     }
 
     /// An end of a run that was taken for over before: if it had done the work, no one has to do it again.
-    fn apply_late_end(&mut self, name: GroupId, id: &BackendServerId, end: &End, now: Moment) {
+    fn apply_late_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
         if end.kind != EndKind::Done || self.progress_of(name).done {
             return;
         }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -19,8 +19,8 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, Resources, RunNumber, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    Advice, CustomerPolicy, End, EndKind, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler, ServerAddress,
-    ServerInfo, ServiceId, StartReply, Timing, Unanswered, UnreachedNote, WitnessNote,
+    Advice, Completion, CustomerPolicy, EndKind, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler,
+    ServerAddress, ServerInfo, ServiceId, StartReply, Timing, Unanswered, UnreachedNote, WitnessNote,
 };
 
 pub(crate) const SERVICE: &str = "desk";
@@ -287,8 +287,13 @@
             .retain(|other| other.task != started.task || other.run != started.run);
         let serial = self.serials.entry(id.clone()).or_insert(0);
         *serial += 1;
-        let end =
-            End { serial: *serial, task: started.task, run: started.run, kind, checkpoint: checkpoint.map(Arc::from) };
+        let end = Completion {
+            serial: *serial,
+            task: started.task,
+            run: started.run,
+            kind,
+            checkpoint: checkpoint.map(Arc::from),
+        };
         let incarnation = self.incarnation(id);
         let listing = Listing { incarnation, running: self.listed(id), ended: vec![end], ..Listing::default() };
         self.now = self.now + Duration::from_millis(1);
--- a/crates/scheduler/tests/common/server.rs
+++ b/crates/scheduler/tests/common/server.rs
@@ -4,7 +4,7 @@
 
 use jobs::{Checkpoint, Fence, RunNumber, TaskId};
 use model::{BackendServerId, Incarnation};
-use scheduler::{End, EndKind, Listing, RunningTask, ServerInfo, StartReply};
+use scheduler::{Completion, EndKind, Listing, RunningTask, ServerInfo, StartReply};
 
 /// A run as the backend server has it.
 #[derive(Debug, Clone)]
@@ -29,7 +29,7 @@
     pub(crate) fence: Fence,
     pub(crate) lease_until: u64,
     pub(crate) running: BTreeMap<TaskId, Run>,
-    pub(crate) ended: Vec<End>,
+    pub(crate) ended: Vec<Completion>,
     pub(crate) serial: u64,
     /// The highest run of a task that was stopped or has ended here.
     pub(crate) over: BTreeMap<TaskId, RunNumber>,
@@ -162,7 +162,7 @@
         let over = self.over.entry(task).or_default();
         *over = (*over).max(run.run);
         let checkpoint = Some(Arc::from(format!("{task}@{}", run.run)));
-        self.ended.push(End { serial: self.serial, task, run: run.run, kind, checkpoint });
+        self.ended.push(Completion { serial: self.serial, task, run: run.run, kind, checkpoint });
         Some(run)
     }
 }
