--- a/crates/scheduler/src/completions.rs
+++ b/crates/scheduler/src/completions.rs
@@ -7,7 +7,7 @@
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display(rename_all = "snake_case")]
-pub enum EndKind {
+pub enum CompletionKind {
     /// Well.
     Done,
     /// Through its own fault or the backend server's; counts as an attempt.
@@ -32,7 +32,7 @@
     /// Which run of it.
     pub run: RunNumber,
     /// How.
-    pub kind: EndKind,
+    pub kind: CompletionKind,
     /// The latest checkpoint, if the run made one.
     pub checkpoint: Option<Checkpoint>,
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -56,7 +56,7 @@
 pub use crate::{
     archive::Archival,
     batch::{Batch, Entry},
-    completions::{Completion, EndKind, Listing, RunningTask},
+    completions::{Completion, CompletionKind, Listing, RunningTask},
     contact::Unanswered,
     evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
     maintenance_batch::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Scheduler,
-    completions::{Completion, EndKind},
+    completions::{Completion, CompletionKind},
     observations::Observation,
     run_state::{GroupId, Occurrence, StopReason},
     server::PendingEnd,
@@ -39,7 +39,7 @@
     }
 
     fn apply_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
-        if end.kind == EndKind::Failed {
+        if end.kind == CompletionKind::Failed {
             // It counts even if the run was given up before: what failed has used up an attempt.
             self.apply_failure(name, id, end.run, now);
         }
@@ -56,23 +56,23 @@
             end.kind,
             end.serial
         );
-        if end.kind == EndKind::Stopped && self.group(name).stopping.is_some() {
+        if end.kind == CompletionKind::Stopped && self.group(name).stopping.is_some() {
             let took = now.since(self.group(name).stopped_at);
             self.stop_times.note(took);
         }
-        if end.kind == EndKind::Done {
+        if end.kind == CompletionKind::Done {
             self.measure_end(name, end.task.index, id, now);
         }
         self.remove_member(name, end.task.index, end.checkpoint.clone(), now);
         match end.kind {
-            EndKind::Done => self.apply_done(name, id, now),
+            CompletionKind::Done => self.apply_done(name, id, now),
             _ => self.stop_group(name, StopReason::GangBroken, now),
         }
     }
 
     /// An end of a run that was taken for over before: if it had done the work, no one has to do it again.
     fn apply_late_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
-        if end.kind != EndKind::Done || self.progress_of(name).done {
+        if end.kind != CompletionKind::Done || self.progress_of(name).done {
             return;
         }
         log::info!("job={} event=done_late task={} run={}", end.task.occurrence.job, end.task, end.run);
--- a/crates/scheduler/tests/advice.rs
+++ b/crates/scheduler/tests/advice.rs
@@ -7,7 +7,7 @@
 use common::{Fixture, Started, gang, job, server_id, step};
 use jobs::{JobId, OccurrenceId, StepId};
 use model::{BackendServerId, Duration};
-use scheduler::{Advice, EndKind, Question, StartReply, Ticket};
+use scheduler::{Advice, CompletionKind, Question, StartReply, Ticket};
 
 const ADVICE: Advice =
     Advice { base: Duration::from_millis(100), each: Duration::from_millis(2), valid: Duration::from_millis(2000) };
@@ -85,7 +85,7 @@
 fn a_ticket_whose_time_is_over_is_asked_for_again() {
     let (mut fixture, started) = started();
     fixture.advance(2000);
-    fixture.end(&started, EndKind::Stopped);
+    fixture.end(&started, CompletionKind::Stopped);
     let again = question(&mut fixture);
     assert_eq!(again.servers, [server_id(0)]);
     answer(&mut fixture, &again, &[0]);
--- a/crates/scheduler/tests/attempts.rs
+++ b/crates/scheduler/tests/attempts.rs
@@ -4,7 +4,7 @@
 
 use common::{Fixture, gang, job, run_of};
 use jobs::JobState;
-use scheduler::EndKind;
+use scheduler::CompletionKind;
 
 #[test]
 fn a_failure_counts_when_another_member_was_seen_to_end_first() {
@@ -14,8 +14,8 @@
     let placed = fixture.start_all();
     let (first, second) = (&placed[0], &placed[1]);
     // The other member's end is listed before the failure that caused it.
-    fixture.end(second, EndKind::Broken);
-    fixture.end(first, EndKind::Failed);
+    fixture.end(second, CompletionKind::Broken);
+    fixture.end(first, CompletionKind::Failed);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Failed));
     assert!(fixture.start_all().is_empty(), "no attempt is left");
@@ -32,7 +32,7 @@
     assert_eq!(fixture.start_all().len(), 1, "it is placed again once the lease is over");
     // The first run had failed before its lease was over; its backend server is back and says so.
     fixture.reconnect(&gone.server);
-    fixture.end(gone, EndKind::Failed);
+    fixture.end(gone, CompletionKind::Failed);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Failed));
 }
@@ -43,7 +43,7 @@
     fixture.attempts(2);
     fixture.submit(job(1, vec![gang(2, 8)]));
     for placed in fixture.start_all() {
-        fixture.end(&placed, EndKind::Failed);
+        fixture.end(&placed, CompletionKind::Failed);
     }
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Running));
@@ -61,7 +61,7 @@
     let again = fixture.start_all();
     assert_eq!(again.len(), 1);
     fixture.reconnect(&placed[0].server);
-    fixture.end(&placed[0], EndKind::Done);
+    fixture.end(&placed[0], CompletionKind::Done);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
     fixture.start_all();
@@ -76,7 +76,7 @@
     fixture.cut_past_lease(&placed[0].server);
     assert!(fixture.start_all().is_empty(), "there is no other place");
     fixture.reconnect(&placed[0].server);
-    fixture.end(&placed[0], EndKind::Done);
+    fixture.end(&placed[0], CompletionKind::Done);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
 }
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -6,7 +6,7 @@
 use common::{Fixture, info, job, job_in, server_id, step};
 use jobs::{JobId, JobState, OccurrenceId, Resources, RunNumber, TaskId};
 use model::Revision;
-use scheduler::{EndKind, Listing, Order, RunningTask, ServerInfo};
+use scheduler::{CompletionKind, Listing, Order, RunningTask, ServerInfo};
 
 fn with_accelerators(accelerators: u64) -> ServerInfo {
     ServerInfo { capacity: Resources { accelerators, ..info(0).capacity }, ..info(0) }
@@ -25,9 +25,9 @@
     resize(&mut fixture, 0, 4);
     fixture.submit(job_in("urgent", 2, vec![step(1, 2)]));
     assert!(fixture.start_all().is_empty(), "6 of 4 accelerators are taken");
-    fixture.end(&placed[0], EndKind::Done);
+    fixture.end(&placed[0], CompletionKind::Done);
     assert!(fixture.start_all().is_empty(), "4 of 4 are taken");
-    fixture.end(&placed[1], EndKind::Done);
+    fixture.end(&placed[1], CompletionKind::Done);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -5,7 +5,7 @@
 use jobs::{OccurrenceId, RunNumber, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Incarnation, Moment, Revision};
 use scheduler::{
-    Batch, EndKind, EvacuatedBy, Listing, StartReply, Unanswered, UnreachedWrite, WitnessNote, WitnessWrite,
+    Batch, CompletionKind, EvacuatedBy, Listing, StartReply, Unanswered, UnreachedWrite, WitnessNote, WitnessWrite,
 };
 
 use super::{
@@ -289,7 +289,7 @@
             return false;
         }
         if self.servers[id].running.get(&task).is_some_and(|known| known.run == run) {
-            self.end(id, task, EndKind::Stopped);
+            self.end(id, task, CompletionKind::Stopped);
         }
         true
     }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -19,7 +19,7 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, Resources, RunNumber, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    Advice, Completion, CustomerPolicy, EndKind, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler,
+    Advice, Completion, CompletionKind, CustomerPolicy, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler,
     ServerAddress, ServerInfo, ServiceId, StartReply, Timing, Unanswered, UnreachedNote, WitnessNote,
 };
 
@@ -275,11 +275,11 @@
     }
 
     /// A run ends, and its backend server lists that.
-    pub(crate) fn end(&mut self, started: &Started, kind: EndKind) {
+    pub(crate) fn end(&mut self, started: &Started, kind: CompletionKind) {
         self.end_with(started, kind, None);
     }
 
-    pub(crate) fn end_with(&mut self, started: &Started, kind: EndKind, checkpoint: Option<&str>) {
+    pub(crate) fn end_with(&mut self, started: &Started, kind: CompletionKind, checkpoint: Option<&str>) {
         let id = &started.server;
         self.running
             .get_mut(id)
@@ -423,7 +423,7 @@
     /// What runs on a backend server ends as if it had been told to stop.
     pub(crate) fn stop_on(&mut self, id: &BackendServerId) {
         for started in self.running_on(id) {
-            self.end(&started, EndKind::Stopped);
+            self.end(&started, CompletionKind::Stopped);
         }
     }
 
@@ -495,7 +495,7 @@
             |s: &&Started| (s.task.occurrence, s.task.step, s.run) == (lost.task.occurrence, lost.task.step, lost.run);
         let others: Vec<Started> = self.running.values().flatten().filter(same_run).cloned().collect();
         for other in others {
-            self.end(&other, EndKind::Broken);
+            self.end(&other, CompletionKind::Broken);
         }
     }
 
--- a/crates/scheduler/tests/common/oracle.rs
+++ b/crates/scheduler/tests/common/oracle.rs
@@ -2,7 +2,7 @@
 
 use jobs::{Fence, JobId, OccurrenceId, TaskId};
 use model::BackendServerId;
-use scheduler::EndKind;
+use scheduler::CompletionKind;
 
 use super::{
     events::UNANSWERED_MS,
@@ -25,12 +25,13 @@
             let seen = self.seen.entry(end.task).or_default();
             let stored = &self.stored;
             match end.kind {
-                EndKind::Done => seen.done_noted = true,
-                EndKind::Failed => seen.failures_noted += 1,
+                CompletionKind::Done => seen.done_noted = true,
+                CompletionKind::Failed => seen.failures_noted += 1,
                 _ => {}
             }
             assert!(
-                !matches!(end.kind, EndKind::Done | EndKind::Failed) || stored.contains_key(&end.task.occurrence),
+                !matches!(end.kind, CompletionKind::Done | CompletionKind::Failed)
+                    || stored.contains_key(&end.task.occurrence),
                 "an end of {} was acknowledged and nothing is stored",
                 end.task
             );
--- a/crates/scheduler/tests/common/runs.rs
+++ b/crates/scheduler/tests/common/runs.rs
@@ -4,7 +4,7 @@
 
 use jobs::{OccurrenceId, Resources, RunNumber, TaskId};
 use model::BackendServerId;
-use scheduler::{EndKind, StartReply};
+use scheduler::{CompletionKind, StartReply};
 
 use super::{
     server::Run,
@@ -79,14 +79,14 @@
                 let server = self.server_mut(&id);
                 let Some(run) = server.running.get_mut(&task) else { continue };
                 let kind = match &mut run.left {
-                    _ if lapsed => Some(EndKind::Lapsed),
+                    _ if lapsed => Some(CompletionKind::Lapsed),
                     None => {
                         run.waited += STEP_MS;
-                        (run.waited >= GANG_WAIT_MS).then_some(EndKind::Alone)
+                        (run.waited >= GANG_WAIT_MS).then_some(CompletionKind::Alone)
                     }
                     Some(left) => {
                         *left = left.saturating_sub(STEP_MS);
-                        (*left == 0).then_some(if run.fails { EndKind::Failed } else { EndKind::Done })
+                        (*left == 0).then_some(if run.fails { CompletionKind::Failed } else { CompletionKind::Done })
                     }
                 };
                 if let Some(kind) = kind {
@@ -114,19 +114,19 @@
         }
     }
 
-    pub(crate) fn end(&mut self, id: &BackendServerId, task: TaskId, kind: EndKind) {
+    pub(crate) fn end(&mut self, id: &BackendServerId, task: TaskId, kind: CompletionKind) {
         let Some(run) = self.server_mut(id).end(task, kind) else { return };
         let seen = self.seen.entry(task).or_default();
         match kind {
-            EndKind::Done => seen.done_at = Some(self.now),
-            EndKind::Failed => seen.failures += 1,
+            CompletionKind::Done => seen.done_at = Some(self.now),
+            CompletionKind::Failed => seen.failures += 1,
             _ => {}
         }
         if !self.jobs[&task.occurrence.job].steps[task.step as usize].gang {
             return;
         }
         // The others of its gang end with it: well, if it ended well.
-        let other = if kind == EndKind::Done { EndKind::Done } else { EndKind::Broken };
+        let other = if kind == CompletionKind::Done { CompletionKind::Done } else { CompletionKind::Broken };
         let members: Vec<(BackendServerId, TaskId)> = self
             .servers
             .values()
@@ -136,7 +136,7 @@
             .collect();
         for (server, member) in members {
             self.server_mut(&server).end(member, other);
-            if other == EndKind::Done {
+            if other == CompletionKind::Done {
                 self.seen.entry(member).or_default().done_at = Some(self.now);
             }
         }
--- a/crates/scheduler/tests/common/server.rs
+++ b/crates/scheduler/tests/common/server.rs
@@ -4,7 +4,7 @@
 
 use jobs::{Checkpoint, Fence, RunNumber, TaskId};
 use model::{BackendServerId, Incarnation};
-use scheduler::{Completion, EndKind, Listing, RunningTask, ServerInfo, StartReply};
+use scheduler::{Completion, CompletionKind, Listing, RunningTask, ServerInfo, StartReply};
 
 /// A run as the backend server has it.
 #[derive(Debug, Clone)]
@@ -156,7 +156,7 @@
         })
     }
 
-    pub(crate) fn end(&mut self, task: TaskId, kind: EndKind) -> Option<Run> {
+    pub(crate) fn end(&mut self, task: TaskId, kind: CompletionKind) -> Option<Run> {
         let run = self.running.remove(&task)?;
         self.serial += 1;
         let over = self.over.entry(task).or_default();
--- a/crates/scheduler/tests/common/still.rs
+++ b/crates/scheduler/tests/common/still.rs
@@ -10,7 +10,7 @@
 
 use jobs::{Fence, JobId, OccurrenceId, Resources, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Incarnation};
-use scheduler::EndKind;
+use scheduler::CompletionKind;
 
 use super::{
     server::FakeServer,
@@ -164,7 +164,7 @@
         };
         let listed = || {
             let mut ends = self.servers.values().flat_map(|server| &server.ended);
-            ends.any(|end| end.task == task && end.kind == EndKind::Done)
+            ends.any(|end| end.task == task && end.kind == CompletionKind::Done)
         };
         seen.done_noted || stored() || listed()
     }
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -10,7 +10,7 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    Batch, EndKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachedNote, UnreachedWrite, WitnessNote,
+    Batch, CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachedNote, UnreachedWrite, WitnessNote,
 };
 
 use super::{events::Event, info, policy, server::FakeServer, server_id, still::Watch, witnesses::CutOff};
@@ -277,7 +277,7 @@
             }
         }
         for task in tasks {
-            self.end(id, task, EndKind::Broken);
+            self.end(id, task, CompletionKind::Broken);
         }
         self.servers.remove(id);
     }
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -9,7 +9,7 @@
 use common::{Fixture, gang, job, job_in, run_of, server_id, step, zone};
 use jobs::{JobState, OccurrenceId, Placement, Progress, RunNumber, Step};
 use model::{AvailabilityZoneId, Duration, Revision};
-use scheduler::{EndKind, EvacuatedBy, EvacuationRefused, Order, StartReply};
+use scheduler::{CompletionKind, EvacuatedBy, EvacuationRefused, Order, StartReply};
 
 fn evacuate(fixture: &mut Fixture, rack: usize) {
     let now = fixture.now;
@@ -53,7 +53,7 @@
     fixture.advance(1000);
     assert!(fixture.start_all().is_empty());
     assert!(fixture.stops.is_empty(), "it would lose what it has done since its checkpoint");
-    fixture.end(&started[0], EndKind::Done);
+    fixture.end(&started[0], CompletionKind::Done);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
 }
@@ -122,7 +122,7 @@
     assert_eq!(fixture.stops.len(), 1, "one may be absent at a time");
     let stopped = fixture.stops[0].subject().1;
     let first = started.iter().find(|started| started.task == stopped).expect("it was started");
-    fixture.end(first, EndKind::Stopped);
+    fixture.end(first, CompletionKind::Stopped);
     assert_eq!(fixture.start_all().len(), 1);
     fixture.advance(100);
     fixture.start_all();
--- a/crates/scheduler/tests/forget.rs
+++ b/crates/scheduler/tests/forget.rs
@@ -5,7 +5,7 @@
 use common::{Fixture, job, step};
 use jobs::{JobId, JobState, Progress};
 use model::{Duration, Revision};
-use scheduler::{EndKind, Timing};
+use scheduler::{CompletionKind, Timing};
 
 /// Archives all that can be, and returns what it was.
 fn archive(fixture: &mut Fixture) -> Vec<JobId> {
@@ -24,7 +24,7 @@
     fixture.submit(job(2, vec![step(1, 1)]));
     let placed = fixture.start_all();
     let first = placed.iter().find(|started| started.task.occurrence.job == JobId(1)).expect("both start");
-    fixture.end(first, EndKind::Done);
+    fixture.end(first, CompletionKind::Done);
     fixture
 }
 
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -4,7 +4,7 @@
 
 use common::{Fixture, gang, info, job_in, server_id, step};
 use jobs::JobId;
-use scheduler::{EndKind, StartReply};
+use scheduler::{CompletionKind, StartReply};
 
 /// Tasks of work that can wait that start at once on 32 accelerators, after ten stops that took so long.
 fn placed_after_stops_of(ms: u64) -> usize {
@@ -14,7 +14,7 @@
         let started = fixture.start_all();
         fixture.scheduler.cancel(JobId(id), fixture.now);
         fixture.advance(ms);
-        fixture.end(&started[0], EndKind::Stopped);
+        fixture.end(&started[0], CompletionKind::Stopped);
     }
     fixture.submit(job_in("archive", 99, vec![step(32, 1)]));
     fixture.start_all().len()
@@ -35,7 +35,7 @@
         let started = fixture.start_all();
         fixture.scheduler.cancel(JobId(id), fixture.now);
         fixture.advance(900);
-        fixture.end(&started[0], EndKind::Stopped);
+        fixture.end(&started[0], CompletionKind::Stopped);
     }
     fixture.submit(job_in("archive", 98, vec![step(18, 1)]));
     assert_eq!(fixture.start_all().len(), 18);
@@ -188,7 +188,7 @@
         fixture.advance(100);
         first = fixture.start_all();
     }
-    fixture.end(&first[0], EndKind::Done);
+    fixture.end(&first[0], CompletionKind::Done);
     assert!(fixture.start_all().is_empty(), "it has just run");
     fixture.advance(1500);
     assert!(fixture.start_all().is_empty(), "it has run 1.5 s ago");
--- a/crates/scheduler/tests/pace.rs
+++ b/crates/scheduler/tests/pace.rs
@@ -58,7 +58,7 @@
     paces(&mut fixture, &serving, &filler, &[150.0, 150.0]);
     let now = fixture.now;
     fixture.scheduler.cancel(serving.task.occurrence.job, now);
-    fixture.end(&serving, scheduler::EndKind::Stopped);
+    fixture.end(&serving, scheduler::CompletionKind::Stopped);
     fixture.advance(700);
     fixture.start_all();
     assert_eq!(fixture.paces[&filler.task], 100);
--- a/crates/scheduler/tests/repeated_starts.rs
+++ b/crates/scheduler/tests/repeated_starts.rs
@@ -8,7 +8,7 @@
 
 use common::{Fixture, Started, gang, job_in, step};
 use jobs::JobState;
-use scheduler::{EndKind, Order, StartReply};
+use scheduler::{CompletionKind, Order, StartReply};
 
 /// A start without an answer, which has begun on its backend server all the same, has been sent again.
 fn repeated() -> (Fixture, Started) {
@@ -24,7 +24,7 @@
 /// The backend server lists the run's end, and nothing is started again.
 fn check_done(mut fixture: Fixture, start: &Started) {
     assert!(fixture.ordered_starts().is_empty(), "it is started again before it is known what became of it");
-    fixture.end(start, EndKind::Done);
+    fixture.end(start, CompletionKind::Done);
     assert!(fixture.ordered_starts().is_empty());
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
 }
--- a/crates/scheduler/tests/returned.rs
+++ b/crates/scheduler/tests/returned.rs
@@ -10,7 +10,7 @@
 use common::{Fixture, info, job_in, run_of, server_id, step};
 use jobs::{JobState, Step};
 use model::BackendServerId;
-use scheduler::{EndKind, ServerInfo};
+use scheduler::{CompletionKind, ServerInfo};
 
 /// A backend server that has listed six ends, all of them acknowledged, and has come back after a crash.
 fn returned() -> (Fixture, BackendServerId) {
@@ -18,7 +18,7 @@
     let server = fixture.newest();
     fixture.submit(job_in("urgent", 1, vec![step(6, 1)]));
     for started in fixture.start_all() {
-        fixture.end(&started, EndKind::Done);
+        fixture.end(&started, CompletionKind::Done);
     }
     fixture.store_all();
     assert_eq!((fixture.state(1), fixture.scheduler.acknowledged(&server)), (Some(JobState::Succeeded), 6));
@@ -33,7 +33,7 @@
     fixture.submit(job_in("urgent", 2, vec![step(1, 1)]));
     let started = fixture.start_all();
     fixture.advance(1000);
-    fixture.end(&started[0], EndKind::Done);
+    fixture.end(&started[0], CompletionKind::Done);
     fixture.advance(1000);
     assert!(fixture.start_all().is_empty(), "it is started again");
     assert_eq!(fixture.state(2), Some(JobState::Succeeded));
@@ -48,7 +48,7 @@
     let first = fixture.start_all();
     fixture.advance(1000);
     for started in &first {
-        fixture.end(started, EndKind::Done);
+        fixture.end(started, CompletionKind::Done);
     }
     let next = fixture.start_all();
     assert_eq!(next.iter().map(|started| started.task.step).collect::<Vec<_>>(), [1, 1]);
--- a/crates/scheduler/tests/speed.rs
+++ b/crates/scheduler/tests/speed.rs
@@ -7,7 +7,7 @@
 use common::{Fixture, Started, gang, job_in, server_id, step};
 use jobs::Step;
 use model::{BackendServerId, Duration};
-use scheduler::{EndKind, Listing, RunningTask, SpeedReport};
+use scheduler::{CompletionKind, Listing, RunningTask, SpeedReport};
 
 /// Declared by every step of these tests, in seconds.
 const DECLARED_S: f64 = 2.0;
@@ -47,7 +47,7 @@
             let (over, rest) = going.into_iter().partition(|start| if is_gang { all_done } else { done(start) });
             going = rest;
             for start in over {
-                self.fixture.end(&start, EndKind::Done);
+                self.fixture.end(&start, CompletionKind::Done);
             }
         }
         self.fixture.store_all();
@@ -175,7 +175,7 @@
         fleet.fixture.submit(job_in("batch", fleet.next_job, vec![step(4, 8)]));
         fleet.next_job += 1;
         for start in fleet.fixture.start_all() {
-            let kind = if start.server == server_id(0) { EndKind::Failed } else { EndKind::Done };
+            let kind = if start.server == server_id(0) { CompletionKind::Failed } else { CompletionKind::Done };
             fleet.fixture.now = fleet.fixture.now + Duration::from_millis(5);
             fleet.fixture.end(&start, kind);
         }
--- a/crates/scheduler/tests/standing_still.rs
+++ b/crates/scheduler/tests/standing_still.rs
@@ -12,7 +12,7 @@
 use common::{Fixture, Started, gang, job, job_in, server_id, step, zone};
 use jobs::{Job, Step};
 use model::{Duration, Moment};
-use scheduler::{EndKind, EvacuatedBy, StartReply, Timing, Unanswered};
+use scheduler::{CompletionKind, EvacuatedBy, StartReply, Timing, Unanswered};
 
 /// The longest that a job may stand still in calm.
 const STILL: Duration = Duration::from_millis(3000);
@@ -40,7 +40,7 @@
         let (id, task) = (stop.subject().0.clone(), stop.subject().1);
         let run = fixture.running_on(&id).into_iter().find(|started| started.task == task);
         if let Some(run) = run {
-            fixture.end(&run, EndKind::Stopped);
+            fixture.end(&run, CompletionKind::Stopped);
         }
     }
 }
@@ -115,12 +115,12 @@
     fixture.submit(urgent(1, step(1, 5)));
     for id in 2..=3 {
         let failed = start_of(&fixture.start_all(), 1);
-        fixture.end(&failed, EndKind::Failed);
+        fixture.end(&failed, CompletionKind::Failed);
         // Work of others takes both, and is done: neither is doubtful any more.
         let short = Step { max_per_server: Some(1), estimate: Duration::from_secs(1), ..step(2, 6) };
         fixture.submit(urgent(id, short));
         for started in fixture.start_all().iter().filter(|started| started.task.occurrence.job.0 == id) {
-            fixture.end(started, EndKind::Done);
+            fixture.end(started, CompletionKind::Done);
         }
     }
     fixture.submit(job(4, vec![Step { max_per_server: Some(1), ..step(2, 4) }]));
@@ -145,8 +145,8 @@
     let started = fixture.start_all();
     let (first, second) = (start_of(&started, 1), start_of(&started, 2));
     assert_ne!(first.server, second.server);
-    fixture.end(&second, EndKind::Failed);
-    fixture.end(&first, EndKind::Failed);
+    fixture.end(&second, CompletionKind::Failed);
+    fixture.end(&first, CompletionKind::Failed);
     let failed = fixture.now;
     let waited = until_it_starts(&mut fixture, 1, failed);
     assert!(waited < STILL, "it runs again {waited} after its failure");
@@ -163,13 +163,13 @@
     let mut failed_at = fixture.now;
     for _ in 0..2 {
         let failed = start_of(&fixture.start_all(), 1);
-        fixture.end(&failed, EndKind::Failed);
+        fixture.end(&failed, CompletionKind::Failed);
         failed_at = fixture.now;
         // Work of others takes both, and is done.
         id += 1;
         fixture.submit(urgent(id, Step { max_per_server: Some(1), ..step(2, 6) }));
         for started in fixture.start_all().iter().filter(|started| started.task.occurrence.job.0 == id) {
-            fixture.end(started, EndKind::Done);
+            fixture.end(started, CompletionKind::Done);
         }
     }
     let waited = until_it_starts(&mut fixture, 1, failed_at);
@@ -260,7 +260,7 @@
     let started = fixture.start_all();
     assert_eq!(started.len(), 4);
     for failed in &started {
-        fixture.end(failed, EndKind::Failed);
+        fixture.end(failed, CompletionKind::Failed);
     }
     fixture.scheduler.cancel(jobs::JobId(1), fixture.now);
     fixture.scheduler.cancel(jobs::JobId(2), fixture.now);
--- a/crates/scheduler/tests/starting.rs
+++ b/crates/scheduler/tests/starting.rs
@@ -6,7 +6,7 @@
 
 use common::{Fixture, Started, job_in, step};
 use model::Revision;
-use scheduler::{Batch, EndKind, Observation, Order, StartReply};
+use scheduler::{Batch, CompletionKind, Observation, Order, StartReply};
 
 /// Backend servers, as on the users' largest site.
 const SERVERS: usize = 1100;
@@ -50,7 +50,7 @@
 
     fn turn(&mut self, turn: u64) {
         for started in self.ending.remove(&turn).unwrap_or_default() {
-            self.fixture.end(&started, EndKind::Done);
+            self.fixture.end(&started, CompletionKind::Done);
         }
         self.submit(&URGENT, turn);
         self.submit(&ARCHIVE, turn);
--- a/crates/scheduler/tests/trial.rs
+++ b/crates/scheduler/tests/trial.rs
@@ -10,7 +10,7 @@
 use common::{Fixture, Started, gang, info, job, job_in, server_id, step};
 use jobs::{JobId, OccurrenceId, Resources, Step, TaskId};
 use model::{BackendServerId, Duration};
-use scheduler::{EndKind, ServerInfo};
+use scheduler::{CompletionKind, ServerInfo};
 
 fn task(job: u64, index: u32) -> TaskId {
     TaskId { occurrence: OccurrenceId { job: JobId(job), number: 0 }, step: 0, index }
@@ -84,7 +84,7 @@
     }
     for job in [10, 11, 12] {
         let ended = fixture.running_on(&fixture.server_of(task(job, 0)).expect("it runs"));
-        fixture.end(ended.last().expect("it runs tasks"), EndKind::Done);
+        fixture.end(ended.last().expect("it runs tasks"), CompletionKind::Done);
     }
     fixture.advance(3000);
     fixture.submit(job_in("urgent", 1, vec![step(1, 1)]));
@@ -116,7 +116,8 @@
     let placed = fixture.start_all();
     fixture.advance(2500);
     let crash = placed.iter().find(|started| started.task == task(1, 0)).expect("it runs").server.clone();
-    fixture.end(&placed.iter().find(|started| started.task == task(2, 0)).expect("it runs").clone(), EndKind::Done);
+    fixture
+        .end(&placed.iter().find(|started| started.task == task(2, 0)).expect("it runs").clone(), CompletionKind::Done);
     // It had worked for long: this crash makes it no suspect. The next one comes as it begins.
     fixture.crash(&crash);
     fixture.start_all();
@@ -263,7 +264,7 @@
     }
     fixture.submit(job_in("urgent", 1, vec![step(8, 1)]));
     for started in &filling {
-        fixture.end(started, EndKind::Done);
+        fixture.end(started, CompletionKind::Done);
     }
     assert_eq!(fixture.start_all().len(), 8);
     for _ in 0..crashes {
@@ -309,7 +310,7 @@
     for _ in 0..2 {
         let server = fixture.server_of(task(1, 0)).expect("it runs");
         for beside in fixture.running_on(&server).iter().filter(|started| started.task != task(1, 0)) {
-            fixture.end(beside, EndKind::Done);
+            fixture.end(beside, CompletionKind::Done);
         }
         fixture.lose(&server);
         fixture.add_server(20);
--- a/crates/scheduler/tests/upkeep.rs
+++ b/crates/scheduler/tests/upkeep.rs
@@ -5,7 +5,7 @@
 use common::{Fixture, Started, job, server_id, step};
 use jobs::Step;
 use model::Duration;
-use scheduler::{EndKind, Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest};
+use scheduler::{CompletionKind, Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest};
 
 fn machine_id(i: usize) -> MachineId {
     MachineId::from(format!("m{i:02}").as_str())
@@ -123,7 +123,7 @@
     let (mut fixture, started) = busy(Step { checkpoints: true, ..step(1, 4) });
     fixture.start_all();
     assert_eq!(fixture.stops.len(), 1);
-    fixture.end_with(&started[0], EndKind::Stopped, Some("half"));
+    fixture.end_with(&started[0], CompletionKind::Stopped, Some("half"));
     let again = fixture.start_all();
     assert_eq!(again[0].server, server_id(1));
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(0)]);
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -171,8 +171,13 @@
         self.plan();
         let (server, task, run) = self.settle().pop().expect("there is room for urgent work");
         self.serial += 1;
-        let end =
-            scheduler::Completion { serial: self.serial, task, run, kind: scheduler::EndKind::Done, checkpoint: None };
+        let end = scheduler::Completion {
+            serial: self.serial,
+            task,
+            run,
+            kind: scheduler::CompletionKind::Done,
+            checkpoint: None,
+        };
         let listing =
             Listing { running: Vec::<RunningTask>::new(), ended: vec![end], more_ends: true, ..Listing::default() };
         self.scheduler.listing(&server, &listing, self.now, self.now);
