--- a/crates/scheduler/src/completions.rs
+++ b/crates/scheduler/src/completions.rs
@@ -61,7 +61,7 @@
     /// What runs.
     pub running: Vec<RunningTask>,
     /// Ends that are not acknowledged yet.
-    pub ended: Vec<Completion>,
+    pub completions: Vec<Completion>,
     /// There may be more ends than are listed.
-    pub more_ends: bool,
+    pub more_completions: bool,
 }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -48,20 +48,20 @@
         server.silence.since = None;
         server.silence.refused = false;
         self.hear_witness(id, listing.incarnation, sent, now);
-        self.plan_wanted |= !listing.ended.is_empty();
-        for end in &listing.ended {
+        self.plan_wanted |= !listing.completions.is_empty();
+        for end in &listing.completions {
             self.take_end(id, end, now);
         }
         self.take_strays(id, listing, now);
         for running in &listing.running {
             self.confirm(id, running, now);
         }
-        if !listing.more_ends {
+        if !listing.more_completions {
             self.find_lost(id, listing, sent, now);
         }
         self.follow_trials(id);
         self.pace_best_effort(id, now);
-        if !listing.ended.is_empty() {
+        if !listing.completions.is_empty() {
             self.acknowledge_stored(id);
         }
     }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -295,7 +295,7 @@
             checkpoint: checkpoint.map(Arc::from),
         };
         let incarnation = self.incarnation(id);
-        let listing = Listing { incarnation, running: self.listed(id), ended: vec![end], ..Listing::default() };
+        let listing = Listing { incarnation, running: self.listed(id), completions: vec![end], ..Listing::default() };
         self.now = self.now + Duration::from_millis(1);
         self.scheduler.listing(id, &listing, self.now, self.now);
     }
--- a/crates/scheduler/tests/common/server.rs
+++ b/crates/scheduler/tests/common/server.rs
@@ -151,7 +151,7 @@
         Some(Listing {
             incarnation: Some(self.incarnation),
             running: self.running.iter().map(running).collect(),
-            ended: self.ended.clone(),
+            completions: self.ended.clone(),
             ..Listing::default()
         })
     }
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -178,8 +178,12 @@
             kind: scheduler::CompletionKind::Done,
             checkpoint: None,
         };
-        let listing =
-            Listing { running: Vec::<RunningTask>::new(), ended: vec![end], more_ends: true, ..Listing::default() };
+        let listing = Listing {
+            running: Vec::<RunningTask>::new(),
+            completions: vec![end],
+            more_completions: true,
+            ..Listing::default()
+        };
         self.scheduler.listing(&server, &listing, self.now, self.now);
         let took = self.plan();
         self.settle();
