--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -8,7 +8,7 @@
 use jobs::{RunNumber, TaskId};
 use model::{BackendServerId, Duration, Moment};
 use net::{NetError, Turns};
-use scheduler::{Order, Scheduler, StartReply, Unanswered};
+use scheduler::{CallFailure, Order, Scheduler, StartReply};
 use smol::channel::Receiver;
 
 use crate::{
@@ -272,10 +272,10 @@
     }
 }
 
-fn unanswered(e: &NetError) -> Unanswered {
+fn unanswered(e: &NetError) -> CallFailure {
     match e {
-        NetError::Refused { .. } => Unanswered::Refused,
-        NetError::Unsent { .. } | NetError::Lost { .. } => Unanswered::Silent,
+        NetError::Refused { .. } => CallFailure::Refused,
+        NetError::Unsent { .. } | NetError::Lost { .. } => CallFailure::NoResponse,
     }
 }
 
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -11,11 +11,11 @@
 
 /// How a backend server left a call without an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum CallFailure {
     /// Nothing listens at its address any more, or the network says so.
     Refused,
     /// Anything else.
-    Silent,
+    NoResponse,
 }
 
 impl Scheduler {
@@ -116,10 +116,10 @@
     }
 
     /// A backend server left a call without an answer.
-    pub fn unanswered(&mut self, id: &BackendServerId, how: Unanswered, now: Moment) {
+    pub fn unanswered(&mut self, id: &BackendServerId, how: CallFailure, now: Moment) {
         let Some(server) = self.server_mut(id) else { return };
         server.unanswered += 1;
-        server.silence.refused |= how == Unanswered::Refused;
+        server.silence.refused |= how == CallFailure::Refused;
         let busy = !server.members.is_empty();
         if server.unanswered == 1 {
             server.silence.since = Some(now);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -57,7 +57,7 @@
     archive::Archival,
     batch::{Batch, Entry},
     completions::{Completion, CompletionKind, Listing, RunningTask},
-    contact::Unanswered,
+    contact::CallFailure,
     evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
     maintenance_batch::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
     observations::Observation,
--- a/crates/scheduler/tests/common/crashes.rs
+++ b/crates/scheduler/tests/common/crashes.rs
@@ -2,7 +2,7 @@
 
 use jobs::TaskId;
 use model::BackendServerId;
-use scheduler::Unanswered;
+use scheduler::CallFailure;
 
 use super::{
     events::Event,
@@ -33,7 +33,7 @@
         }
         self.end_life(id);
         for leader in 0..self.leaders.len() {
-            let how = Unanswered::Refused;
+            let how = CallFailure::Refused;
             self.after(STEP_MS, Event::CallFailed { leader, server: id.clone(), how });
         }
         self.after(BACK_AFTER_MS, Event::Back { server: id.clone() });
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -5,7 +5,7 @@
 use jobs::{OccurrenceId, RunNumber, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Incarnation, Moment, Revision};
 use scheduler::{
-    Batch, CompletionKind, EvacuatedBy, Listing, StartReply, Unanswered, UnreachedWrite, WitnessNote, WitnessWrite,
+    Batch, CallFailure, CompletionKind, EvacuatedBy, Listing, StartReply, UnreachedWrite, WitnessNote, WitnessWrite,
 };
 
 use super::{
@@ -131,7 +131,7 @@
     CallFailed {
         leader: usize,
         server: BackendServerId,
-        how: Unanswered,
+        how: CallFailure,
     },
 }
 
--- a/crates/scheduler/tests/common/leading.rs
+++ b/crates/scheduler/tests/common/leading.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use model::{BackendServerId, Duration, Incarnation};
-use scheduler::{Order, StartReply, Unanswered};
+use scheduler::{CallFailure, Order, StartReply};
 
 use super::{
     events::Event,
@@ -74,7 +74,7 @@
                     leader.holding.remove(&id);
                     leader.reached.remove(&id);
                     let refused = self.servers[&id].cut_refuses && self.servers[&id].cut_until > now;
-                    let how = if refused { Unanswered::Refused } else { Unanswered::Silent };
+                    let how = if refused { CallFailure::Refused } else { CallFailure::NoResponse };
                     leader.scheduler.unanswered(&id, how, moment);
                 }
                 None => {}
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -19,8 +19,8 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, Resources, RunNumber, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    Advice, Completion, CompletionKind, CustomerPolicy, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler,
-    ServerAddress, ServerInfo, ServiceId, StartReply, Timing, Unanswered, UnreachedNote, WitnessNote,
+    Advice, CallFailure, Completion, CompletionKind, CustomerPolicy, Listing, Order, Policy, QueuePolicy, RunningTask,
+    Scheduler, ServerAddress, ServerInfo, ServiceId, StartReply, Timing, UnreachedNote, WitnessNote,
 };
 
 pub(crate) const SERVICE: &str = "desk";
@@ -214,7 +214,7 @@
         let ids: Vec<BackendServerId> = self.running.keys().cloned().collect();
         for id in ids {
             if self.cut.contains(&id) {
-                self.scheduler.unanswered(&id, Unanswered::Silent, self.now);
+                self.scheduler.unanswered(&id, CallFailure::NoResponse, self.now);
             } else {
                 self.list(&id);
             }
@@ -451,7 +451,7 @@
     /// A backend server crashes, and another life answers under its id: it holds nothing, and counts its ends from 1.
     pub(crate) fn crash_and_return(&mut self, id: &BackendServerId) {
         let lost = self.lose_unheard(id);
-        self.scheduler.unanswered(id, Unanswered::Refused, self.now);
+        self.scheduler.unanswered(id, CallFailure::Refused, self.now);
         for started in &lost {
             self.break_gang(started);
         }
--- a/crates/scheduler/tests/common/platform.rs
+++ b/crates/scheduler/tests/common/platform.rs
@@ -1,7 +1,7 @@
 //! The platform's list of backend servers: their heartbeats, and how they leave.
 
 use model::BackendServerId;
-use scheduler::{ServerInfo, Unanswered};
+use scheduler::{CallFailure, ServerInfo};
 
 use super::{events::Event, world::World};
 
@@ -59,7 +59,8 @@
         let was_reachable = self.reachable(id);
         self.end_life(id);
         for leader in self.living_leaders() {
-            let how = if was_reachable && self.rng.u8(..) < 200 { Unanswered::Refused } else { Unanswered::Silent };
+            let how =
+                if was_reachable && self.rng.u8(..) < 200 { CallFailure::Refused } else { CallFailure::NoResponse };
             let (unlisted, failed) = (self.rng.u64(..HEARD_WITHIN_MS), self.rng.u64(..HEARD_WITHIN_MS));
             self.after(unlisted, Event::Unlisted { leader, server: id.clone() });
             self.after(failed, Event::CallFailed { leader, server: id.clone(), how });
--- a/crates/scheduler/tests/common/returns.rs
+++ b/crates/scheduler/tests/common/returns.rs
@@ -2,7 +2,7 @@
 
 use jobs::Resources;
 use model::{BackendServerId, Incarnation};
-use scheduler::{ServerInfo, Unanswered};
+use scheduler::{CallFailure, ServerInfo};
 
 use super::{
     events::Event,
@@ -27,7 +27,7 @@
         let (info, rate, unguarded) = (info.clone(), *rate, *unguarded);
         self.end_life(&id);
         for leader in 0..self.leaders.len() {
-            let how = Unanswered::Refused;
+            let how = CallFailure::Refused;
             self.after(STEP_MS, Event::CallFailed { leader, server: id.clone(), how });
         }
         if ms > LAPSES_AFTER_MS {
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -5,7 +5,7 @@
 use common::{Fixture, gang, info, job, server_id, step};
 use jobs::{OccurrenceId, Placement, Progress, RunNumber};
 use model::{Duration, Revision};
-use scheduler::{ServerInfo, Unanswered};
+use scheduler::{CallFailure, ServerInfo};
 
 /// A task runs on the first of two backend servers, which then says that it leaves.
 fn draining() -> Fixture {
@@ -23,7 +23,7 @@
     fixture.scheduler.server_listed(server_id(0), ServerInfo { draining: true, ..info(0) }, now);
 }
 
-fn unanswered(fixture: &mut Fixture, how: Unanswered) {
+fn unanswered(fixture: &mut Fixture, how: CallFailure) {
     let now = fixture.now;
     fixture.scheduler.unanswered(&server_id(0), how, now);
 }
@@ -40,12 +40,12 @@
 #[test]
 fn what_ran_where_a_backend_server_has_left_starts_elsewhere_at_once() {
     let mut fixture = draining();
-    unanswered(&mut fixture, Unanswered::Silent);
+    unanswered(&mut fixture, CallFailure::NoResponse);
     pass(&mut fixture, 20);
     unlisted(&mut fixture);
     assert!(fixture.start_all().is_empty(), "its connection closed, which a cut can do too");
     pass(&mut fixture, 30);
-    unanswered(&mut fixture, Unanswered::Refused);
+    unanswered(&mut fixture, CallFailure::Refused);
     let again = fixture.start_all();
     assert_eq!(again.len(), 1);
     assert_eq!(again[0].server, server_id(1));
@@ -56,17 +56,17 @@
     let mut fixture = draining();
     unlisted(&mut fixture);
     pass(&mut fixture, 100);
-    unanswered(&mut fixture, Unanswered::Refused);
+    unanswered(&mut fixture, CallFailure::Refused);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
 #[test]
 fn one_that_is_cut_off_with_refusals_falls_out_of_the_list_later_and_keeps_its_lease() {
     let mut fixture = draining();
-    unanswered(&mut fixture, Unanswered::Refused);
+    unanswered(&mut fixture, CallFailure::Refused);
     for _ in 0..30 {
         pass(&mut fixture, 100);
-        unanswered(&mut fixture, Unanswered::Refused);
+        unanswered(&mut fixture, CallFailure::Refused);
     }
     unlisted(&mut fixture);
     assert!(fixture.start_all().is_empty());
@@ -77,7 +77,7 @@
     let mut fixture = draining();
     unlisted(&mut fixture);
     pass(&mut fixture, 500);
-    unanswered(&mut fixture, Unanswered::Refused);
+    unanswered(&mut fixture, CallFailure::Refused);
     assert!(fixture.start_all().is_empty());
 }
 
@@ -87,7 +87,7 @@
     fixture.submit(job(1, vec![step(1, 4)]));
     fixture.start_all();
     fixture.add_server(1);
-    unanswered(&mut fixture, Unanswered::Refused);
+    unanswered(&mut fixture, CallFailure::Refused);
     unlisted(&mut fixture);
     assert!(fixture.start_all().is_empty());
 }
@@ -105,7 +105,7 @@
     announce(&mut fixture);
     fixture.add_server(1);
     // It was cut off with refusals before the election, and falls out of the list just after it.
-    unanswered(&mut fixture, Unanswered::Refused);
+    unanswered(&mut fixture, CallFailure::Refused);
     pass(&mut fixture, 50);
     unlisted(&mut fixture);
     assert!(fixture.start_all().is_empty(), "it may run on until its lease is over");
@@ -116,7 +116,7 @@
     let mut fixture = draining();
     // Both the refusal and the news from the list have waited for the box.
     pass(&mut fixture, 3500);
-    unanswered(&mut fixture, Unanswered::Refused);
+    unanswered(&mut fixture, CallFailure::Refused);
     unlisted(&mut fixture);
     assert!(fixture.start_all().is_empty());
 }
--- a/crates/scheduler/tests/standing_still.rs
+++ b/crates/scheduler/tests/standing_still.rs
@@ -12,7 +12,7 @@
 use common::{Fixture, Started, gang, job, job_in, server_id, step, zone};
 use jobs::{Job, Step};
 use model::{Duration, Moment};
-use scheduler::{CompletionKind, EvacuatedBy, StartReply, Timing, Unanswered};
+use scheduler::{CallFailure, CompletionKind, EvacuatedBy, StartReply, Timing};
 
 /// The longest that a job may stand still in calm.
 const STILL: Duration = Duration::from_millis(3000);
@@ -230,7 +230,7 @@
     let ordered = fixture.ordered_starts();
     let (first, second) = (&ordered[0], &ordered[1]);
     assert_eq!(first.server, second.server);
-    fixture.scheduler.unanswered(&first.server, Unanswered::Silent, fixture.now);
+    fixture.scheduler.unanswered(&first.server, CallFailure::NoResponse, fixture.now);
     fixture.reply(first, StartReply::Unknown);
     assert!(fixture.repeated_starts().is_empty(), "it may have come through");
     assert!(!fixture.scheduler.may_start(&second.server, second.task, second.run));
