--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -81,7 +81,7 @@
                 log::debug!("server={id} event=hold_failed renews={renews} why={e}");
                 answered = false;
                 let (how, now) = (unanswered(&e), worker.now());
-                active.update(|scheduler| scheduler.unanswered(&id, how, now));
+                active.update(|scheduler| scheduler.call_failed(&id, how, now));
                 backoff.wait().await;
             }
         }
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -116,7 +116,7 @@
     }
 
     /// A backend server left a call without an answer.
-    pub fn unanswered(&mut self, id: &BackendServerId, how: CallFailure, now: Moment) {
+    pub fn call_failed(&mut self, id: &BackendServerId, how: CallFailure, now: Moment) {
         let Some(server) = self.server_mut(id) else { return };
         server.unanswered += 1;
         server.silence.refused |= how == CallFailure::Refused;
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -221,7 +221,7 @@
             Event::Return { server } => self.on_return(*server),
             Event::CallFailed { leader, server, how } => {
                 let now = self.moment();
-                self.leaders[leader].scheduler.unanswered(&server, how, now);
+                self.leaders[leader].scheduler.call_failed(&server, how, now);
             }
         }
     }
--- a/crates/scheduler/tests/common/leading.rs
+++ b/crates/scheduler/tests/common/leading.rs
@@ -75,7 +75,7 @@
                     leader.reached.remove(&id);
                     let refused = self.servers[&id].cut_refuses && self.servers[&id].cut_until > now;
                     let how = if refused { CallFailure::Refused } else { CallFailure::NoResponse };
-                    leader.scheduler.unanswered(&id, how, moment);
+                    leader.scheduler.call_failed(&id, how, moment);
                 }
                 None => {}
             }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -214,7 +214,7 @@
         let ids: Vec<BackendServerId> = self.running.keys().cloned().collect();
         for id in ids {
             if self.cut.contains(&id) {
-                self.scheduler.unanswered(&id, CallFailure::NoResponse, self.now);
+                self.scheduler.call_failed(&id, CallFailure::NoResponse, self.now);
             } else {
                 self.list(&id);
             }
@@ -451,7 +451,7 @@
     /// A backend server crashes, and another life answers under its id: it holds nothing, and counts its ends from 1.
     pub(crate) fn crash_and_return(&mut self, id: &BackendServerId) {
         let lost = self.lose_unheard(id);
-        self.scheduler.unanswered(id, CallFailure::Refused, self.now);
+        self.scheduler.call_failed(id, CallFailure::Refused, self.now);
         for started in &lost {
             self.break_gang(started);
         }
--- a/crates/scheduler/tests/leaving.rs
+++ b/crates/scheduler/tests/leaving.rs
@@ -25,7 +25,7 @@
 
 fn unanswered(fixture: &mut Fixture, how: CallFailure) {
     let now = fixture.now;
-    fixture.scheduler.unanswered(&server_id(0), how, now);
+    fixture.scheduler.call_failed(&server_id(0), how, now);
 }
 
 fn unlisted(fixture: &mut Fixture) {
--- a/crates/scheduler/tests/standing_still.rs
+++ b/crates/scheduler/tests/standing_still.rs
@@ -230,7 +230,7 @@
     let ordered = fixture.ordered_starts();
     let (first, second) = (&ordered[0], &ordered[1]);
     assert_eq!(first.server, second.server);
-    fixture.scheduler.unanswered(&first.server, CallFailure::NoResponse, fixture.now);
+    fixture.scheduler.call_failed(&first.server, CallFailure::NoResponse, fixture.now);
     fixture.reply(first, StartReply::Unknown);
     assert!(fixture.repeated_starts().is_empty(), "it may have come through");
     assert!(!fixture.scheduler.may_start(&second.server, second.task, second.run));
