--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -118,10 +118,10 @@
     /// A backend server left a call without an answer.
     pub fn call_failed(&mut self, id: &BackendServerId, how: CallFailure, now: Moment) {
         let Some(server) = self.server_mut(id) else { return };
-        server.unanswered += 1;
+        server.failed_calls += 1;
         server.silence.refused |= how == CallFailure::Refused;
         let busy = !server.members.is_empty();
-        if server.unanswered == 1 {
+        if server.failed_calls == 1 {
             server.silence.since = Some(now);
             log::warn!("server={id} event=unreachable lease_over_at={}", server.lease_over.millis());
             self.note_changed_on(id);
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -32,8 +32,8 @@
             self.note_changed_on(id);
         }
         let Some(server) = self.servers.get_mut(id) else { return };
-        if server.unanswered > 0 {
-            log::info!("server={id} event=reachable_again after_calls={}", server.unanswered);
+        if server.failed_calls > 0 {
+            log::info!("server={id} event=reachable_again after_calls={}", server.failed_calls);
             self.plan_wanted = true;
         }
         if !server.stocked {
@@ -43,7 +43,7 @@
             server.lease_over = self.timing.lease_over(now);
         }
         self.unreached.settle(id);
-        server.unanswered = 0;
+        server.failed_calls = 0;
         server.silence.heard = Some(now);
         server.silence.since = None;
         server.silence.refused = false;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -271,7 +271,7 @@
         let over: Vec<BackendServerId> = self
             .servers
             .iter()
-            .filter(|(_, server)| (server.unanswered > 0 || !server.stocked) && now >= server.lease_over)
+            .filter(|(_, server)| (server.failed_calls > 0 || !server.stocked) && now >= server.lease_over)
             .map(|(id, _)| id.clone())
             .collect();
         self.lapsed.forget_old(now);
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -109,7 +109,7 @@
     /// It has shown what it runs since this scheduler was elected.
     pub(crate) stocked: bool,
     /// Calls that it left without answer since it last answered one.
-    pub(crate) unanswered: u32,
+    pub(crate) failed_calls: u32,
     pub(crate) silence: Silence,
     /// Every lease that it was given is over by then.
     pub(crate) lease_over: Moment,
@@ -145,7 +145,7 @@
             members: BTreeMap::new(),
             strays: BTreeMap::new(),
             stocked: false,
-            unanswered: 0,
+            failed_calls: 0,
             silence: Silence::default(),
             lease_over,
             renewed_to: None,
@@ -163,7 +163,7 @@
 
     /// Whether it answers this scheduler.
     pub(crate) fn reached(&self) -> bool {
-        self.stocked && self.unanswered == 0
+        self.stocked && self.failed_calls == 0
     }
 
     /// Whether an end waits for an occurrence to be stored.
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -46,13 +46,13 @@
     pub(crate) fn repeat_stops(&mut self, now: Moment) {
         let retry = self.timing.stop_retry;
         let mut due = Vec::new();
-        for server in self.servers.values().filter(|server| server.unanswered == 0) {
+        for server in self.servers.values().filter(|server| server.failed_calls == 0) {
             for task in server.members.keys() {
                 let Some(name) = self.group_of(*task) else { continue };
                 let group = self.group(name);
                 let Some(member) = group.members.iter().find(|member| member.index == task.index) else { continue };
-                let unanswered = member.stop_sent.is_some_and(|sent| sent + retry <= now);
-                if group.stopping.is_some() && unanswered {
+                let is_overdue = member.stop_sent.is_some_and(|sent| sent + retry <= now);
+                if group.stopping.is_some() && is_overdue {
                     due.push((name, member.index, member.server.clone()));
                 }
             }
