--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -9,7 +9,7 @@
 
 /// One occurrence's progress as it is to be stored.
 #[derive(Debug, Clone)]
-pub struct Entry {
+pub struct ProgressWrite {
     /// Whose.
     pub occurrence: OccurrenceId,
     /// The version of the progress in memory that this is.
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Batch {
     /// At least one.
-    pub entries: Vec<Entry>,
+    pub entries: Vec<ProgressWrite>,
     /// Availability zones where the batch places runs that were not ordered yet: it is worth nothing if one of them has
     /// been evacuated meanwhile.
     pub places_in: BTreeSet<AvailabilityZoneId>,
@@ -47,7 +47,7 @@
     /// the next: either it took effect, which the next finds by its conflict, or the next makes its condition false.
     pub fn next_batch(&mut self, most: usize) -> Option<Batch> {
         let mut tasks = 0;
-        let mut entries: Vec<Entry> = Vec::new();
+        let mut entries: Vec<ProgressWrite> = Vec::new();
         let free = self.dirty.iter().filter(|id| !self.under_way.contains(id));
         for entry in free.filter_map(|id| self.entry(id)).take(most) {
             tasks += entry.progress.groups.iter().map(Vec::len).sum::<usize>();
@@ -79,9 +79,9 @@
         planned.filter_map(move |member| zone(&member.server))
     }
 
-    fn entry(&self, id: OccurrenceId) -> Option<Entry> {
+    fn entry(&self, id: OccurrenceId) -> Option<ProgressWrite> {
         let occurrence = self.known_occurrence(id)?;
-        Some(Entry {
+        Some(ProgressWrite {
             occurrence: id,
             version: occurrence.version,
             progress: occurrence.progress.clone(),
@@ -102,7 +102,7 @@
         acknowledged
     }
 
-    fn entry_stored(&mut self, entry: Entry, revision: Revision) {
+    fn entry_stored(&mut self, entry: ProgressWrite, revision: Revision) {
         let id = entry.occurrence;
         let Some(occurrence) = self.known_occurrence_mut(id) else { return };
         occurrence.store_revision = revision;
