--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -10,7 +10,7 @@
 use jobs::OccurrenceId;
 use model::{Duration, Revision};
 use outside::{Committed, Item, Put, StoreError, Transaction};
-use scheduler::Batch;
+use scheduler::WriteBatch;
 use smol::channel::{Receiver, Sender};
 
 use crate::{
@@ -79,7 +79,7 @@
     }
 
     /// Makes one write; what it has not stored is given again.
-    async fn write(self: Arc<Writer>, batch: Batch) {
+    async fn write(self: Arc<Writer>, batch: WriteBatch) {
         let Writer { parts, active, .. } = &*self;
         let transaction = transaction(parts, active, &batch);
         let limit = self.lock().limit();
@@ -129,7 +129,7 @@
     }
 
     /// What was not stored is written again, after a pause.
-    async fn give_back(&self, batch: &Batch) {
+    async fn give_back(&self, batch: &WriteBatch) {
         let next = self.backoff.lock().expect("no holder panics").next();
         pause(next).await;
         self.active.update(|scheduler| scheduler.not_stored(batch));
@@ -142,7 +142,7 @@
 
 /// As many occurrences as fit in one call: each takes a condition and a write, beside one condition for the scheduler's
 /// key and one for each availability zone.
-fn next_batch(active: &Active) -> Option<Batch> {
+fn next_batch(active: &Active) -> Option<WriteBatch> {
     let mut scheduler = active.lock();
     let conditions = 1 + scheduler.availability_zones();
     scheduler.next_batch((MOST_IN_A_CALL.saturating_sub(conditions) / 2).max(1))
@@ -155,7 +155,7 @@
 }
 
 /// The store's revisions of what a batch was to replace; 0 where there is nothing.
-fn revisions_found(batch: &Batch, items: &[Item]) -> BTreeMap<OccurrenceId, Revision> {
+fn revisions_found(batch: &WriteBatch, items: &[Item]) -> BTreeMap<OccurrenceId, Revision> {
     let mut found: BTreeMap<OccurrenceId, Revision> =
         batch.entries.iter().map(|entry| (entry.occurrence, Revision(0))).collect();
     for item in items {
@@ -167,7 +167,7 @@
 }
 
 /// A batch as a write that only the elected scheduler can make.
-fn transaction(parts: &Parts, active: &Active, batch: &Batch) -> Transaction {
+fn transaction(parts: &Parts, active: &Active, batch: &WriteBatch) -> Transaction {
     let mut transaction = Transaction::default();
     transaction.expect.push((keys::SCHEDULER.to_owned(), Revision(active.fence.0)));
     transaction.expect.extend(evacuation::conditions(&*parts.decoder, &active.evacuations, &batch.places_in));
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -22,7 +22,7 @@
 
 /// Writes that take effect together or not at all.
 #[derive(Debug, Clone, Default)]
-pub struct Batch {
+pub struct WriteBatch {
     /// At least one.
     pub entries: Vec<ProgressWrite>,
     /// Availability zones where the batch places runs that were not ordered yet: it is worth nothing if one of them has
@@ -45,7 +45,7 @@
     /// Several batches may be under way, each occurrence in one of them: the writes of one follow each other, and one that gets no answer holds up no
     /// other. What is in a batch is given again once [`Scheduler::not_stored`] is told of it, so that a write without an answer is made up for by
     /// the next: either it took effect, which the next finds by its conflict, or the next makes its condition false.
-    pub fn next_batch(&mut self, most: usize) -> Option<Batch> {
+    pub fn next_batch(&mut self, most: usize) -> Option<WriteBatch> {
         let mut tasks = 0;
         let mut entries: Vec<ProgressWrite> = Vec::new();
         let free = self.dirty.iter().filter(|id| !self.under_way.contains(id));
@@ -61,11 +61,11 @@
         }
         let places_in = entries.iter().flat_map(|entry| self.places_in(entry.occurrence)).collect();
         self.under_way.extend(entries.iter().map(|entry| entry.occurrence));
-        Some(Batch { entries, places_in })
+        Some(WriteBatch { entries, places_in })
     }
 
     /// A batch was not stored, or nothing is known of it.
-    pub fn not_stored(&mut self, batch: &Batch) {
+    pub fn not_stored(&mut self, batch: &WriteBatch) {
         for entry in &batch.entries {
             self.under_way.remove(&entry.occurrence);
         }
@@ -90,7 +90,7 @@
     }
 
     /// A batch is in the store, at `revision`. Returns the backend servers to which more ends can be acknowledged now.
-    pub fn stored(&mut self, batch: Batch, revision: Revision) -> Vec<BackendServerId> {
+    pub fn stored(&mut self, batch: WriteBatch, revision: Revision) -> Vec<BackendServerId> {
         let mut acknowledged = Vec::new();
         for entry in batch.entries {
             let id = entry.occurrence;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -55,7 +55,7 @@
 
 pub use crate::{
     archive::Archival,
-    batch::{Batch, ProgressWrite},
+    batch::{ProgressWrite, WriteBatch},
     completions::{Completion, CompletionKind, Listing, RunningTask},
     contact::CallFailure,
     evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -5,7 +5,8 @@
 use jobs::{OccurrenceId, RunNumber, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Incarnation, Moment, Revision};
 use scheduler::{
-    Batch, CallFailure, CompletionKind, EvacuatedBy, Listing, StartReply, UnreachedWrite, WitnessNote, WitnessWrite,
+    CallFailure, CompletionKind, EvacuatedBy, Listing, StartReply, UnreachedWrite, WitnessNote, WitnessWrite,
+    WriteBatch,
 };
 
 use super::{
@@ -68,17 +69,17 @@
     },
     Write {
         leader: usize,
-        batch: Batch,
+        batch: WriteBatch,
         answered: bool,
     },
     Written {
         leader: usize,
-        batch: Batch,
+        batch: WriteBatch,
         result: Result<Revision, BTreeMap<OccurrenceId, Revision>>,
     },
     WriteLost {
         leader: usize,
-        batch: Batch,
+        batch: WriteBatch,
     },
     Note {
         leader: usize,
@@ -309,7 +310,12 @@
         leader.evacuated = zones;
     }
 
-    fn on_written(&mut self, index: usize, batch: Batch, result: Result<Revision, BTreeMap<OccurrenceId, Revision>>) {
+    fn on_written(
+        &mut self,
+        index: usize,
+        batch: WriteBatch,
+        result: Result<Revision, BTreeMap<OccurrenceId, Revision>>,
+    ) {
         let leader = &mut self.leaders[index];
         leader.writing -= 1;
         match result {
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -10,7 +10,7 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    Batch, CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachedNote, UnreachedWrite, WitnessNote,
+    CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachedNote, UnreachedWrite, WitnessNote, WriteBatch,
 };
 
 use super::{events::Event, info, policy, server::FakeServer, server_id, still::Watch, witnesses::CutOff};
@@ -325,7 +325,11 @@
         }
     }
 
-    pub(crate) fn write(&mut self, leader: usize, batch: &Batch) -> Result<Revision, BTreeMap<OccurrenceId, Revision>> {
+    pub(crate) fn write(
+        &mut self,
+        leader: usize,
+        batch: &WriteBatch,
+    ) -> Result<Revision, BTreeMap<OccurrenceId, Revision>> {
         let found = |id: OccurrenceId| self.stored.get(&id).map_or(Revision(0), |(_, revision)| *revision);
         let as_known = |zone| self.leaders[leader].evacuated.contains(zone) == self.evacuated.contains_key(zone);
         let fits = batch.places_in.iter().all(as_known)
--- a/crates/scheduler/tests/starting.rs
+++ b/crates/scheduler/tests/starting.rs
@@ -6,7 +6,7 @@
 
 use common::{Fixture, Started, job_in, step};
 use model::Revision;
-use scheduler::{Batch, CompletionKind, Observation, Order, StartReply};
+use scheduler::{CompletionKind, Observation, Order, StartReply, WriteBatch};
 
 /// Backend servers, as on the users' largest site.
 const SERVERS: usize = 1100;
@@ -34,7 +34,7 @@
     /// Runs by the turn in which they end.
     ending: BTreeMap<u64, Vec<Started>>,
     /// The write that is under way.
-    writing: Option<Batch>,
+    writing: Option<WriteBatch>,
     waits_ms: Vec<u64>,
     next_id: u64,
 }
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/storing.rs
@@ -86,7 +86,7 @@
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     let first = fixture.scheduler.next_batch(2).expect("six wait");
     let second = fixture.scheduler.next_batch(2).expect("four wait");
-    let jobs = |batch: &scheduler::Batch| batch.entries.iter().map(|entry| entry.occurrence).collect::<Vec<_>>();
+    let jobs = |batch: &scheduler::WriteBatch| batch.entries.iter().map(|entry| entry.occurrence).collect::<Vec<_>>();
     assert!(jobs(&first).iter().all(|id| !jobs(&second).contains(id)));
     // The answer to the second comes; the first is still waited for.
     fixture.scheduler.stored(second, model::Revision(7));
