--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -118,7 +118,7 @@
                 log::info!(
                     "event=write_failed fence={} entries={} doubt={doubt} limit_ms={} why={e}",
                     active.fence,
-                    batch.entries.len(),
+                    batch.writes.len(),
                     limit.millis()
                 );
                 self.give_back(&batch).await;
@@ -157,7 +157,7 @@
 /// The store's revisions of what a batch was to replace; 0 where there is nothing.
 fn revisions_found(batch: &WriteBatch, items: &[Item]) -> BTreeMap<OccurrenceId, Revision> {
     let mut found: BTreeMap<OccurrenceId, Revision> =
-        batch.entries.iter().map(|entry| (entry.occurrence, Revision(0))).collect();
+        batch.writes.iter().map(|entry| (entry.occurrence, Revision(0))).collect();
     for item in items {
         if let Some(id) = keys::occurrence(&item.key) {
             found.insert(id, item.revision);
@@ -171,7 +171,7 @@
     let mut transaction = Transaction::default();
     transaction.expect.push((keys::SCHEDULER.to_owned(), Revision(active.fence.0)));
     transaction.expect.extend(evacuation::conditions(&*parts.decoder, &active.evacuations, &batch.places_in));
-    for entry in &batch.entries {
+    for entry in &batch.writes {
         let key = keys::progress(entry.occurrence);
         transaction.expect.push((key.clone(), entry.replaces));
         let value = serde_json::to_vec(&entry.progress).expect("our own types always serialize");
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct WriteBatch {
     /// At least one.
-    pub entries: Vec<ProgressWrite>,
+    pub writes: Vec<ProgressWrite>,
     /// Availability zones where the batch places runs that were not ordered yet: it is worth nothing if one of them has
     /// been evacuated meanwhile.
     pub places_in: BTreeSet<AvailabilityZoneId>,
@@ -47,26 +47,26 @@
     /// the next: either it took effect, which the next finds by its conflict, or the next makes its condition false.
     pub fn next_batch(&mut self, most: usize) -> Option<WriteBatch> {
         let mut tasks = 0;
-        let mut entries: Vec<ProgressWrite> = Vec::new();
+        let mut writes: Vec<ProgressWrite> = Vec::new();
         let free = self.dirty.iter().filter(|id| !self.under_way.contains(id));
         for entry in free.filter_map(|id| self.entry(id)).take(most) {
             tasks += entry.progress.groups.iter().map(Vec::len).sum::<usize>();
-            if tasks > MOST_TASKS && !entries.is_empty() {
+            if tasks > MOST_TASKS && !writes.is_empty() {
                 break;
             }
-            entries.push(entry);
+            writes.push(entry);
         }
-        if entries.is_empty() {
+        if writes.is_empty() {
             return None;
         }
-        let places_in = entries.iter().flat_map(|entry| self.places_in(entry.occurrence)).collect();
-        self.under_way.extend(entries.iter().map(|entry| entry.occurrence));
-        Some(WriteBatch { entries, places_in })
+        let places_in = writes.iter().flat_map(|entry| self.places_in(entry.occurrence)).collect();
+        self.under_way.extend(writes.iter().map(|entry| entry.occurrence));
+        Some(WriteBatch { writes, places_in })
     }
 
     /// A batch was not stored, or nothing is known of it.
     pub fn not_stored(&mut self, batch: &WriteBatch) {
-        for entry in &batch.entries {
+        for entry in &batch.writes {
             self.under_way.remove(&entry.occurrence);
         }
     }
@@ -92,7 +92,7 @@
     /// A batch is in the store, at `revision`. Returns the backend servers to which more ends can be acknowledged now.
     pub fn stored(&mut self, batch: WriteBatch, revision: Revision) -> Vec<BackendServerId> {
         let mut acknowledged = Vec::new();
-        for entry in batch.entries {
+        for entry in batch.writes {
             let id = entry.occurrence;
             self.under_way.remove(&id);
             self.entry_stored(entry, revision);
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -243,7 +243,7 @@
     pub(crate) fn store_all(&mut self) {
         while let Some(batch) = self.scheduler.next_batch(8) {
             self.revision += 1;
-            for entry in &batch.entries {
+            for entry in &batch.writes {
                 self.stored.insert(entry.occurrence, (entry.progress.clone(), Revision(self.revision)));
             }
             self.scheduler.stored(batch, Revision(self.revision));
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -333,12 +333,12 @@
         let found = |id: OccurrenceId| self.stored.get(&id).map_or(Revision(0), |(_, revision)| *revision);
         let as_known = |zone| self.leaders[leader].evacuated.contains(zone) == self.evacuated.contains_key(zone);
         let fits = batch.places_in.iter().all(as_known)
-            && batch.entries.iter().all(|entry| found(entry.occurrence) == entry.replaces);
+            && batch.writes.iter().all(|entry| found(entry.occurrence) == entry.replaces);
         if self.leaders[leader].fence != self.holder || !fits {
-            return Err(batch.entries.iter().map(|entry| (entry.occurrence, found(entry.occurrence))).collect());
+            return Err(batch.writes.iter().map(|entry| (entry.occurrence, found(entry.occurrence))).collect());
         }
         self.revision += 1;
-        for entry in &batch.entries {
+        for entry in &batch.writes {
             self.stored.insert(entry.occurrence, (entry.progress.clone(), Revision(self.revision)));
         }
         Ok(Revision(self.revision))
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/storing.rs
@@ -71,8 +71,8 @@
     fixture.scheduler.stored(batch, Revision(2000));
     assert!(fixture.scheduler.has_unstored());
     let batch = fixture.scheduler.next_batch(MOST_ENTRIES).expect("the other end is to be stored");
-    assert_eq!(batch.entries[0].replaces, Revision(2000));
-    assert!(batch.entries[0].progress.done());
+    assert_eq!(batch.writes[0].replaces, Revision(2000));
+    assert!(batch.writes[0].progress.done());
     assert_eq!(running[1].run, RunNumber(1));
 }
 
@@ -86,12 +86,12 @@
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     let first = fixture.scheduler.next_batch(2).expect("six wait");
     let second = fixture.scheduler.next_batch(2).expect("four wait");
-    let jobs = |batch: &scheduler::WriteBatch| batch.entries.iter().map(|entry| entry.occurrence).collect::<Vec<_>>();
+    let jobs = |batch: &scheduler::WriteBatch| batch.writes.iter().map(|entry| entry.occurrence).collect::<Vec<_>>();
     assert!(jobs(&first).iter().all(|id| !jobs(&second).contains(id)));
     // The answer to the second comes; the first is still waited for.
     fixture.scheduler.stored(second, model::Revision(7));
     let third = fixture.scheduler.next_batch(9).expect("two wait");
-    assert_eq!(third.entries.len(), 2);
+    assert_eq!(third.writes.len(), 2);
     assert!(fixture.scheduler.next_batch(9).is_none(), "all are under way or stored");
     fixture.scheduler.not_stored(&first);
     let again = fixture.scheduler.next_batch(9).expect("the first was lost");
@@ -109,7 +109,7 @@
     assert!(fixture.scheduler.next_batch(9).is_none(), "its write is under way");
     fixture.scheduler.stored(placed, model::Revision(7));
     let stopped = fixture.scheduler.next_batch(9).expect("it has changed since");
-    assert_eq!(stopped.entries[0].replaces, model::Revision(7));
+    assert_eq!(stopped.writes[0].replaces, model::Revision(7));
 }
 
 /// How many of so many placed jobs wait for a write that gets no answer, while others go on beside it.
