--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -105,7 +105,7 @@
                 active.depose();
             }
             Ok(Committed::Conflict(items)) => {
-                evacuation::take_found(parts, active, &batch.places_in, &items);
+                evacuation::take_found(parts, active, &batch.placement_zones, &items);
                 let found = revisions_found(&batch, &items);
                 active.update(|scheduler| {
                     scheduler.found_in_store(&found);
@@ -170,7 +170,7 @@
 fn transaction(parts: &Parts, active: &Active, batch: &WriteBatch) -> Transaction {
     let mut transaction = Transaction::default();
     transaction.expect.push((keys::SCHEDULER.to_owned(), Revision(active.fence.0)));
-    transaction.expect.extend(evacuation::conditions(&*parts.decoder, &active.evacuations, &batch.places_in));
+    transaction.expect.extend(evacuation::conditions(&*parts.decoder, &active.evacuations, &batch.placement_zones));
     for entry in &batch.writes {
         let key = keys::progress(entry.occurrence);
         transaction.expect.push((key.clone(), entry.replaces));
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -27,7 +27,7 @@
     pub writes: Vec<ProgressWrite>,
     /// Availability zones where the batch places runs that were not ordered yet: it is worth nothing if one of them has
     /// been evacuated meanwhile.
-    pub places_in: BTreeSet<AvailabilityZoneId>,
+    pub placement_zones: BTreeSet<AvailabilityZoneId>,
 }
 
 /// Tasks whose progress goes into one batch, unless a single occurrence has more: some 40 KB as the store takes
@@ -59,9 +59,9 @@
         if writes.is_empty() {
             return None;
         }
-        let places_in = writes.iter().flat_map(|entry| self.places_in(entry.occurrence)).collect();
+        let placement_zones = writes.iter().flat_map(|entry| self.placement_zones(entry.occurrence)).collect();
         self.under_way.extend(writes.iter().map(|entry| entry.occurrence));
-        Some(WriteBatch { writes, places_in })
+        Some(WriteBatch { writes, placement_zones })
     }
 
     /// A batch was not stored, or nothing is known of it.
@@ -72,7 +72,7 @@
     }
 
     /// Where an occurrence has members that were not ordered yet.
-    fn places_in(&self, id: OccurrenceId) -> impl Iterator<Item = AvailabilityZoneId> {
+    fn placement_zones(&self, id: OccurrenceId) -> impl Iterator<Item = AvailabilityZoneId> {
         let members = self.occurrence(id).groups.iter().flatten().flat_map(|group| &group.members);
         let planned = members.filter(|member| member.phase == Phase::Planned);
         let zone = |id: &BackendServerId| Some(self.servers.get(id)?.info.as_ref()?.availability_zone.clone());
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -332,7 +332,7 @@
     ) -> Result<Revision, BTreeMap<OccurrenceId, Revision>> {
         let found = |id: OccurrenceId| self.stored.get(&id).map_or(Revision(0), |(_, revision)| *revision);
         let as_known = |zone| self.leaders[leader].evacuated.contains(zone) == self.evacuated.contains_key(zone);
-        let fits = batch.places_in.iter().all(as_known)
+        let fits = batch.placement_zones.iter().all(as_known)
             && batch.writes.iter().all(|entry| found(entry.occurrence) == entry.replaces);
         if self.leaders[leader].fence != self.holder || !fits {
             return Err(batch.writes.iter().map(|entry| (entry.occurrence, found(entry.occurrence))).collect());
