--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -36,7 +36,7 @@
 
 impl Scheduler {
     /// Whether something is to be stored.
-    pub fn has_unstored(&self) -> bool {
+    pub fn has_pending_writes(&self) -> bool {
         !self.dirty.is_empty()
     }
 
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/storing.rs
@@ -69,7 +69,7 @@
     let batch = fixture.scheduler.next_batch(MOST_ENTRIES).expect("an end is to be stored");
     fixture.end(&running[1], CompletionKind::Done);
     fixture.scheduler.stored(batch, Revision(2000));
-    assert!(fixture.scheduler.has_unstored());
+    assert!(fixture.scheduler.has_pending_writes());
     let batch = fixture.scheduler.next_batch(MOST_ENTRIES).expect("the other end is to be stored");
     assert_eq!(batch.writes[0].replaces, Revision(2000));
     assert!(batch.writes[0].progress.done());
