--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -65,7 +65,7 @@
             }
             at_most(BESIDE_AFTER, over).await;
         }
-        match next_batch(&active) {
+        match next_write_batch(&active) {
             Some(batch) => under_way.push(smol::spawn(Arc::clone(&writer).write(batch))),
             None => active.changed().await,
         }
@@ -142,10 +142,10 @@
 
 /// As many occurrences as fit in one call: each takes a condition and a write, beside one condition for the scheduler's
 /// key and one for each availability zone.
-fn next_batch(active: &Active) -> Option<WriteBatch> {
+fn next_write_batch(active: &Active) -> Option<WriteBatch> {
     let mut scheduler = active.lock();
     let conditions = 1 + scheduler.availability_zones();
-    scheduler.next_batch((MOST_IN_A_CALL.saturating_sub(conditions) / 2).max(1))
+    scheduler.next_write_batch((MOST_IN_A_CALL.saturating_sub(conditions) / 2).max(1))
 }
 
 /// Whether the scheduler's key stands as this scheduler wrote it.
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -45,7 +45,7 @@
     /// Several batches may be under way, each occurrence in one of them: the writes of one follow each other, and one that gets no answer holds up no
     /// other. What is in a batch is given again once [`Scheduler::not_stored`] is told of it, so that a write without an answer is made up for by
     /// the next: either it took effect, which the next finds by its conflict, or the next makes its condition false.
-    pub fn next_batch(&mut self, most: usize) -> Option<WriteBatch> {
+    pub fn next_write_batch(&mut self, most: usize) -> Option<WriteBatch> {
         let mut tasks = 0;
         let mut writes: Vec<ProgressWrite> = Vec::new();
         let free = self.dirty.iter().filter(|id| !self.under_way.contains(id));
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,7 +4,7 @@
 //! what the store has taken and what callers want, and carries out what it asks for. Three rules keep
 //! its promises, whoever is elected next:
 //!
-//! - *store, then order*: a start is sent only after the store holds where it goes ([`Scheduler::next_batch`]);
+//! - *store, then order*: a start is sent only after the store holds where it goes ([`Scheduler::next_write_batch`]);
 //! - *store, then acknowledge, then tell*: an end is acknowledged and shown only after the store holds it;
 //! - *one place at a time*: a task is placed again only when its earlier run is known to be over: listed as
 //!   ended, absent from a listing that must show it, or past every lease that it can have been given.
--- a/crates/scheduler/tests/common/leading.rs
+++ b/crates/scheduler/tests/common/leading.rs
@@ -35,7 +35,7 @@
         if self.leaders[i].writing >= WRITES_AT_ONCE || !self.reaches_store(i) {
             return;
         }
-        let Some(batch) = self.leaders[i].scheduler.next_batch(4) else { return };
+        let Some(batch) = self.leaders[i].scheduler.next_write_batch(4) else { return };
         self.leaders[i].writing += 1;
         if self.now < self.lose_writes_until && self.rng.bool() {
             let late = if self.rng.bool() { STEP_MS } else { 1000 + self.rng.u64(..5000) };
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -241,7 +241,7 @@
     }
 
     pub(crate) fn store_all(&mut self) {
-        while let Some(batch) = self.scheduler.next_batch(8) {
+        while let Some(batch) = self.scheduler.next_write_batch(8) {
             self.revision += 1;
             for entry in &batch.writes {
                 self.stored.insert(entry.occurrence, (entry.progress.clone(), Revision(self.revision)));
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -64,7 +64,7 @@
     fixture.submit(job_in("urgent", 1, vec![gang(4, 8)]));
     let now = fixture.now;
     fixture.scheduler.plan(now, now.millis());
-    let batch = fixture.scheduler.next_batch(8).expect("a run was placed");
+    let batch = fixture.scheduler.next_write_batch(8).expect("a run was placed");
     assert_eq!(batch.placement_zones, BTreeSet::from([zone(0)]));
     evacuate(&mut fixture, 0);
     // The write was under way, and took effect before the evacuation.
--- a/crates/scheduler/tests/starting.rs
+++ b/crates/scheduler/tests/starting.rs
@@ -59,7 +59,7 @@
         if let Some(batch) = self.writing.take() {
             scheduler.stored(batch, Revision(1000 + turn));
         }
-        self.writing = scheduler.next_batch(MOST_ENTRIES);
+        self.writing = scheduler.next_write_batch(MOST_ENTRIES);
         self.answer_orders(turn);
     }
 
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/storing.rs
@@ -25,7 +25,7 @@
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     for write in 1..20 {
         end_one_of_each(&mut fixture, &mut running);
-        let batch = fixture.scheduler.next_batch(MOST_ENTRIES).expect("much has changed");
+        let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("much has changed");
         fixture.scheduler.stored(batch, Revision(1000 + write));
         if starts(&mut fixture).contains(&JobId(u64::MAX)) {
             return write as usize;
@@ -66,11 +66,11 @@
     fixture.submit(job_in("batch", 1, vec![step(2, 1)]));
     let running = fixture.start_all();
     fixture.end(&running[0], CompletionKind::Done);
-    let batch = fixture.scheduler.next_batch(MOST_ENTRIES).expect("an end is to be stored");
+    let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("an end is to be stored");
     fixture.end(&running[1], CompletionKind::Done);
     fixture.scheduler.stored(batch, Revision(2000));
     assert!(fixture.scheduler.has_pending_writes());
-    let batch = fixture.scheduler.next_batch(MOST_ENTRIES).expect("the other end is to be stored");
+    let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("the other end is to be stored");
     assert_eq!(batch.writes[0].replaces, Revision(2000));
     assert!(batch.writes[0].progress.done());
     assert_eq!(running[1].run, RunNumber(1));
@@ -84,17 +84,17 @@
         fixture.submit(job_in("urgent", id, vec![step(1, 8)]));
     }
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
-    let first = fixture.scheduler.next_batch(2).expect("six wait");
-    let second = fixture.scheduler.next_batch(2).expect("four wait");
+    let first = fixture.scheduler.next_write_batch(2).expect("six wait");
+    let second = fixture.scheduler.next_write_batch(2).expect("four wait");
     let jobs = |batch: &scheduler::WriteBatch| batch.writes.iter().map(|entry| entry.occurrence).collect::<Vec<_>>();
     assert!(jobs(&first).iter().all(|id| !jobs(&second).contains(id)));
     // The answer to the second comes; the first is still waited for.
     fixture.scheduler.stored(second, model::Revision(7));
-    let third = fixture.scheduler.next_batch(9).expect("two wait");
+    let third = fixture.scheduler.next_write_batch(9).expect("two wait");
     assert_eq!(third.writes.len(), 2);
-    assert!(fixture.scheduler.next_batch(9).is_none(), "all are under way or stored");
+    assert!(fixture.scheduler.next_write_batch(9).is_none(), "all are under way or stored");
     fixture.scheduler.not_stored(&first);
-    let again = fixture.scheduler.next_batch(9).expect("the first was lost");
+    let again = fixture.scheduler.next_write_batch(9).expect("the first was lost");
     assert_eq!(jobs(&again), jobs(&first));
 }
 
@@ -104,11 +104,11 @@
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
-    let placed = fixture.scheduler.next_batch(9).expect("it was placed");
+    let placed = fixture.scheduler.next_write_batch(9).expect("it was placed");
     fixture.scheduler.cancel(jobs::JobId(1), fixture.now);
-    assert!(fixture.scheduler.next_batch(9).is_none(), "its write is under way");
+    assert!(fixture.scheduler.next_write_batch(9).is_none(), "its write is under way");
     fixture.scheduler.stored(placed, model::Revision(7));
-    let stopped = fixture.scheduler.next_batch(9).expect("it has changed since");
+    let stopped = fixture.scheduler.next_write_batch(9).expect("it has changed since");
     assert_eq!(stopped.writes[0].replaces, model::Revision(7));
 }
 
@@ -119,8 +119,8 @@
         fixture.submit(job_in("urgent", id, vec![step(1, 8)]));
     }
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
-    fixture.scheduler.next_batch(MOST_ENTRIES).expect("all wait");
-    while let Some(batch) = fixture.scheduler.next_batch(MOST_ENTRIES) {
+    fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("all wait");
+    while let Some(batch) = fixture.scheduler.next_write_batch(MOST_ENTRIES) {
         fixture.scheduler.stored(batch, Revision(1000));
     }
     jobs as usize - starts(&mut fixture).len()
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -145,7 +145,7 @@
 
     /// Stores everything and answers all orders.
     fn settle(&mut self) -> Vec<(BackendServerId, jobs::TaskId, jobs::RunNumber)> {
-        while let Some(batch) = self.scheduler.next_batch(15) {
+        while let Some(batch) = self.scheduler.next_write_batch(15) {
             self.revision += 1;
             self.scheduler.stored(batch, Revision(self.revision));
         }
