--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -109,7 +109,7 @@
                 let found = revisions_found(&batch, &items);
                 active.update(|scheduler| {
                     scheduler.found_in_store(&found);
-                    scheduler.not_stored(&batch);
+                    scheduler.batch_failed(&batch);
                 });
             }
             Ok(Committed::LeaseGone) => self.give_back(&batch).await,
@@ -132,7 +132,7 @@
     async fn give_back(&self, batch: &WriteBatch) {
         let next = self.backoff.lock().expect("no holder panics").next();
         pause(next).await;
-        self.active.update(|scheduler| scheduler.not_stored(batch));
+        self.active.update(|scheduler| scheduler.batch_failed(batch));
     }
 
     fn lock(&self) -> MutexGuard<'_, AnswerTime> {
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -43,7 +43,7 @@
     /// What should be stored next, at most `most` entries; `None` if everything is stored.
     ///
     /// Several batches may be under way, each occurrence in one of them: the writes of one follow each other, and one that gets no answer holds up no
-    /// other. What is in a batch is given again once [`Scheduler::not_stored`] is told of it, so that a write without an answer is made up for by
+    /// other. What is in a batch is given again once [`Scheduler::batch_failed`] is told of it, so that a write without an answer is made up for by
     /// the next: either it took effect, which the next finds by its conflict, or the next makes its condition false.
     pub fn next_write_batch(&mut self, most: usize) -> Option<WriteBatch> {
         let mut tasks = 0;
@@ -65,7 +65,7 @@
     }
 
     /// A batch was not stored, or nothing is known of it.
-    pub fn not_stored(&mut self, batch: &WriteBatch) {
+    pub fn batch_failed(&mut self, batch: &WriteBatch) {
         for entry in &batch.writes {
             self.under_way.remove(&entry.occurrence);
         }
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -187,7 +187,7 @@
             Event::Written { leader, batch, result } => self.on_written(leader, batch, result),
             Event::WriteLost { leader, batch } => {
                 self.leaders[leader].writing -= 1;
-                self.leaders[leader].scheduler.not_stored(&batch);
+                self.leaders[leader].scheduler.batch_failed(&batch);
             }
             Event::Note { leader, write, answered } => {
                 let result = self.write_note(leader, &write);
@@ -324,7 +324,7 @@
             }
             Err(found) if leader.fence == self.holder => {
                 leader.scheduler.found_in_store(&found);
-                leader.scheduler.not_stored(&batch);
+                leader.scheduler.batch_failed(&batch);
                 self.on_evacuations_told(index);
             }
             Err(_) => leader.alive = false,
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/storing.rs
@@ -93,7 +93,7 @@
     let third = fixture.scheduler.next_write_batch(9).expect("two wait");
     assert_eq!(third.writes.len(), 2);
     assert!(fixture.scheduler.next_write_batch(9).is_none(), "all are under way or stored");
-    fixture.scheduler.not_stored(&first);
+    fixture.scheduler.batch_failed(&first);
     let again = fixture.scheduler.next_write_batch(9).expect("the first was lost");
     assert_eq!(jobs(&again), jobs(&first));
 }
