--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -97,7 +97,7 @@
         }
         match result {
             Ok(Committed::Done(revision)) => {
-                let acknowledged = active.update(|scheduler| scheduler.stored(batch, revision));
+                let acknowledged = active.update(|scheduler| scheduler.batch_stored(batch, revision));
                 active.links.tell_stored(&acknowledged);
             }
             Ok(Committed::Conflict(items)) if !holds_key(active, &items) => {
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -90,7 +90,7 @@
     }
 
     /// A batch is in the store, at `revision`. Returns the backend servers to which more ends can be acknowledged now.
-    pub fn stored(&mut self, batch: WriteBatch, revision: Revision) -> Vec<BackendServerId> {
+    pub fn batch_stored(&mut self, batch: WriteBatch, revision: Revision) -> Vec<BackendServerId> {
         let mut acknowledged = Vec::new();
         for entry in batch.writes {
             let id = entry.occurrence;
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -63,7 +63,7 @@
     fixture.submit(job_in("urgent", 1, vec![step(1, 6)]));
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     let batch = fixture.scheduler.next_write_batch(8).expect("its place is to be stored");
-    fixture.scheduler.stored(batch, Revision(200));
+    fixture.scheduler.batch_stored(batch, Revision(200));
     let orders = fixture.scheduler.take_orders();
     let [Order::Start { server, task, run, .. }] = &orders[..] else { panic!("{orders:?}") };
     assert!(fixture.scheduler.may_start(server, *task, *run));
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -320,7 +320,7 @@
         leader.writing -= 1;
         match result {
             Ok(revision) => {
-                leader.scheduler.stored(batch, revision);
+                leader.scheduler.batch_stored(batch, revision);
             }
             Err(found) if leader.fence == self.holder => {
                 leader.scheduler.found_in_store(&found);
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -246,7 +246,7 @@
             for entry in &batch.writes {
                 self.stored.insert(entry.occurrence, (entry.progress.clone(), Revision(self.revision)));
             }
-            self.scheduler.stored(batch, Revision(self.revision));
+            self.scheduler.batch_stored(batch, Revision(self.revision));
         }
     }
 
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -68,7 +68,7 @@
     assert_eq!(batch.placement_zones, BTreeSet::from([zone(0)]));
     evacuate(&mut fixture, 0);
     // The write was under way, and took effect before the evacuation.
-    fixture.scheduler.stored(batch, Revision(50));
+    fixture.scheduler.batch_stored(batch, Revision(50));
     assert!(fixture.scheduler.take_orders().is_empty());
     let started = fixture.start_all();
     assert_eq!(started.len(), 4);
--- a/crates/scheduler/tests/starting.rs
+++ b/crates/scheduler/tests/starting.rs
@@ -57,7 +57,7 @@
         let scheduler = &mut self.fixture.scheduler;
         scheduler.plan(self.fixture.now, self.fixture.now.millis());
         if let Some(batch) = self.writing.take() {
-            scheduler.stored(batch, Revision(1000 + turn));
+            scheduler.batch_stored(batch, Revision(1000 + turn));
         }
         self.writing = scheduler.next_write_batch(MOST_ENTRIES);
         self.answer_orders(turn);
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/storing.rs
@@ -26,7 +26,7 @@
     for write in 1..20 {
         end_one_of_each(&mut fixture, &mut running);
         let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("much has changed");
-        fixture.scheduler.stored(batch, Revision(1000 + write));
+        fixture.scheduler.batch_stored(batch, Revision(1000 + write));
         if starts(&mut fixture).contains(&JobId(u64::MAX)) {
             return write as usize;
         }
@@ -68,7 +68,7 @@
     fixture.end(&running[0], CompletionKind::Done);
     let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("an end is to be stored");
     fixture.end(&running[1], CompletionKind::Done);
-    fixture.scheduler.stored(batch, Revision(2000));
+    fixture.scheduler.batch_stored(batch, Revision(2000));
     assert!(fixture.scheduler.has_pending_writes());
     let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("the other end is to be stored");
     assert_eq!(batch.writes[0].replaces, Revision(2000));
@@ -89,7 +89,7 @@
     let jobs = |batch: &scheduler::WriteBatch| batch.writes.iter().map(|entry| entry.occurrence).collect::<Vec<_>>();
     assert!(jobs(&first).iter().all(|id| !jobs(&second).contains(id)));
     // The answer to the second comes; the first is still waited for.
-    fixture.scheduler.stored(second, model::Revision(7));
+    fixture.scheduler.batch_stored(second, model::Revision(7));
     let third = fixture.scheduler.next_write_batch(9).expect("two wait");
     assert_eq!(third.writes.len(), 2);
     assert!(fixture.scheduler.next_write_batch(9).is_none(), "all are under way or stored");
@@ -107,7 +107,7 @@
     let placed = fixture.scheduler.next_write_batch(9).expect("it was placed");
     fixture.scheduler.cancel(jobs::JobId(1), fixture.now);
     assert!(fixture.scheduler.next_write_batch(9).is_none(), "its write is under way");
-    fixture.scheduler.stored(placed, model::Revision(7));
+    fixture.scheduler.batch_stored(placed, model::Revision(7));
     let stopped = fixture.scheduler.next_write_batch(9).expect("it has changed since");
     assert_eq!(stopped.writes[0].replaces, model::Revision(7));
 }
@@ -121,7 +121,7 @@
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("all wait");
     while let Some(batch) = fixture.scheduler.next_write_batch(MOST_ENTRIES) {
-        fixture.scheduler.stored(batch, Revision(1000));
+        fixture.scheduler.batch_stored(batch, Revision(1000));
     }
     jobs as usize - starts(&mut fixture).len()
 }
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -147,7 +147,7 @@
     fn settle(&mut self) -> Vec<(BackendServerId, jobs::TaskId, jobs::RunNumber)> {
         while let Some(batch) = self.scheduler.next_write_batch(15) {
             self.revision += 1;
-            self.scheduler.stored(batch, Revision(self.revision));
+            self.scheduler.batch_stored(batch, Revision(self.revision));
         }
         let mut started = Vec::new();
         for order in self.scheduler.take_orders() {
