--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -108,7 +108,7 @@
                 evacuation::take_found(parts, active, &batch.placement_zones, &items);
                 let found = revisions_found(&batch, &items);
                 active.update(|scheduler| {
-                    scheduler.found_in_store(&found);
+                    scheduler.stored_revisions_found(&found);
                     scheduler.batch_failed(&batch);
                 });
             }
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -117,7 +117,7 @@
     }
 
     /// The store holds other revisions than the batch expected: an earlier write of ours took effect after all.
-    pub fn found_in_store(&mut self, revisions: &BTreeMap<OccurrenceId, Revision>) {
+    pub fn stored_revisions_found(&mut self, revisions: &BTreeMap<OccurrenceId, Revision>) {
         for (&id, &revision) in revisions {
             if let Some(occurrence) = self.known_occurrence_mut(id) {
                 occurrence.store_revision = revision;
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -323,7 +323,7 @@
                 leader.scheduler.batch_stored(batch, revision);
             }
             Err(found) if leader.fence == self.holder => {
-                leader.scheduler.found_in_store(&found);
+                leader.scheduler.stored_revisions_found(&found);
                 leader.scheduler.batch_failed(&batch);
                 self.on_evacuations_told(index);
             }
