--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -116,7 +116,7 @@
     pub(crate) observations: Vec<Observation>,
     /// The clocks at the latest plan: this process's own, and the time of day.
     pub(crate) wall: (Moment, u64),
-    pub(crate) deposed: bool,
+    pub(crate) lost_leadership: bool,
 }
 
 impl Scheduler {
@@ -159,7 +159,7 @@
             advice: AdviceBook::default(),
             observations: Vec::new(),
             wall: (elected, 0),
-            deposed: false,
+            lost_leadership: false,
         }
     }
 
@@ -169,8 +169,8 @@
     }
 
     /// Whether a backend server obeys a later scheduler.
-    pub fn deposed(&self) -> bool {
-        self.deposed
+    pub fn lost_leadership(&self) -> bool {
+        self.lost_leadership
     }
 
     /// The configuration has changed. Queues that it no longer names keep their last policy, for the jobs
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -41,7 +41,7 @@
         now: Moment,
     ) {
         if reply == StartReply::Fenced {
-            self.deposed = true;
+            self.lost_leadership = true;
         }
         if reply == StartReply::Gone {
             self.server_gone(server, now);
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -276,7 +276,7 @@
         let leader = &mut self.leaders[leader];
         if leader.alive {
             leader.scheduler.start_replied(id, task, run, reply, now);
-            leader.alive &= !leader.scheduler.deposed();
+            leader.alive &= !leader.scheduler.lost_leadership();
         }
     }
 
