--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -191,7 +191,7 @@
     fn gone(&self, active: &Active, ended: &Target) {
         let now = self.now();
         active.update(|scheduler| match ended.incarnation {
-            Some(incarnation) => scheduler.life_over(&ended.id, incarnation, now),
+            Some(incarnation) => scheduler.incarnation_ended(&ended.id, incarnation, now),
             None => scheduler.server_gone(&ended.id, now),
         });
     }
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -23,7 +23,7 @@
                     "server={id} event=life incarnation={incarnation} after={known} seen_end={}",
                     server.seen_end
                 );
-                self.life_over(id, known, now);
+                self.incarnation_ended(id, known, now);
             }
             None => self.end_other_lives(id, incarnation, now),
         }
@@ -33,7 +33,7 @@
     }
 
     /// A life of a backend server is over, and another one answers under its id. Told again, it changes nothing.
-    pub fn life_over(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
+    pub fn incarnation_ended(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         if self.incarnation(id) != Some(incarnation) {
             return;
         }
