--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -74,7 +74,7 @@
             Ok(HoldReply::Fenced) => return worker.fenced(&active),
             Ok(HoldReply::Gone) => {
                 let now = worker.now();
-                active.update(|scheduler| scheduler.server_gone(&id, now));
+                active.update(|scheduler| scheduler.server_ended(&id, now));
                 break;
             }
             Err(e) => {
@@ -140,7 +140,7 @@
     fn take_address(&self, active: &Active) {
         let now = self.now();
         for replaced in active.links.replaced_by(&self.target) {
-            active.update(|scheduler| scheduler.server_gone(&replaced, now));
+            active.update(|scheduler| scheduler.server_ended(&replaced, now));
             active.links.close(&replaced);
         }
     }
@@ -192,7 +192,7 @@
         let now = self.now();
         active.update(|scheduler| match ended.incarnation {
             Some(incarnation) => scheduler.incarnation_ended(&ended.id, incarnation, now),
-            None => scheduler.server_gone(&ended.id, now),
+            None => scheduler.server_ended(&ended.id, now),
         });
     }
 
--- a/crates/runtime/src/measure.rs
+++ b/crates/runtime/src/measure.rs
@@ -33,7 +33,7 @@
             Observation::Stopped { why } => {
                 metrics::counter!("martenscale_runs_stopped_total", "why" => why).increment(1);
             }
-            Observation::ServerGone { announced } => {
+            Observation::ServerEnded { announced } => {
                 let announced = announced.to_string();
                 metrics::counter!("martenscale_servers_gone_total", "announced" => announced).increment(1);
             }
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -56,7 +56,7 @@
     }
 
     /// A backend server's life is over: another life answers in its place, under another id.
-    pub fn server_gone(&mut self, id: &BackendServerId, now: Moment) {
+    pub fn server_ended(&mut self, id: &BackendServerId, now: Moment) {
         self.charge_lapsed(id, now);
         if self.servers.contains_key(id) {
             self.end_life(id, now);
@@ -70,7 +70,7 @@
         let announced = server.announced();
         let silent = server.silence.since.map_or(0, |since| now.since(since).millis());
         log::info!("server={id} event=gone runs={} announced={announced} silent_ms={silent}", server.members.len());
-        self.observations.push(Observation::ServerGone { announced });
+        self.observations.push(Observation::ServerEnded { announced });
         if !announced {
             self.charge_crash(id, now);
         }
@@ -142,7 +142,7 @@
     fn look_whether_left(&mut self, id: &BackendServerId, now: Moment) {
         if self.servers.get(id).is_some_and(Server::has_left) {
             log::info!("server={id} event=left");
-            self.server_gone(id, now);
+            self.server_ended(id, now);
         }
     }
 
--- a/crates/scheduler/src/observations.rs
+++ b/crates/scheduler/src/observations.rs
@@ -46,7 +46,7 @@
         why: String,
     },
     /// A backend server's life is over.
-    ServerGone {
+    ServerEnded {
         /// It had said that it would leave; else it has crashed or was taken away.
         announced: bool,
     },
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -44,7 +44,7 @@
             self.lost_leadership = true;
         }
         if reply == StartReply::Gone {
-            self.server_gone(server, now);
+            self.server_ended(server, now);
             return;
         }
         let Some(name) = self.group_of(task) else { return };
--- a/crates/scheduler/tests/common/crashes.rs
+++ b/crates/scheduler/tests/common/crashes.rs
@@ -43,7 +43,7 @@
     pub(crate) fn on_back(&mut self, id: &BackendServerId) {
         let now = self.moment();
         for leader in self.leaders.iter_mut().filter(|leader| leader.alive) {
-            leader.scheduler.server_gone(id, now);
+            leader.scheduler.server_ended(id, now);
         }
         self.add_server();
     }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -479,7 +479,7 @@
     pub(crate) fn lose(&mut self, id: &BackendServerId) {
         let lost = self.running.remove(id).expect("it was added");
         self.infos.remove(id);
-        self.scheduler.server_gone(id, self.now);
+        self.scheduler.server_ended(id, self.now);
         for started in &lost {
             self.break_gang(started);
         }
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -262,7 +262,7 @@
         self.end_life(&id);
         let now = self.moment();
         for leader in self.leaders.iter_mut().filter(|leader| leader.alive) {
-            leader.scheduler.server_gone(&id, now);
+            leader.scheduler.server_ended(&id, now);
         }
         self.add_server();
     }
--- a/crates/scheduler/tests/crashing.rs
+++ b/crates/scheduler/tests/crashing.rs
@@ -154,7 +154,7 @@
         fixture.forget(&server);
         fixture.start_all();
         assert_eq!(fixture.state(1), Some(JobState::Running));
-        fixture.scheduler.server_gone(&server, fixture.now);
+        fixture.scheduler.server_ended(&server, fixture.now);
         fixture.store_all();
         let again = fixture.server_of(task(0)).expect("it runs");
         fixture.stop_on(&again);
