--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -155,7 +155,7 @@
         let id = &self.target.id;
         let mut scheduler = active.lock();
         let (from, now) = (Instant::now(), self.now());
-        if !scheduler.knows(id) {
+        if !scheduler.tracks_server(id) {
             return None;
         }
         // The life that answered last may be over.
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -147,7 +147,7 @@
     }
 
     /// Whether a backend server is listed, or may still run something.
-    pub fn knows(&self, id: &BackendServerId) -> bool {
+    pub fn tracks_server(&self, id: &BackendServerId) -> bool {
         self.servers.contains_key(id)
     }
 
