--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -159,7 +159,7 @@
             return None;
         }
         // The life that answered last may be over.
-        let answered = answered && scheduler.has_heard(id);
+        let answered = answered && scheduler.has_reported(id);
         // An unanswered call may have renewed the lease, so one that is out of reach is only asked, not renewed.
         let renews = answered && scheduler.may_renew(id);
         let lease = if renews { self.lease(active, &scheduler, now) } else { None };
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -152,7 +152,7 @@
     }
 
     /// Whether a backend server has shown what it runs, in the life that it leads as far as is known.
-    pub fn has_heard(&self, id: &BackendServerId) -> bool {
+    pub fn has_reported(&self, id: &BackendServerId) -> bool {
         self.servers.get(id).is_some_and(|server| server.stocked)
     }
 
