--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -213,7 +213,7 @@
             return None;
         };
         // A start carries a lease. No note that leaves it out may be drawn up between the question and this.
-        let lease = Lease { from, length: scheduler.start_lease(id, most, now) };
+        let lease = Lease { from, length: scheduler.lease_for_start(id, most, now) };
         Some((self.target(&scheduler), lease))
     }
 
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -105,7 +105,7 @@
     /// The lease that a start is to carry, which is about to be sent: what is left of the latest renewal, as long as
     /// that is half of a lease. A whole one each time would prolong what has to be waited for if the backend server is
     /// lost with the start under way. `most` is what it may carry.
-    pub fn start_lease(&mut self, id: &BackendServerId, most: Duration, now: Moment) -> Duration {
+    pub fn lease_for_start(&mut self, id: &BackendServerId, most: Duration, now: Moment) -> Duration {
         let renewed_to = self.servers.get(id).and_then(|server| server.renewed_to);
         let left = renewed_to.map_or(Duration::ZERO, |to| to.since(now));
         if left >= self.timing.lease.scaled(0.5) {
--- a/crates/scheduler/tests/standing_still.rs
+++ b/crates/scheduler/tests/standing_still.rs
@@ -244,9 +244,13 @@
     let whole = Duration::from_secs(6);
     fixture.scheduler.lease_sent(&id, whole, fixture.now);
     let after = |ms| fixture.now + Duration::from_millis(ms);
-    assert_eq!(fixture.scheduler.start_lease(&id, whole, after(1000)), Duration::from_secs(5));
-    assert_eq!(fixture.scheduler.start_lease(&id, whole, after(4000)), Duration::from_secs(6), "too little is left");
-    assert_eq!(fixture.scheduler.start_lease(&id, whole, after(5000)), Duration::from_secs(5));
+    assert_eq!(fixture.scheduler.lease_for_start(&id, whole, after(1000)), Duration::from_secs(5));
+    assert_eq!(
+        fixture.scheduler.lease_for_start(&id, whole, after(4000)),
+        Duration::from_secs(6),
+        "too little is left"
+    );
+    assert_eq!(fixture.scheduler.lease_for_start(&id, whole, after(5000)), Duration::from_secs(5));
 }
 
 /// Seen: a new job waits for 8 s on idle backend servers. How: tasks of two other jobs failed, through their own
