--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -176,7 +176,7 @@
         let witnesses = now > self.parts.view.confirmed_until() && scheduler.is_witness(id);
         let wait = if witnesses { wait.min(UNCONFIRMED_WAIT) } else { wait };
         let lease = lease.map(|length| Lease { from, length });
-        let hold = Hold { fence: scheduler.fence(), acknowledged: scheduler.acknowledged(id), lease, wait };
+        let hold = Hold { fence: scheduler.fence(), acknowledged: scheduler.acknowledged_serial(id), lease, wait };
         Some((self.target(&scheduler), hold))
     }
 
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -157,8 +157,8 @@
     }
 
     /// Highest end that may be acknowledged to a backend server.
-    pub fn acknowledged(&self, id: &BackendServerId) -> u64 {
-        self.servers.get(id).map_or(0, |server| server.acknowledged)
+    pub fn acknowledged_serial(&self, id: &BackendServerId) -> u64 {
+        self.servers.get(id).map_or(0, |server| server.acknowledged_serial)
     }
 
     /// Whether ends of a backend server wait to be stored.
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -16,7 +16,7 @@
     pub(crate) fn take_end(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
         let server = self.servers.get_mut(id).expect("the caller has looked");
         if end.serial <= server.seen_end {
-            if end.serial <= server.acknowledged {
+            if end.serial <= server.acknowledged_serial {
                 // Told again though it was acknowledged: the call that did so was lost, or this is another end with its serial number.
                 log::info!("server={id} event=end_known task={} run={} serial={}", end.task, end.run, end.serial);
                 self.observations.push(Observation::EndKnown);
@@ -160,7 +160,7 @@
     pub(crate) fn acknowledge_stored(&mut self, id: &BackendServerId) -> bool {
         let Scheduler { servers, jobs, .. } = self;
         let Some(server) = servers.get_mut(id) else { return false };
-        let before = server.acknowledged;
+        let before = server.acknowledged_serial;
         while let Some(end) = server.pending_ends.front() {
             let stored = end.held_by.is_none_or(|(occurrence, version)| {
                 let entry = jobs.get(&occurrence.job);
@@ -170,10 +170,10 @@
             if !stored {
                 break;
             }
-            server.acknowledged = end.serial;
+            server.acknowledged_serial = end.serial;
             server.pending_ends.pop_front();
         }
-        server.acknowledged > before
+        server.acknowledged_serial > before
     }
 
     /// The store holds an occurrence as of a version: the ends that wait for it are looked at. Returns the backend
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -119,7 +119,7 @@
     /// Highest end that was looked at.
     pub(crate) seen_end: u64,
     /// Highest end that may be acknowledged.
-    pub(crate) acknowledged: u64,
+    pub(crate) acknowledged_serial: u64,
     /// The life that was last heard has said that it leaves.
     pub(crate) leaves: bool,
     /// It is being emptied for upkeep.
@@ -151,7 +151,7 @@
             renewed_to: None,
             pending_ends: VecDeque::new(),
             seen_end: 0,
-            acknowledged: 0,
+            acknowledged_serial: 0,
             closed: false,
             evacuated: false,
             not_before: Moment::ZERO,
--- a/crates/scheduler/tests/common/leading.rs
+++ b/crates/scheduler/tests/common/leading.rs
@@ -91,7 +91,7 @@
                 leader.scheduler.lease_sent(&id, lease, moment);
             }
             leader.holding.insert(id.clone(), now);
-            let acknowledged = leader.scheduler.acknowledged(&id);
+            let acknowledged = leader.scheduler.acknowledged_serial(&id);
             self.after(STEP_MS, Event::Hold { leader: i, server: id, life, acknowledged, until, sent: moment });
         }
     }
--- a/crates/scheduler/tests/returned.rs
+++ b/crates/scheduler/tests/returned.rs
@@ -21,7 +21,7 @@
         fixture.end(&started, CompletionKind::Done);
     }
     fixture.store_all();
-    assert_eq!((fixture.state(1), fixture.scheduler.acknowledged(&server)), (Some(JobState::Succeeded), 6));
+    assert_eq!((fixture.state(1), fixture.scheduler.acknowledged_serial(&server)), (Some(JobState::Succeeded), 6));
     fixture.crash_and_return(&server);
     (fixture, server)
 }
@@ -29,7 +29,7 @@
 #[test]
 fn what_is_done_in_the_next_life_is_not_run_again() {
     let (mut fixture, server) = returned();
-    assert_eq!(fixture.scheduler.acknowledged(&server), 0, "it has listed no end");
+    assert_eq!(fixture.scheduler.acknowledged_serial(&server), 0, "it has listed no end");
     fixture.submit(job_in("urgent", 2, vec![step(1, 1)]));
     let started = fixture.start_all();
     fixture.advance(1000);
@@ -37,7 +37,7 @@
     fixture.advance(1000);
     assert!(fixture.start_all().is_empty(), "it is started again");
     assert_eq!(fixture.state(2), Some(JobState::Succeeded));
-    assert_eq!(fixture.scheduler.acknowledged(&server), 1);
+    assert_eq!(fixture.scheduler.acknowledged_serial(&server), 1);
 }
 
 #[test]
