--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -95,7 +95,7 @@
 /// Waits until the ends that were just listed are stored, so that the next renewal acknowledges them.
 async fn wait_for_store(active: &Active, id: &BackendServerId, stored: &Receiver<()>) {
     let taken = async {
-        while active.lock().has_pending_ends(id) {
+        while active.lock().has_pending_completions(id) {
             if stored.recv().await.is_err() {
                 return;
             }
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -162,7 +162,7 @@
     }
 
     /// Whether ends of a backend server wait to be stored.
-    pub fn has_pending_ends(&self, id: &BackendServerId) -> bool {
+    pub fn has_pending_completions(&self, id: &BackendServerId) -> bool {
         self.servers.get(id).is_some_and(|server| !server.pending_ends.is_empty())
     }
 
