--- a/crates/runtime/src/cleaner.rs
+++ b/crates/runtime/src/cleaner.rs
@@ -86,7 +86,7 @@
     }
 
     async fn forget(&self, now: Moment) -> Result<bool, NotDone> {
-        let old = self.active.lock().forgettable(now, MOST_REMOVED / 2);
+        let old = self.active.lock().expired_records(now, MOST_REMOVED / 2);
         if old.is_empty() {
             return Ok(false);
         }
--- a/crates/scheduler/src/retention.rs
+++ b/crates/scheduler/src/retention.rs
@@ -8,7 +8,7 @@
 impl Scheduler {
     /// Jobs whose end can no longer be asked for, at most `most`: the store can drop their records, and the marks of
     /// those that were cancelled before they came.
-    pub fn forgettable(&self, now: Moment, most: usize) -> Vec<JobId> {
+    pub fn expired_records(&self, now: Moment, most: usize) -> Vec<JobId> {
         let old = |since: Moment| now.since(since) > self.timing.keep_ended;
         let records = self.ended.iter().filter(|(_, ended)| old(ended.since)).map(|(id, _)| *id);
         let marks = self.cancelled_before.iter().filter(|(_, since)| old(**since)).map(|(id, _)| *id);
--- a/crates/scheduler/tests/forget.rs
+++ b/crates/scheduler/tests/forget.rs
@@ -56,9 +56,9 @@
     let mut fixture = one_of_two_done();
     fixture.start_all();
     archive(&mut fixture);
-    assert_eq!(fixture.scheduler.forgettable(fixture.now, 8), []);
+    assert_eq!(fixture.scheduler.expired_records(fixture.now, 8), []);
     let later = fixture.now + Timing::default().keep_ended + Duration::from_millis(1);
-    let old = fixture.scheduler.forgettable(later, 8);
+    let old = fixture.scheduler.expired_records(later, 8);
     assert_eq!(old, [JobId(1)], "the other one still runs");
     fixture.scheduler.forget(&old);
     assert_eq!(fixture.state(1), None);
@@ -70,7 +70,7 @@
     let mut fixture = Fixture::new(1);
     fixture.scheduler.cancel(JobId(7), fixture.now);
     let later = fixture.now + Timing::default().keep_ended + Duration::from_millis(1);
-    assert_eq!(fixture.scheduler.forgettable(later, 8), [JobId(7)]);
+    assert_eq!(fixture.scheduler.expired_records(later, 8), [JobId(7)]);
 }
 
 #[test]
