--- a/crates/runtime/src/cleaner.rs
+++ b/crates/runtime/src/cleaner.rs
@@ -93,7 +93,7 @@
         let remove = old.iter().flat_map(|id| [keys::ended(*id), keys::cancel(*id)]).collect();
         self.commit(Transaction { remove, ..Transaction::default() }).await?;
         log::info!("event=forgotten jobs={} first={}", old.len(), old[0]);
-        self.active.lock().forget(&old);
+        self.active.lock().remove_records(&old);
         Ok(true)
     }
 
--- a/crates/scheduler/src/retention.rs
+++ b/crates/scheduler/src/retention.rs
@@ -16,7 +16,7 @@
     }
 
     /// The store holds nothing of these jobs any more.
-    pub fn forget(&mut self, forgotten: &[JobId]) {
+    pub fn remove_records(&mut self, forgotten: &[JobId]) {
         for id in forgotten {
             self.ended.remove(id);
             self.cancelled_before.remove(id);
--- a/crates/scheduler/tests/forget.rs
+++ b/crates/scheduler/tests/forget.rs
@@ -60,7 +60,7 @@
     let later = fixture.now + Timing::default().keep_ended + Duration::from_millis(1);
     let old = fixture.scheduler.expired_records(later, 8);
     assert_eq!(old, [JobId(1)], "the other one still runs");
-    fixture.scheduler.forget(&old);
+    fixture.scheduler.remove_records(&old);
     assert_eq!(fixture.state(1), None);
     assert_eq!(fixture.state(2), Some(JobState::Running));
 }
