--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -28,7 +28,7 @@
 
 /// A question to the adviser.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct PermitRequest {
     /// Which step is to run.
     pub step: StepId,
     /// Where it might.
@@ -51,7 +51,7 @@
 pub(crate) struct AdviceBook {
     verdicts: BTreeMap<StepId, BTreeMap<BackendServerId, Verdict>>,
     /// By the order of the latest plan.
-    questions: Vec<Question>,
+    questions: Vec<PermitRequest>,
     /// The step that the adviser is being asked about.
     asking: Option<StepId>,
 }
@@ -110,7 +110,7 @@
     }
 
     /// What the adviser is to be asked next: one question at a time, since it answers them in turn.
-    pub fn take_question(&mut self) -> Option<Question> {
+    pub fn take_question(&mut self) -> Option<PermitRequest> {
         if self.advice.asking.is_some() || self.advice.questions.is_empty() {
             return None;
         }
@@ -120,14 +120,14 @@
     }
 
     /// The adviser left a question without an answer: the next plan asks again, if it still has to.
-    pub fn not_advised(&mut self, question: &Question) {
+    pub fn not_advised(&mut self, question: &PermitRequest) {
         log::info!("job={} event=not_advised step={}", question.step.occurrence.job, question.step);
         self.advice.asking = None;
         self.plan_wanted = true;
     }
 
     /// The adviser allows these of the backend servers of a question that was sent at `sent`, and no others.
-    pub fn advised(&mut self, question: &Question, allowed: &BTreeMap<BackendServerId, Ticket>, sent: Moment) {
+    pub fn advised(&mut self, question: &PermitRequest, allowed: &BTreeMap<BackendServerId, Ticket>, sent: Moment) {
         let job = question.step.occurrence.job;
         log::info!(
             "job={job} event=advised step={} asked={} allowed={}",
@@ -159,7 +159,7 @@
         }
     }
 
-    fn question(&self, candidate: &Candidate, rooms: &Rooms, now: Moment) -> Option<Question> {
+    fn question(&self, candidate: &Candidate, rooms: &Rooms, now: Moment) -> Option<PermitRequest> {
         let waits = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
         if self.advice.asking == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
             return None;
@@ -169,7 +169,7 @@
         let wanted = self.wanted(candidate, now)?;
         let servers = self.to_be_asked(candidate, &wanted, rooms);
         let takes = advice.base + advice.each.scaled(servers.len() as f64);
-        Some(Question { step: candidate.step_id(), servers, takes, valid: advice.valid })
+        Some(PermitRequest { step: candidate.step_id(), servers, takes, valid: advice.valid })
     }
 
     /// Backend servers without a ticket that holds, the most promising first: those of racks with most room, if the
--- a/crates/scheduler/tests/advice.rs
+++ b/crates/scheduler/tests/advice.rs
@@ -7,7 +7,7 @@
 use common::{Fixture, Started, gang, job, server_id, step};
 use jobs::{JobId, OccurrenceId, StepId};
 use model::{BackendServerId, Duration};
-use scheduler::{Advice, CompletionKind, Question, StartReply, Ticket};
+use scheduler::{Advice, CompletionKind, PermitRequest, StartReply, Ticket};
 
 const ADVICE: Advice =
     Advice { base: Duration::from_millis(100), each: Duration::from_millis(2), valid: Duration::from_millis(2000) };
@@ -23,12 +23,12 @@
 }
 
 /// Plans, and gives the question that comes of it; nothing may start before it is answered.
-fn question(fixture: &mut Fixture) -> Question {
+fn question(fixture: &mut Fixture) -> PermitRequest {
     assert!(fixture.start_all().is_empty(), "nothing starts without the adviser's leave");
     fixture.scheduler.take_question().expect("the adviser is asked")
 }
 
-fn answer(fixture: &mut Fixture, question: &Question, good: &[usize]) {
+fn answer(fixture: &mut Fixture, question: &PermitRequest, good: &[usize]) {
     let allowed: BTreeMap<BackendServerId, Ticket> = good.iter().map(|&i| (server_id(i), ticket(i))).collect();
     let now = fixture.now;
     fixture.scheduler.advised(question, &allowed, now);
