--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/border.rs
@@ -6,7 +6,7 @@
 use model::{AvailabilityZoneId, BackendServerId, BoxId, Duration, Incarnation};
 use net::{BoxFuture, NetError};
 use outside::Item;
-use scheduler::{Listing, Machine, MachineId, ServerInfo, StartReply, Ticket, UpkeepReply, WaveRequest};
+use scheduler::{Listing, Machine, MachineId, Permit, ServerInfo, StartReply, UpkeepReply, WaveRequest};
 
 use crate::Configuration;
 
@@ -71,7 +71,7 @@
     /// How long it may run on without a renewal.
     pub lease: Lease,
     /// The adviser's leave, if the queue needs one.
-    pub ticket: Option<Ticket>,
+    pub permit: Option<Permit>,
 }
 
 /// How fast a run may work.
@@ -130,7 +130,7 @@
         step: StepId,
         servers: Vec<BackendServerId>,
         takes: Duration,
-    ) -> BoxFuture<'_, Result<BTreeMap<BackendServerId, Ticket>, NetError>>;
+    ) -> BoxFuture<'_, Result<BTreeMap<BackendServerId, Permit>, NetError>>;
 }
 
 /// The platform's machines, and the upkeep that it gives them.
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -109,9 +109,9 @@
     while let Ok(order) = orders.recv().await {
         let Some(active) = worker.active.upgrade() else { return };
         match order {
-            Order::Start { task, run, text, checkpoint, ticket, .. } => {
+            Order::Start { task, run, text, checkpoint, permit, .. } => {
                 let Some((target, lease)) = worker.may_start(&active, task, run) else { continue };
-                let start = Start { fence: active.fence, task, run, text, checkpoint, lease, ticket };
+                let start = Start { fence: active.fence, task, run, text, checkpoint, lease, permit };
                 worker.start(&active, target, start).await;
             }
             Order::Stop { task, run, .. } => worker.stop(&active, task, run).await,
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -62,7 +62,7 @@
     maintenance_batch::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
     observations::Observation,
     orders::{Order, StartReply},
-    permits::{PermitRequest, Ticket},
+    permits::{Permit, PermitRequest},
     policy::{Advice, CustomerPolicy, Policy, QueuePolicy, ServiceId},
     scheduler::{Counts, Scheduler},
     server::{ServerAddress, ServerInfo},
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -5,7 +5,7 @@
 use jobs::{Checkpoint, RunNumber, TaskId};
 use model::BackendServerId;
 
-use crate::permits::Ticket;
+use crate::permits::Permit;
 
 /// An order to a backend server.
 #[derive(Debug, Clone, PartialEq)]
@@ -23,7 +23,7 @@
         /// Where to go on from.
         checkpoint: Option<Checkpoint>,
         /// The adviser's leave to run there, if the queue needs one.
-        ticket: Option<Ticket>,
+        permit: Option<Permit>,
     },
     /// Stop a run, and never start it; safe to send twice.
     Stop {
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -19,7 +19,7 @@
 };
 
 /// The adviser's leave for a step on a backend server, opaque to the scheduler.
-pub type Ticket = Arc<str>;
+pub type Permit = Arc<str>;
 
 /// Backend servers that one question names at most: what the users' rules page allows for in a job's objective.
 const MOST_ASKED: usize = 30;
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 enum Verdict {
     Refused,
-    Allowed { ticket: Ticket, until: Moment },
+    Allowed { permit: Permit, until: Moment },
 }
 
 /// What the adviser has said, and what it is to be asked.
@@ -70,22 +70,22 @@
     }
 
     /// The ticket for a step, also once its time is over.
-    pub(crate) fn ticket(&self, step: StepId, server: &BackendServerId) -> Option<Ticket> {
+    pub(crate) fn permit(&self, step: StepId, server: &BackendServerId) -> Option<Permit> {
         match self.verdicts.get(&step)?.get(server)? {
-            Verdict::Allowed { ticket, .. } => Some(Arc::clone(ticket)),
+            Verdict::Allowed { permit, .. } => Some(Arc::clone(permit)),
             Verdict::Refused => None,
         }
     }
 
     /// A backend server did not take a ticket: it has to be asked for again.
-    pub(crate) fn ticket_refused(&mut self, step: StepId, server: &BackendServerId) {
+    pub(crate) fn permit_refused(&mut self, step: StepId, server: &BackendServerId) {
         if let Some(verdicts) = self.verdicts.get_mut(&step) {
             verdicts.remove(server);
         }
     }
 
     /// Tickets hold for one life of a backend server, and another one answers there.
-    pub(crate) fn forget_tickets(&mut self, server: &BackendServerId) {
+    pub(crate) fn remove_permits_for(&mut self, server: &BackendServerId) {
         for verdicts in self.verdicts.values_mut() {
             if matches!(verdicts.get(server), Some(Verdict::Allowed { .. })) {
                 verdicts.remove(server);
@@ -127,7 +127,7 @@
     }
 
     /// The adviser allows these of the backend servers of a question that was sent at `sent`, and no others.
-    pub fn advised(&mut self, question: &PermitRequest, allowed: &BTreeMap<BackendServerId, Ticket>, sent: Moment) {
+    pub fn advised(&mut self, question: &PermitRequest, allowed: &BTreeMap<BackendServerId, Permit>, sent: Moment) {
         let job = question.step.occurrence.job;
         log::info!(
             "job={job} event=advised step={} asked={} allowed={}",
@@ -144,7 +144,7 @@
         let verdicts = self.advice.verdicts.entry(question.step).or_default();
         for server in &question.servers {
             let verdict = match allowed.get(server) {
-                Some(ticket) => Verdict::Allowed { ticket: Arc::clone(ticket), until },
+                Some(permit) => Verdict::Allowed { permit: Arc::clone(permit), until },
                 None => Verdict::Refused,
             };
             verdicts.insert(server.clone(), verdict);
--- a/crates/scheduler/tests/advice.rs
+++ b/crates/scheduler/tests/advice.rs
@@ -7,7 +7,7 @@
 use common::{Fixture, Started, gang, job, server_id, step};
 use jobs::{JobId, OccurrenceId, StepId};
 use model::{BackendServerId, Duration};
-use scheduler::{Advice, CompletionKind, PermitRequest, StartReply, Ticket};
+use scheduler::{Advice, CompletionKind, Permit, PermitRequest, StartReply};
 
 const ADVICE: Advice =
     Advice { base: Duration::from_millis(100), each: Duration::from_millis(2), valid: Duration::from_millis(2000) };
@@ -18,7 +18,7 @@
     fixture
 }
 
-fn ticket(i: usize) -> Ticket {
+fn permit(i: usize) -> Permit {
     Arc::from(format!("ticket-{i}"))
 }
 
@@ -29,7 +29,7 @@
 }
 
 fn answer(fixture: &mut Fixture, question: &PermitRequest, good: &[usize]) {
-    let allowed: BTreeMap<BackendServerId, Ticket> = good.iter().map(|&i| (server_id(i), ticket(i))).collect();
+    let allowed: BTreeMap<BackendServerId, Permit> = good.iter().map(|&i| (server_id(i), permit(i))).collect();
     let now = fixture.now;
     fixture.scheduler.advised(question, &allowed, now);
 }
@@ -62,7 +62,7 @@
     answer(&mut fixture, &asked, &[2]);
     let started = fixture.start_all();
     assert_eq!(servers(&started), [server_id(2)]);
-    assert!(started.iter().all(|s| s.ticket == Some(ticket(2))));
+    assert!(started.iter().all(|s| s.permit == Some(permit(2))));
     assert!(!fixture.scheduler.has_questions(), "everything is placed");
 }
 
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -32,7 +32,7 @@
     pub(crate) task: TaskId,
     pub(crate) run: RunNumber,
     pub(crate) checkpoint: Option<jobs::Checkpoint>,
-    pub(crate) ticket: Option<scheduler::Ticket>,
+    pub(crate) permit: Option<scheduler::Permit>,
 }
 
 pub(crate) fn run_of(started: &Started) -> u64 {
@@ -257,8 +257,8 @@
         let mut started = Vec::new();
         for order in self.scheduler.take_orders() {
             match order {
-                Order::Start { server, task, run, checkpoint, ticket, .. } => {
-                    let start = Started { server: server.clone(), task, run, checkpoint, ticket };
+                Order::Start { server, task, run, checkpoint, permit, .. } => {
+                    let start = Started { server: server.clone(), task, run, checkpoint, permit };
                     self.running.get_mut(&server).expect("it was added").push(start.clone());
                     self.scheduler.lease_sent(&server, Timing::default().lease, self.now);
                     self.scheduler.start_replied(&server, task, run, StartReply::Started, self.now);
@@ -317,8 +317,8 @@
         let mut starts = Vec::new();
         for order in self.scheduler.take_orders() {
             match order {
-                Order::Start { server, task, run, checkpoint, ticket, .. } => {
-                    starts.push(Started { server, task, run, checkpoint, ticket });
+                Order::Start { server, task, run, checkpoint, permit, .. } => {
+                    starts.push(Started { server, task, run, checkpoint, permit });
                 }
                 other => self.stops.push(other),
             }
--- a/crates/scheduler/tests/starting.rs
+++ b/crates/scheduler/tests/starting.rs
@@ -66,12 +66,12 @@
     fn answer_orders(&mut self, turn: u64) {
         let now = self.fixture.now;
         for order in self.fixture.scheduler.take_orders() {
-            let Order::Start { server, task, run, checkpoint, ticket, .. } = order else { continue };
+            let Order::Start { server, task, run, checkpoint, permit, .. } = order else { continue };
             self.fixture.scheduler.start_replied(&server, task, run, StartReply::Started, now);
             // Ends of one job are spread over a second.
             let takes = if task.occurrence.job.0 % 2 == 0 { ARCHIVE.takes } else { URGENT.takes };
             let ends = turn + takes + u64::from(task.index) % 100;
-            self.ending.entry(ends).or_default().push(Started { server, task, run, checkpoint, ticket });
+            self.ending.entry(ends).or_default().push(Started { server, task, run, checkpoint, permit });
         }
         for observation in self.fixture.scheduler.take_observations() {
             if let Observation::RunStarted { after, .. } = observation {
