--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -63,7 +63,7 @@
     observations::Observation,
     orders::{Order, StartReply},
     permits::{Permit, PermitRequest},
-    policy::{Advice, CustomerPolicy, Policy, QueuePolicy, ServiceId},
+    policy::{CustomerPolicy, PermitPolicy, Policy, QueuePolicy, ServiceId},
     scheduler::{Counts, Scheduler},
     server::{ServerAddress, ServerInfo},
     speed::{SpeedReport, SpeedSummary},
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -20,7 +20,7 @@
 
 /// The adviser of a queue tells which backend servers may run a step, and gives a ticket for each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Advice {
+pub struct PermitPolicy {
     /// What each question takes.
     pub base: Duration,
     /// What each backend server that it names takes besides.
@@ -43,7 +43,7 @@
     /// The backend servers that run its tasks.
     pub service: ServiceId,
     /// Set if its tasks start only where the adviser allows it.
-    pub advice: Option<Advice>,
+    pub advice: Option<PermitPolicy>,
 }
 
 /// What a customer may count on.
--- a/crates/scheduler/tests/advice.rs
+++ b/crates/scheduler/tests/advice.rs
@@ -7,10 +7,13 @@
 use common::{Fixture, Started, gang, job, server_id, step};
 use jobs::{JobId, OccurrenceId, StepId};
 use model::{BackendServerId, Duration};
-use scheduler::{Advice, CompletionKind, Permit, PermitRequest, StartReply};
+use scheduler::{CompletionKind, Permit, PermitPolicy, PermitRequest, StartReply};
 
-const ADVICE: Advice =
-    Advice { base: Duration::from_millis(100), each: Duration::from_millis(2), valid: Duration::from_millis(2000) };
+const ADVICE: PermitPolicy = PermitPolicy {
+    base: Duration::from_millis(100),
+    each: Duration::from_millis(2),
+    valid: Duration::from_millis(2000),
+};
 
 fn fixture(servers: usize) -> Fixture {
     let mut fixture = Fixture::new(servers);
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -19,8 +19,8 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, Resources, RunNumber, Step, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    Advice, CallFailure, Completion, CompletionKind, CustomerPolicy, Listing, Order, Policy, QueuePolicy, RunningTask,
-    Scheduler, ServerAddress, ServerInfo, ServiceId, StartReply, Timing, UnreachedNote, WitnessNote,
+    CallFailure, Completion, CompletionKind, CustomerPolicy, Listing, Order, PermitPolicy, Policy, QueuePolicy,
+    RunningTask, Scheduler, ServerAddress, ServerInfo, ServiceId, StartReply, Timing, UnreachedNote, WitnessNote,
 };
 
 pub(crate) const SERVICE: &str = "desk";
@@ -193,7 +193,7 @@
     }
 
     /// Queues let their steps run only where the adviser allows it.
-    pub(crate) fn need_advice(&mut self, advice: Advice) {
+    pub(crate) fn need_advice(&mut self, advice: PermitPolicy) {
         for queue in self.policy.queues.values_mut() {
             queue.advice = Some(advice);
         }
