--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -48,7 +48,7 @@
 
 /// What the adviser has said, and what it is to be asked.
 #[derive(Debug, Default)]
-pub(crate) struct AdviceBook {
+pub(crate) struct PermitBook {
     verdicts: BTreeMap<StepId, BTreeMap<BackendServerId, Verdict>>,
     /// By the order of the latest plan.
     questions: Vec<PermitRequest>,
@@ -56,7 +56,7 @@
     asking: Option<StepId>,
 }
 
-impl AdviceBook {
+impl PermitBook {
     /// Questions of an earlier plan that were not asked are dropped: this one tells what is wanted now.
     pub(crate) fn begin_plan(&mut self) {
         self.questions.clear();
