--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -196,7 +196,7 @@
         let last_try = candidate.groups.iter().any(|&group| has_its_last_try(&progress[group]));
         let need = step.counted_resources();
         let urgent = queue.priority == 0 || step.long_running;
-        let allowed = queue.advice.map(|_| self.advice.allowed(candidate.step_id(), now));
+        let allowed = queue.permits.map(|_| self.permits.allowed(candidate.step_id(), now));
         let pressed = self.wall_ms(now) >= candidate.pressed_ms;
         let stands = candidate.stands;
         Some(Wanted { step, need, service: &queue.service, urgent, pressed, stands, careful, last_try, here, allowed })
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -39,7 +39,7 @@
         }
         self.end_life(id, now);
         self.forget_speed(id);
-        self.advice.remove_permits_for(id);
+        self.permits.remove_permits_for(id);
         self.plan_wanted = true;
         if let Some(server) = self.server_mut(id) {
             server.begin_life();
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -106,23 +106,23 @@
 impl Scheduler {
     /// Whether the adviser is to be asked something.
     pub fn has_questions(&self) -> bool {
-        self.advice.asking.is_none() && !self.advice.questions.is_empty()
+        self.permits.asking.is_none() && !self.permits.questions.is_empty()
     }
 
     /// What the adviser is to be asked next: one question at a time, since it answers them in turn.
     pub fn take_question(&mut self) -> Option<PermitRequest> {
-        if self.advice.asking.is_some() || self.advice.questions.is_empty() {
+        if self.permits.asking.is_some() || self.permits.questions.is_empty() {
             return None;
         }
-        let question = self.advice.questions.remove(0);
-        self.advice.asking = Some(question.step);
+        let question = self.permits.questions.remove(0);
+        self.permits.asking = Some(question.step);
         Some(question)
     }
 
     /// The adviser left a question without an answer: the next plan asks again, if it still has to.
     pub fn not_advised(&mut self, question: &PermitRequest) {
         log::info!("job={} event=not_advised step={}", question.step.occurrence.job, question.step);
-        self.advice.asking = None;
+        self.permits.asking = None;
         self.plan_wanted = true;
     }
 
@@ -135,13 +135,13 @@
             question.servers.len(),
             allowed.len()
         );
-        self.advice.asking = None;
+        self.permits.asking = None;
         self.plan_wanted = true;
         if !self.open.contains(&job) {
             return;
         }
         let until = sent + Duration::from_millis(question.valid.millis().saturating_sub(TICKET_MARGIN.millis()));
-        let verdicts = self.advice.verdicts.entry(question.step).or_default();
+        let verdicts = self.permits.verdicts.entry(question.step).or_default();
         for server in &question.servers {
             let verdict = match allowed.get(server) {
                 Some(permit) => Verdict::Allowed { permit: Arc::clone(permit), until },
@@ -155,28 +155,28 @@
     pub(crate) fn want_advice(&mut self, candidate: &Candidate, rooms: &Rooms, now: Moment) {
         let Some(question) = self.question(candidate, rooms, now) else { return };
         if !question.servers.is_empty() {
-            self.advice.questions.push(question);
+            self.permits.questions.push(question);
         }
     }
 
     fn question(&self, candidate: &Candidate, rooms: &Rooms, now: Moment) -> Option<PermitRequest> {
         let waits = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
-        if self.advice.asking == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
+        if self.permits.asking == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
             return None;
         }
         let queue = &self.jobs[&candidate.occurrence.job].job.queue;
-        let advice = self.policy.queues.get(queue)?.advice?;
+        let permits = self.policy.queues.get(queue)?.permits?;
         let wanted = self.wanted(candidate, now)?;
         let servers = self.to_be_asked(candidate, &wanted, rooms);
-        let takes = advice.base + advice.each.scaled(servers.len() as f64);
-        Some(PermitRequest { step: candidate.step_id(), servers, takes, valid: advice.valid })
+        let takes = permits.base + permits.each.scaled(servers.len() as f64);
+        Some(PermitRequest { step: candidate.step_id(), servers, takes, valid: permits.valid })
     }
 
     /// Backend servers without a ticket that holds, the most promising first: those of racks with most room, if the
     /// step has to stay in one, then those with most room themselves.
     fn to_be_asked(&self, candidate: &Candidate, wanted: &Wanted<'_>, rooms: &Rooms) -> Vec<BackendServerId> {
         let step = candidate.step_id();
-        let could = |room: &Room| wanted.could_run(room) && !self.advice.is_refused(step, &room.id);
+        let could = |room: &Room| wanted.could_run(room) && !self.permits.is_refused(step, &room.id);
         let mut free_in_rack: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
         for (_, room) in rooms.iter().filter(|(_, room)| could(room)) {
             *free_in_rack.entry(&room.rack).or_default() += wanted.fitting(&room.id, &room.soon);
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -14,7 +14,7 @@
         self.refresh_ready(now);
         let mut guarantees = Guarantees::new(self);
         let candidates = self.candidates(wall_ms, &mut guarantees);
-        self.advice.begin_plan();
+        self.permits.begin_plan();
         if candidates.is_empty() {
             return;
         }
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -43,7 +43,7 @@
     /// The backend servers that run its tasks.
     pub service: ServiceId,
     /// Set if its tasks start only where the adviser allows it.
-    pub advice: Option<PermitPolicy>,
+    pub permits: Option<PermitPolicy>,
 }
 
 /// What a customer may count on.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -112,7 +112,7 @@
     /// Availability zones where nothing starts.
     pub(crate) evacuations: Evacuations,
     /// What the adviser has said, and what it is to be asked.
-    pub(crate) advice: PermitBook,
+    pub(crate) permits: PermitBook,
     pub(crate) observations: Vec<Observation>,
     /// The clocks at the latest plan: this process's own, and the time of day.
     pub(crate) wall: (Moment, u64),
@@ -156,7 +156,7 @@
             orders: Vec::new(),
             upkeep: Upkeep::default(),
             evacuations: Evacuations::default(),
-            advice: PermitBook::default(),
+            permits: PermitBook::default(),
             observations: Vec::new(),
             wall: (elected, 0),
             lost_leadership: false,
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -114,7 +114,7 @@
     fn start_refused(&mut self, name: GroupId, task: TaskId, server: &BackendServerId, reply: StartReply, now: Moment) {
         log::info!("job={} event=start_refused task={task} server={server} why={reply:?}", task.occurrence.job);
         if reply == StartReply::NoTicket {
-            self.advice.permit_refused(name.step_id(), server);
+            self.permits.permit_refused(name.step_id(), server);
         } else {
             self.leave_alone(server, now);
         }
@@ -158,7 +158,7 @@
             run: progress.run,
             text: Arc::clone(&self.jobs[&name.occurrence.job].job.text),
             checkpoint: progress.checkpoint.clone(),
-            permit: self.advice.permit(name.step_id(), server),
+            permit: self.permits.permit(name.step_id(), server),
         }
     }
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -99,7 +99,7 @@
         stretch: 3.0,
         objective: Duration::from_secs(1),
         service: ServiceId::from(SERVICE),
-        advice: None,
+        permits: None,
     };
     Policy {
         version: 1,
@@ -193,9 +193,9 @@
     }
 
     /// Queues let their steps run only where the adviser allows it.
-    pub(crate) fn need_advice(&mut self, advice: PermitPolicy) {
+    pub(crate) fn need_advice(&mut self, permits: PermitPolicy) {
         for queue in self.policy.queues.values_mut() {
-            queue.advice = Some(advice);
+            queue.permits = Some(permits);
         }
         self.scheduler.set_policy(self.policy.clone());
     }
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -250,7 +250,7 @@
         stretch: 3.0,
         objective: Duration::from_secs(1000),
         service: ServiceId::from(SERVICE),
-        advice: None,
+        permits: None,
     };
     let queues =
         [("urgent", 0), ("batch", 1), ("archive", 2)].map(|(name, priority)| (name.into(), queue(priority))).into();
