--- a/crates/runtime/src/advice.rs
+++ b/crates/runtime/src/advice.rs
@@ -9,7 +9,7 @@
     let Some(adviser) = parts.adviser.clone() else { return no_adviser(&active).await };
     let mut backoff = Backoff::new();
     loop {
-        let next = active.lock().take_question();
+        let next = active.lock().take_permit_request();
         let Some(question) = next else {
             active.advice_wanted().await;
             continue;
@@ -20,12 +20,12 @@
         match answer {
             Ok(allowed) => {
                 backoff.reset();
-                active.update(|scheduler| scheduler.advised(&question, &allowed, sent));
+                active.update(|scheduler| scheduler.permits_received(&question, &allowed, sent));
             }
             Err(e) => {
                 log::info!("job={} event=advice_failed why={e}", question.step.occurrence.job);
                 backoff.wait().await;
-                active.update(|scheduler| scheduler.not_advised(&question));
+                active.update(|scheduler| scheduler.permit_request_failed(&question));
             }
         }
     }
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -51,15 +51,15 @@
 pub(crate) struct PermitBook {
     verdicts: BTreeMap<StepId, BTreeMap<BackendServerId, Verdict>>,
     /// By the order of the latest plan.
-    questions: Vec<PermitRequest>,
+    requests: Vec<PermitRequest>,
     /// The step that the adviser is being asked about.
     asking: Option<StepId>,
 }
 
 impl PermitBook {
     /// Questions of an earlier plan that were not asked are dropped: this one tells what is wanted now.
-    pub(crate) fn begin_plan(&mut self) {
-        self.questions.clear();
+    pub(crate) fn clear_requests(&mut self) {
+        self.requests.clear();
     }
 
     /// Where a step may start now.
@@ -94,7 +94,7 @@
     }
 
     /// No step of the occurrence will start again.
-    pub(crate) fn forget(&mut self, occurrence: OccurrenceId) {
+    pub(crate) fn remove_occurrence(&mut self, occurrence: OccurrenceId) {
         self.verdicts.retain(|step, _| step.occurrence != occurrence);
     }
 
@@ -105,34 +105,39 @@
 
 impl Scheduler {
     /// Whether the adviser is to be asked something.
-    pub fn has_questions(&self) -> bool {
-        self.permits.asking.is_none() && !self.permits.questions.is_empty()
+    pub fn has_permit_requests(&self) -> bool {
+        self.permits.asking.is_none() && !self.permits.requests.is_empty()
     }
 
     /// What the adviser is to be asked next: one question at a time, since it answers them in turn.
-    pub fn take_question(&mut self) -> Option<PermitRequest> {
-        if self.permits.asking.is_some() || self.permits.questions.is_empty() {
+    pub fn take_permit_request(&mut self) -> Option<PermitRequest> {
+        if self.permits.asking.is_some() || self.permits.requests.is_empty() {
             return None;
         }
-        let question = self.permits.questions.remove(0);
-        self.permits.asking = Some(question.step);
-        Some(question)
+        let request = self.permits.requests.remove(0);
+        self.permits.asking = Some(request.step);
+        Some(request)
     }
 
     /// The adviser left a question without an answer: the next plan asks again, if it still has to.
-    pub fn not_advised(&mut self, question: &PermitRequest) {
-        log::info!("job={} event=not_advised step={}", question.step.occurrence.job, question.step);
+    pub fn permit_request_failed(&mut self, request: &PermitRequest) {
+        log::info!("job={} event=not_advised step={}", request.step.occurrence.job, request.step);
         self.permits.asking = None;
         self.plan_wanted = true;
     }
 
     /// The adviser allows these of the backend servers of a question that was sent at `sent`, and no others.
-    pub fn advised(&mut self, question: &PermitRequest, allowed: &BTreeMap<BackendServerId, Permit>, sent: Moment) {
-        let job = question.step.occurrence.job;
+    pub fn permits_received(
+        &mut self,
+        request: &PermitRequest,
+        allowed: &BTreeMap<BackendServerId, Permit>,
+        sent: Moment,
+    ) {
+        let job = request.step.occurrence.job;
         log::info!(
             "job={job} event=advised step={} asked={} allowed={}",
-            question.step,
-            question.servers.len(),
+            request.step,
+            request.servers.len(),
             allowed.len()
         );
         self.permits.asking = None;
@@ -140,9 +145,9 @@
         if !self.open.contains(&job) {
             return;
         }
-        let until = sent + Duration::from_millis(question.valid.millis().saturating_sub(TICKET_MARGIN.millis()));
-        let verdicts = self.permits.verdicts.entry(question.step).or_default();
-        for server in &question.servers {
+        let until = sent + Duration::from_millis(request.valid.millis().saturating_sub(TICKET_MARGIN.millis()));
+        let verdicts = self.permits.verdicts.entry(request.step).or_default();
+        for server in &request.servers {
             let verdict = match allowed.get(server) {
                 Some(permit) => Verdict::Allowed { permit: Arc::clone(permit), until },
                 None => Verdict::Refused,
@@ -152,14 +157,14 @@
     }
 
     /// Asks about more backend servers for a candidate that has not been placed whole.
-    pub(crate) fn want_advice(&mut self, candidate: &Candidate, rooms: &Rooms, now: Moment) {
-        let Some(question) = self.question(candidate, rooms, now) else { return };
-        if !question.servers.is_empty() {
-            self.permits.questions.push(question);
+    pub(crate) fn request_permits(&mut self, candidate: &Candidate, rooms: &Rooms, now: Moment) {
+        let Some(request) = self.request(candidate, rooms, now) else { return };
+        if !request.servers.is_empty() {
+            self.permits.requests.push(request);
         }
     }
 
-    fn question(&self, candidate: &Candidate, rooms: &Rooms, now: Moment) -> Option<PermitRequest> {
+    fn request(&self, candidate: &Candidate, rooms: &Rooms, now: Moment) -> Option<PermitRequest> {
         let waits = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
         if self.permits.asking == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
             return None;
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -14,7 +14,7 @@
         self.refresh_ready(now);
         let mut guarantees = Guarantees::new(self);
         let candidates = self.candidates(wall_ms, &mut guarantees);
-        self.permits.begin_plan();
+        self.permits.clear_requests();
         if candidates.is_empty() {
             return;
         }
@@ -30,7 +30,7 @@
             } else {
                 self.plan_tasks(candidate, &mut rooms, &guarantees, now);
             }
-            self.want_advice(candidate, &rooms, now);
+            self.request_permits(candidate, &rooms, now);
         }
         self.rooms = rooms;
     }
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -41,7 +41,7 @@
             if entry.over() {
                 self.open.remove(&id.job);
                 self.over.insert(id.job);
-                self.permits.forget(id);
+                self.permits.remove_occurrence(id);
             }
         }
     }
--- a/crates/scheduler/tests/advice.rs
+++ b/crates/scheduler/tests/advice.rs
@@ -28,13 +28,13 @@
 /// Plans, and gives the question that comes of it; nothing may start before it is answered.
 fn question(fixture: &mut Fixture) -> PermitRequest {
     assert!(fixture.start_all().is_empty(), "nothing starts without the adviser's leave");
-    fixture.scheduler.take_question().expect("the adviser is asked")
+    fixture.scheduler.take_permit_request().expect("the adviser is asked")
 }
 
 fn answer(fixture: &mut Fixture, question: &PermitRequest, good: &[usize]) {
     let allowed: BTreeMap<BackendServerId, Permit> = good.iter().map(|&i| (server_id(i), permit(i))).collect();
     let now = fixture.now;
-    fixture.scheduler.advised(question, &allowed, now);
+    fixture.scheduler.permits_received(question, &allowed, now);
 }
 
 /// A task that has started with its ticket on the only backend server.
@@ -66,7 +66,7 @@
     let started = fixture.start_all();
     assert_eq!(servers(&started), [server_id(2)]);
     assert!(started.iter().all(|s| s.permit == Some(permit(2))));
-    assert!(!fixture.scheduler.has_questions(), "everything is placed");
+    assert!(!fixture.scheduler.has_permit_requests(), "everything is placed");
 }
 
 #[test]
@@ -115,12 +115,12 @@
     fixture.submit(job(2, vec![step(1, 1)]));
     let first = question(&mut fixture);
     fixture.start_all();
-    assert!(fixture.scheduler.take_question().is_none(), "the first is not answered yet");
-    fixture.scheduler.not_advised(&first);
+    assert!(fixture.scheduler.take_permit_request().is_none(), "the first is not answered yet");
+    fixture.scheduler.permit_request_failed(&first);
     let again = question(&mut fixture);
     assert_eq!(again, first);
     answer(&mut fixture, &again, &[0, 1]);
     assert_eq!(fixture.start_all().len(), 1);
-    let second = fixture.scheduler.take_question().expect("the second job needs leave of its own");
+    let second = fixture.scheduler.take_permit_request().expect("the second job needs leave of its own");
     assert_eq!(second.step.occurrence.job, JobId(2));
 }
