--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -24,7 +24,7 @@
     Beside, RunningBox,
     border::{BackendServers, Hold, HoldReply, Machines, PaceOrder, Start, StopReply, Target},
 };
-use scheduler::{Machine, MachineId, StartReply, UpkeepReply};
+use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
 use users_platform::{decode::UsersDecoder, machines::UsersMachines, servers::Servers, store::Store};
 use users_platform_standin::{Padding, Setup, Work, free_addrs};
@@ -112,7 +112,13 @@
         })
     }
 
-    fn begin_upkeep(&self, machine: MachineId, wave: u64, holder: BoxId, fence: Fence) -> BoxFuture<'_, UpkeepReply> {
+    fn begin_upkeep(
+        &self,
+        machine: MachineId,
+        wave: u64,
+        holder: BoxId,
+        fence: Fence,
+    ) -> BoxFuture<'_, MaintenanceReply> {
         self.begun.fetch_add(1, Ordering::SeqCst);
         self.machines.begin_upkeep(machine, wave, holder, fence)
     }
--- a/crates/runtime/src/border.rs
+++ b/crates/runtime/src/border.rs
@@ -6,7 +6,7 @@
 use model::{AvailabilityZoneId, BackendServerId, BoxId, Duration, Incarnation};
 use net::{BoxFuture, NetError};
 use outside::Item;
-use scheduler::{Listing, Machine, MachineId, Permit, ServerInfo, StartReply, UpkeepReply, WaveRequest};
+use scheduler::{Listing, Machine, MachineId, MaintenanceReply, MaintenanceRequest, Permit, ServerInfo, StartReply};
 
 use crate::Configuration;
 
@@ -138,7 +138,13 @@
     /// All machines.
     fn list(&self) -> BoxFuture<'_, Result<Vec<Machine>, NetError>>;
     /// Hands a machine over for the upkeep of a wave; everything there dies at once. Safe to send twice.
-    fn begin_upkeep(&self, machine: MachineId, wave: u64, holder: BoxId, fence: Fence) -> BoxFuture<'_, UpkeepReply>;
+    fn begin_upkeep(
+        &self,
+        machine: MachineId,
+        wave: u64,
+        holder: BoxId,
+        fence: Fence,
+    ) -> BoxFuture<'_, MaintenanceReply>;
 }
 
 /// A backend server as the platform lists it.
@@ -173,7 +179,7 @@
     /// Every wave of upkeep has a key under this prefix.
     fn waves_prefix(&self) -> String;
     /// Reads a wave's item.
-    fn wave(&self, item: &Item) -> Result<WaveRequest, DecodeError>;
+    fn wave(&self, item: &Item) -> Result<MaintenanceRequest, DecodeError>;
     /// What operators read of a wave: the key, and the value.
     fn wave_status(&self, number: u64, succeeded: bool) -> (String, Vec<u8>);
     /// While the platform's operators have an availability zone evacuated, it has a key under this prefix.
--- a/crates/runtime/src/upkeep.rs
+++ b/crates/runtime/src/upkeep.rs
@@ -4,7 +4,7 @@
 
 use model::{BoxId, Duration, Revision};
 use outside::{Committed, Item, Put, Transaction};
-use scheduler::{WaveProgress, WaveRequest};
+use scheduler::{MaintenanceProgress, MaintenanceRequest};
 
 use crate::{
     active::Active,
@@ -43,26 +43,26 @@
 }
 
 async fn take_wave(parts: &Parts, active: &Active, item: &Item) {
-    let request: WaveRequest = match parts.decoder.wave(item) {
+    let request: MaintenanceRequest = match parts.decoder.wave(item) {
         Ok(request) => request,
         Err(e) => return log::error!("event=wave_unreadable why={e}"),
     };
     let progress = read_progress(parts, request.number).await;
     let now = parts.view.clock().now();
-    active.update(|scheduler| scheduler.wave_asked(request, progress, now));
+    active.update(|scheduler| scheduler.maintenance_requested(request, progress, now));
 }
 
 /// What an earlier scheduler has done of a wave, read for as long as it takes.
-async fn read_progress(parts: &Parts, number: u64) -> WaveProgress {
+async fn read_progress(parts: &Parts, number: u64) -> MaintenanceProgress {
     let mut backoff = Backoff::new();
     loop {
         match parts.store.get(keys::wave(number)).await {
-            Ok(None) => return WaveProgress::default(),
+            Ok(None) => return MaintenanceProgress::default(),
             Ok(Some(item)) => match serde_json::from_slice(&item.value) {
                 Ok(progress) => return progress,
                 Err(e) => {
                     log::error!("event=wave_progress_unreadable key={} why={e}", item.key);
-                    return WaveProgress::default();
+                    return MaintenanceProgress::default();
                 }
             },
             Err(e) => {
@@ -76,7 +76,7 @@
 /// Carries waves out, until it is dropped.
 pub(crate) async fn run(parts: Parts, active: Arc<Active>, box_id: BoxId) {
     loop {
-        if !active.lock().has_open_waves() {
+        if !active.lock().has_open_maintenance() {
             pause(LOOK_EVERY).await;
             continue;
         }
@@ -101,7 +101,7 @@
     let now = parts.view.clock().now();
     let due = active.update(|scheduler| {
         scheduler.machines_listed(listed, now);
-        scheduler.due_upkeeps(now)
+        scheduler.machines_due_for_maintenance(now)
     });
     for (wave, machine) in due {
         // The keeper of the machines may not compare fencing tokens, so nothing else would hold up a scheduler that has woken.
@@ -110,13 +110,13 @@
         }
         let reply = machines.begin_upkeep(machine.clone(), wave, box_id.clone(), active.fence).await;
         let now = parts.view.clock().now();
-        active.update(|scheduler| scheduler.upkeep_replied(wave, &machine, reply, now));
+        active.update(|scheduler| scheduler.maintenance_replied(wave, &machine, reply, now));
     }
 }
 
 /// Stores how far waves have come, for the next scheduler and for operators.
 async fn store_progress(parts: &Parts, active: &Active) {
-    let unstored = active.lock().unstored_waves();
+    let unstored = active.lock().pending_maintenance_writes();
     for (number, progress) in unstored {
         let (status_key, status) = parts.decoder.wave_status(number, progress.succeeded);
         let value = serde_json::to_vec(&progress).expect("our own types always serialize");
@@ -127,7 +127,7 @@
             remove: Vec::new(),
         };
         match parts.store.commit(transaction, WRITE_LIMIT).await {
-            Ok(Committed::Done(_)) => active.lock().wave_stored(number, &progress),
+            Ok(Committed::Done(_)) => active.lock().maintenance_stored(number, &progress),
             outcome => log::info!("event=wave_not_stored number={number} outcome={outcome:?}"),
         }
     }
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -17,7 +17,7 @@
     /// Whether new work may be placed here.
     pub(crate) fn open(&self, now: Moment) -> bool {
         let steady = self.info.as_ref().is_some_and(|info| !info.draining);
-        let stays = steady && !self.closed && !self.evacuated && self.is_as_listed();
+        let stays = steady && !self.closed_for_maintenance && !self.evacuated && self.is_as_listed();
         stays && self.listed && self.reached() && now >= self.not_before
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -59,7 +59,7 @@
     completions::{Completion, CompletionKind, Listing, RunningTask},
     contact::CallFailure,
     evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
-    maintenance_batch::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
+    maintenance_batch::{Machine, MachineId, MaintenanceProgress, MaintenanceReply, MaintenanceRequest},
     observations::Observation,
     orders::{Order, StartReply},
     permits::{Permit, PermitRequest},
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -40,7 +40,7 @@
 
 /// Upkeep that operators ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WaveRequest {
+pub struct MaintenanceRequest {
     /// Its number.
     pub number: u64,
     /// Which machines.
@@ -53,7 +53,7 @@
 
 /// How far a wave has come, as the store remembers it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WaveProgress {
+pub struct MaintenanceProgress {
     /// Machines that have begun their upkeep.
     #[serde(rename = "begun")]
     pub started: BTreeSet<MachineId>,
@@ -63,7 +63,7 @@
 
 /// What the platform answers to an upkeep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum UpkeepReply {
+pub enum MaintenanceReply {
     /// It has begun, now or before.
     Begun,
     /// Not now: the machine is not up.
@@ -76,7 +76,7 @@
 
 /// A machine that is being emptied, or that was handed over and is not known to be back; since when.
 #[derive(Debug, Clone)]
-pub(crate) struct Turn {
+pub(crate) struct MachineDrain {
     pub(crate) since: Moment,
     /// The backend server that lives on it before its upkeep.
     pub(crate) server: Option<BackendServerId>,
@@ -86,42 +86,42 @@
     pub(crate) asked: bool,
 }
 
-impl Turn {
-    pub(crate) fn new(server: Option<BackendServerId>, now: Moment) -> Turn {
-        Turn { since: now, server, incarnation: None, asked: false }
+impl MachineDrain {
+    pub(crate) fn new(server: Option<BackendServerId>, now: Moment) -> MachineDrain {
+        MachineDrain { since: now, server, incarnation: None, asked: false }
     }
 
     /// Whether another life is on the machine, by the platform's list or by what answers.
-    fn is_followed(&self, machine: &Machine, lives: impl Fn(&BackendServerId) -> Option<Incarnation>) -> bool {
-        let heard = machine.server.as_ref().and_then(lives);
+    fn is_followed(&self, machine: &Machine, incarnation_of: impl Fn(&BackendServerId) -> Option<Incarnation>) -> bool {
+        let heard = machine.server.as_ref().and_then(incarnation_of);
         machine.server != self.server || self.incarnation.zip(heard).is_some_and(|(before, now)| before != now)
     }
 }
 
 /// A wave of upkeep: what operators ask for, and how far it has come.
 #[derive(Debug)]
-pub(crate) struct Wave {
-    pub(crate) request: WaveRequest,
+pub(crate) struct MaintenanceBatch {
+    pub(crate) request: MaintenanceRequest,
     pub(crate) since: Moment,
-    pub(crate) progress: WaveProgress,
+    pub(crate) progress: MaintenanceProgress,
     /// The store holds `progress` as it is.
     pub(crate) stored: bool,
     /// Machines that are being emptied; an upkeep without an answer leaves its machine here, to be asked for again.
-    pub(crate) emptying: BTreeMap<MachineId, Turn>,
+    pub(crate) emptying: BTreeMap<MachineId, MachineDrain>,
     /// Machines that were handed over.
-    pub(crate) down: BTreeMap<MachineId, Turn>,
+    pub(crate) down: BTreeMap<MachineId, MachineDrain>,
 }
 
-impl Wave {
+impl MaintenanceBatch {
     /// Takes in what the platform lists: machines that are back, and that are gone.
-    pub(crate) fn take_list(
+    pub(crate) fn apply_listing(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
-        lives: impl Fn(&BackendServerId) -> Option<Incarnation>,
+        incarnation_of: impl Fn(&BackendServerId) -> Option<Incarnation>,
         now: Moment,
     ) {
         self.down.retain(|id, down| {
-            let back = machines.get(id).is_none_or(|machine| machine.up && down.is_followed(machine, &lives));
+            let back = machines.get(id).is_none_or(|machine| machine.up && down.is_followed(machine, &incarnation_of));
             !back && now.since(down.since) < DOWN_AT_MOST
         });
         self.emptying.retain(|id, _| machines.contains_key(id));
@@ -133,7 +133,7 @@
     }
 
     /// How many machines of the wave are down or about to be, by the list or by what was asked for.
-    pub(crate) fn count_taken(&self, machines: &BTreeMap<MachineId, Machine>) -> usize {
+    pub(crate) fn count_unavailable(&self, machines: &BTreeMap<MachineId, Machine>) -> usize {
         let asked = |id: &MachineId| self.down.contains_key(id) || self.emptying.contains_key(id);
         let taken = |id: &&MachineId| asked(id) || machines.get(*id).is_some_and(|machine| !machine.up);
         self.request.machines.iter().filter(taken).count()
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -11,7 +11,7 @@
     evacuation::Evacuations,
     fleet_capacity::Rooms,
     headroom::StopTimes,
-    maintenance::Upkeep,
+    maintenance::Maintenance,
     observations::Observation,
     orders::Order,
     pending_writes::Unstored,
@@ -108,7 +108,7 @@
     pub(crate) unsent: BTreeSet<OccurrenceId>,
     pub(crate) orders: Vec<Order>,
     /// Waves of upkeep that operators have asked for.
-    pub(crate) upkeep: Upkeep,
+    pub(crate) maintenance: Maintenance,
     /// Availability zones where nothing starts.
     pub(crate) evacuations: Evacuations,
     /// What the adviser has said, and what it is to be asked.
@@ -154,7 +154,7 @@
             under_way: BTreeSet::new(),
             unsent: BTreeSet::new(),
             orders: Vec::new(),
-            upkeep: Upkeep::default(),
+            maintenance: Maintenance::default(),
             evacuations: Evacuations::default(),
             permits: PermitBook::default(),
             observations: Vec::new(),
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -123,7 +123,7 @@
     /// The life that was last heard has said that it leaves.
     pub(crate) leaves: bool,
     /// It is being emptied for upkeep.
-    pub(crate) closed: bool,
+    pub(crate) closed_for_maintenance: bool,
     /// Its availability zone is evacuated.
     pub(crate) evacuated: bool,
     /// It gets no new work before this, since it refused a start.
@@ -152,7 +152,7 @@
             pending_ends: VecDeque::new(),
             seen_end: 0,
             acknowledged_serial: 0,
-            closed: false,
+            closed_for_maintenance: false,
             evacuated: false,
             not_before: Moment::ZERO,
             health: Health::default(),
@@ -200,7 +200,7 @@
             listed: self.listed,
             leaves: false,
             silence: Silence { unlisted: self.silence.unlisted, ..Silence::default() },
-            closed: self.closed,
+            closed_for_maintenance: self.closed_for_maintenance,
             evacuated: self.evacuated,
             touched: self.touched,
             ..Server::new(info, Moment::ZERO)
--- a/crates/scheduler/tests/upkeep.rs
+++ b/crates/scheduler/tests/upkeep.rs
@@ -5,7 +5,7 @@
 use common::{Fixture, Started, job, server_id, step};
 use jobs::Step;
 use model::Duration;
-use scheduler::{CompletionKind, Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest};
+use scheduler::{CompletionKind, Machine, MachineId, MaintenanceProgress, MaintenanceReply, MaintenanceRequest};
 
 fn machine_id(i: usize) -> MachineId {
     MachineId::from(format!("m{i:02}").as_str())
@@ -27,31 +27,31 @@
 /// As many backend servers as machines, and a wave over all of them.
 fn wave(machines: usize, most_at_once: usize) -> Fixture {
     let mut fixture = Fixture::new(machines);
-    ask(&mut fixture, machines, most_at_once, WaveProgress::default());
+    ask(&mut fixture, machines, most_at_once, MaintenanceProgress::default());
     fixture
 }
 
-fn ask(fixture: &mut Fixture, machines: usize, most_at_once: usize, progress: WaveProgress) {
+fn ask(fixture: &mut Fixture, machines: usize, most_at_once: usize, progress: MaintenanceProgress) {
     let machines = (0..machines).map(machine_id).collect();
-    let request = WaveRequest { number: 1, machines, term: Duration::from_secs(20), most_at_once };
+    let request = MaintenanceRequest { number: 1, machines, term: Duration::from_secs(20), most_at_once };
     let now = fixture.now;
-    fixture.scheduler.wave_asked(request, progress, now);
+    fixture.scheduler.maintenance_requested(request, progress, now);
 }
 
 /// The platform lists its machines; gives those that can be handed over.
 fn due(fixture: &mut Fixture, machines: Vec<Machine>) -> Vec<MachineId> {
     let now = fixture.now;
     fixture.scheduler.machines_listed(machines, now);
-    fixture.scheduler.due_upkeeps(now).into_iter().map(|(_, id)| id).collect()
+    fixture.scheduler.machines_due_for_maintenance(now).into_iter().map(|(_, id)| id).collect()
 }
 
-fn hand_over(fixture: &mut Fixture, id: &MachineId, reply: UpkeepReply) {
+fn hand_over(fixture: &mut Fixture, id: &MachineId, reply: MaintenanceReply) {
     let now = fixture.now;
-    fixture.scheduler.upkeep_replied(1, id, reply, now);
+    fixture.scheduler.maintenance_replied(1, id, reply, now);
 }
 
 fn succeeded(fixture: &Fixture) -> bool {
-    fixture.scheduler.unstored_waves().iter().any(|(_, progress)| progress.succeeded)
+    fixture.scheduler.pending_maintenance_writes().iter().any(|(_, progress)| progress.succeeded)
 }
 
 #[test]
@@ -59,14 +59,14 @@
     let mut fixture = wave(3, 1);
     let first = due(&mut fixture, (0..3).map(machine).collect());
     assert_eq!(first, [machine_id(0)]);
-    hand_over(&mut fixture, &first[0], UpkeepReply::Begun);
+    hand_over(&mut fixture, &first[0], MaintenanceReply::Begun);
     assert!(due(&mut fixture, (0..3).map(machine).collect()).is_empty(), "the list is older than the upkeep");
     assert!(due(&mut fixture, vec![in_upkeep(0), machine(1), machine(2)]).is_empty());
     assert_eq!(due(&mut fixture, vec![renewed(0), machine(1), machine(2)]), [machine_id(1)]);
-    hand_over(&mut fixture, &machine_id(1), UpkeepReply::Begun);
+    hand_over(&mut fixture, &machine_id(1), MaintenanceReply::Begun);
     assert_eq!(due(&mut fixture, vec![renewed(0), renewed(1), machine(2)]), [machine_id(2)]);
     assert!(!succeeded(&fixture));
-    hand_over(&mut fixture, &machine_id(2), UpkeepReply::Begun);
+    hand_over(&mut fixture, &machine_id(2), MaintenanceReply::Begun);
     due(&mut fixture, vec![renewed(0), renewed(1), in_upkeep(2)]);
     assert!(succeeded(&fixture), "the last has begun");
 }
@@ -81,7 +81,7 @@
 fn an_upkeep_without_an_answer_counts_as_begun_for_the_limit_and_is_asked_for_again() {
     let mut fixture = wave(2, 1);
     let first = due(&mut fixture, vec![machine(0), machine(1)]);
-    hand_over(&mut fixture, &first[0], UpkeepReply::Unknown);
+    hand_over(&mut fixture, &first[0], MaintenanceReply::Unknown);
     assert!(due(&mut fixture, vec![in_upkeep(0), machine(1)]).is_empty());
     assert_eq!(due(&mut fixture, vec![renewed(0), machine(1)]), [machine_id(0)], "the platform says whether it had it");
 }
@@ -91,8 +91,8 @@
     let mut fixture = wave(2, 2);
     let first = due(&mut fixture, vec![machine(0), machine(1)]);
     assert_eq!(first.len(), 2);
-    hand_over(&mut fixture, &machine_id(0), UpkeepReply::Begun);
-    hand_over(&mut fixture, &machine_id(1), UpkeepReply::Never);
+    hand_over(&mut fixture, &machine_id(0), MaintenanceReply::Begun);
+    hand_over(&mut fixture, &machine_id(1), MaintenanceReply::Never);
     due(&mut fixture, vec![renewed(0)]);
     assert!(succeeded(&fixture));
 }
@@ -101,7 +101,7 @@
 fn a_new_scheduler_goes_on_from_what_the_store_remembers() {
     let mut fixture = Fixture::new(2);
     let started = [machine_id(0)].into();
-    ask(&mut fixture, 2, 2, WaveProgress { started, succeeded: false });
+    ask(&mut fixture, 2, 2, MaintenanceProgress { started, succeeded: false });
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(1)]);
 }
 
@@ -113,7 +113,7 @@
     let started = fixture.start_all();
     fixture.add_server(1);
     fixture.advance(100);
-    ask(&mut fixture, 1, 1, WaveProgress::default());
+    ask(&mut fixture, 1, 1, MaintenanceProgress::default());
     assert!(due(&mut fixture, vec![machine(0), machine(1)]).is_empty(), "something runs there");
     (fixture, started)
 }
@@ -155,7 +155,7 @@
     let mut fixture = wave(2, 1);
     let first = due(&mut fixture, vec![machine(0), machine(1)]);
     assert_eq!(first, [machine_id(0)]);
-    hand_over(&mut fixture, &machine_id(0), UpkeepReply::Begun);
+    hand_over(&mut fixture, &machine_id(0), MaintenanceReply::Begun);
     assert!(due(&mut fixture, vec![machine(0), machine(1)]).is_empty(), "its list may be older than the hand-over");
     fixture.crash_and_return(&server_id(0));
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(1)]);
