--- a/crates/runtime/src/unreached.rs
+++ b/crates/runtime/src/unreached.rs
@@ -4,7 +4,7 @@
 
 use model::{Duration, Revision};
 use outside::{Committed, Item, Put, Transaction};
-use scheduler::{Scheduler, UnreachedNote, UnreachedWrite};
+use scheduler::{Scheduler, UnreachableRecord, UnreachedWrite};
 
 use crate::{
     active::Active,
@@ -36,7 +36,7 @@
 pub(crate) fn restore(scheduler: &mut Scheduler, item: &Item) {
     let note = serde_json::from_slice(&item.value).unwrap_or_else(|e| {
         log::error!("event=unreached_unreadable key={} why={e}", item.key);
-        UnreachedNote::default()
+        UnreachableRecord::default()
     });
     scheduler.restore_unreached(&note, item.revision);
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -69,6 +69,6 @@
     speed::{SpeedReport, SpeedSummary},
     timing::Timing,
     tuning::Tuning,
-    unreachable::{UnreachedNote, UnreachedWrite},
+    unreachable::{UnreachableRecord, UnreachedWrite},
     witnesses::{WitnessNote, WitnessWrite},
 };
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -26,7 +26,7 @@
 /// Backend servers that a scheduler has not reached, as the store holds them: how long leases of earlier schedulers
 /// have left there at most.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UnreachedNote {
+pub struct UnreachableRecord {
     /// In milliseconds from the write, so that no two clocks are compared.
     left_ms: BTreeMap<BackendServerId, u64>,
 }
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct UnreachedWrite {
     /// What.
-    pub note: UnreachedNote,
+    pub note: UnreachableRecord,
     /// The store's revision of the note that it replaces; 0 if there is none.
     pub replaces: Revision,
     at: Moment,
@@ -84,7 +84,7 @@
 
 impl Scheduler {
     /// Takes over the note of an earlier scheduler, before anything else is restored.
-    pub fn restore_unreached(&mut self, note: &UnreachedNote, revision: Revision) {
+    pub fn restore_unreached(&mut self, note: &UnreachableRecord, revision: Revision) {
         let over = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
         self.unreached.noted_over = note.left_ms.iter().map(over).collect();
         self.unreached.named = note.left_ms.keys().cloned().collect();
@@ -122,7 +122,7 @@
     pub fn next_unreached_write(&mut self, now: Moment) -> Option<UnreachedWrite> {
         let new = now.since(self.elected) < FIRST_NOTE_AFTER;
         let fresh = self.unreached.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
-        let note = UnreachedNote { left_ms: self.unreached_for_long(now) };
+        let note = UnreachableRecord { left_ms: self.unreached_for_long(now) };
         let due = !note.left_ms.is_empty() && !new && !fresh;
         if !due && !self.unreached.is_to_be_withdrawn() {
             return None;
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
     CallFailure, Completion, CompletionKind, CustomerPolicy, Listing, Order, PermitPolicy, Policy, QueuePolicy,
-    RunningTask, Scheduler, ServerAddress, ServerInfo, ServiceId, StartReply, Timing, UnreachedNote, WitnessNote,
+    RunningTask, Scheduler, ServerAddress, ServerInfo, ServiceId, StartReply, Timing, UnreachableRecord, WitnessNote,
 };
 
 pub(crate) const SERVICE: &str = "desk";
@@ -123,7 +123,7 @@
     jobs: Vec<Job>,
     stored: BTreeMap<OccurrenceId, (Progress, Revision)>,
     /// Backend servers that the latest scheduler had not reached.
-    note: Option<(UnreachedNote, Revision)>,
+    note: Option<(UnreachableRecord, Revision)>,
     /// Backend servers that witness who schedules.
     witnesses: Option<(WitnessNote, Revision)>,
     /// Every earlier scheduler goes by them.
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -10,7 +10,8 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachedNote, UnreachedWrite, WitnessNote, WriteBatch,
+    CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachableRecord, UnreachedWrite, WitnessNote,
+    WriteBatch,
 };
 
 use super::{events::Event, info, policy, server::FakeServer, server_id, still::Watch, witnesses::CutOff};
@@ -71,7 +72,7 @@
     pub(crate) events: Vec<(u64, Event)>,
     pub(crate) stored: BTreeMap<OccurrenceId, (Progress, Revision)>,
     /// Backend servers that a scheduler had not reached.
-    pub(crate) note: Option<(UnreachedNote, Revision)>,
+    pub(crate) note: Option<(UnreachableRecord, Revision)>,
     pub(crate) witnesses: Option<(WitnessNote, Revision)>,
     /// Schedulers go by witnesses; those of an earlier version do not.
     pub(crate) by_witnesses: bool,
