--- a/crates/runtime/src/unreached.rs
+++ b/crates/runtime/src/unreached.rs
@@ -4,7 +4,7 @@
 
 use model::{Duration, Revision};
 use outside::{Committed, Item, Put, Transaction};
-use scheduler::{Scheduler, UnreachableRecord, UnreachedWrite};
+use scheduler::{Scheduler, UnreachableRecord, UnreachableWrite};
 
 use crate::{
     active::Active,
@@ -72,7 +72,7 @@
 }
 
 /// A write that only the elected scheduler can make, in place of the note that it knows of.
-fn transaction(active: &Active, write: &UnreachedWrite) -> Transaction {
+fn transaction(active: &Active, write: &UnreachableWrite) -> Transaction {
     let value = serde_json::to_vec(&write.note).expect("our own types always serialize");
     Transaction {
         expect: vec![
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -69,6 +69,6 @@
     speed::{SpeedReport, SpeedSummary},
     timing::Timing,
     tuning::Tuning,
-    unreachable::{UnreachableRecord, UnreachedWrite},
+    unreachable::{UnreachableRecord, UnreachableWrite},
     witnesses::{WitnessNote, WitnessWrite},
 };
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -33,7 +33,7 @@
 
 /// A note that is to be stored.
 #[derive(Debug, Clone)]
-pub struct UnreachedWrite {
+pub struct UnreachableWrite {
     /// What.
     pub note: UnreachableRecord,
     /// The store's revision of the note that it replaces; 0 if there is none.
@@ -119,7 +119,7 @@
 
     /// The note that should be stored now, if any. The backend servers that it names count as named from here on,
     /// whatever comes of the write.
-    pub fn next_unreached_write(&mut self, now: Moment) -> Option<UnreachedWrite> {
+    pub fn next_unreached_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
         let new = now.since(self.elected) < FIRST_NOTE_AFTER;
         let fresh = self.unreached.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
         let note = UnreachableRecord { left_ms: self.unreached_for_long(now) };
@@ -129,7 +129,7 @@
         }
         let newly: Vec<BackendServerId> = note.left_ms.keys().filter(|id| !self.unreached.names(id)).cloned().collect();
         self.unreached.named.extend(newly);
-        Some(UnreachedWrite { note, replaces: self.unreached.revision, at: now })
+        Some(UnreachableWrite { note, replaces: self.unreached.revision, at: now })
     }
 
     /// What the note is to name, with how long leases have left there in milliseconds: also what it names already, for
@@ -145,7 +145,7 @@
     }
 
     /// The store has taken a note, at `revision`: what it does not name may be given leases again.
-    pub fn unreached_stored(&mut self, write: UnreachedWrite, revision: Revision) {
+    pub fn unreached_stored(&mut self, write: UnreachableWrite, revision: Revision) {
         let before = std::mem::take(&mut self.unreached.named);
         self.unreached.named = write.note.left_ms.into_keys().collect();
         self.unreached.noted_at = Some(write.at);
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -5,7 +5,7 @@
 use jobs::{OccurrenceId, RunNumber, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Incarnation, Moment, Revision};
 use scheduler::{
-    CallFailure, CompletionKind, EvacuatedBy, Listing, StartReply, UnreachedWrite, WitnessNote, WitnessWrite,
+    CallFailure, CompletionKind, EvacuatedBy, Listing, StartReply, UnreachableWrite, WitnessNote, WitnessWrite,
     WriteBatch,
 };
 
@@ -83,12 +83,12 @@
     },
     Note {
         leader: usize,
-        write: UnreachedWrite,
+        write: UnreachableWrite,
         answered: bool,
     },
     Noted {
         leader: usize,
-        write: UnreachedWrite,
+        write: UnreachableWrite,
         result: Result<Revision, Revision>,
     },
     NoteLost {
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -10,7 +10,7 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachableRecord, UnreachedWrite, WitnessNote,
+    CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachableRecord, UnreachableWrite, WitnessNote,
     WriteBatch,
 };
 
@@ -346,7 +346,7 @@
     }
 
     /// A note of what a scheduler has not reached arrives at the store. The error is the revision of the one that stands there.
-    pub(crate) fn write_note(&mut self, leader: usize, write: &UnreachedWrite) -> Result<Revision, Revision> {
+    pub(crate) fn write_note(&mut self, leader: usize, write: &UnreachableWrite) -> Result<Revision, Revision> {
         let found = self.note.as_ref().map_or(Revision(0), |(_, revision)| *revision);
         if self.leaders[leader].fence != self.holder || found != write.replaces {
             return Err(found);
