--- a/crates/runtime/src/witnesses.rs
+++ b/crates/runtime/src/witnesses.rs
@@ -4,7 +4,7 @@
 
 use model::{Duration, Revision};
 use outside::{Committed, Item, Put, Transaction};
-use scheduler::{Scheduler, WitnessNote, WitnessWrite};
+use scheduler::{Scheduler, WitnessRecord, WitnessWrite};
 
 use crate::{
     active::Active,
@@ -38,7 +38,7 @@
     scheduler.restore_witnesses(item.and_then(note_of), revision, binding);
 }
 
-fn note_of(item: &Item) -> Option<WitnessNote> {
+fn note_of(item: &Item) -> Option<WitnessRecord> {
     serde_json::from_slice(&item.value)
         .inspect_err(|e| log::error!("event=witnesses_unreadable key={} why={e}", item.key))
         .ok()
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -70,5 +70,5 @@
     timing::Timing,
     tuning::Tuning,
     unreachable::{UnreachableRecord, UnreachableWrite},
-    witnesses::{WitnessNote, WitnessWrite},
+    witnesses::{WitnessRecord, WitnessWrite},
 };
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -26,7 +26,7 @@
 
 /// Backend servers that witness who schedules, as the store holds them, each with its life.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WitnessNote {
+pub struct WitnessRecord {
     lives: BTreeMap<BackendServerId, Option<Incarnation>>,
 }
 
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub struct WitnessWrite {
     /// Who.
-    pub note: WitnessNote,
+    pub note: WitnessRecord,
     /// The store's revision of those that they replace; 0 if there are none.
     pub replaces: Revision,
 }
@@ -43,13 +43,13 @@
 #[derive(Debug, Default)]
 pub(crate) struct Witnesses {
     /// Earlier schedulers may count on these; `None` if nothing follows from them.
-    earlier: Option<WitnessNote>,
+    earlier: Option<WitnessRecord>,
     /// No earlier scheduler can count on what the store held at the election.
     settled: bool,
     /// Those that the store is known to have held last.
-    held: Option<WitnessNote>,
+    held: Option<WitnessRecord>,
     /// Those that it may hold in their place.
-    in_doubt: Vec<WitnessNote>,
+    in_doubt: Vec<WitnessRecord>,
     revision: Revision,
     chosen_at: Option<Moment>,
     /// The life that answered last, and when the call was sent.
@@ -58,7 +58,7 @@
     latest: Moment,
 }
 
-impl WitnessNote {
+impl WitnessRecord {
     /// Whether more than two thirds of them fit: with a third of them elsewhere this cannot be.
     fn most(&self, fits: impl Fn(&BackendServerId, Option<Incarnation>) -> bool) -> bool {
         let fitting = self.lives.iter().filter(|(id, life)| fits(id, **life)).count();
@@ -67,7 +67,7 @@
 }
 
 impl Witnesses {
-    fn may_be_held(&self) -> impl Iterator<Item = &WitnessNote> {
+    fn may_be_held(&self) -> impl Iterator<Item = &WitnessRecord> {
         self.held.iter().chain(&self.in_doubt)
     }
 
@@ -94,7 +94,7 @@
 impl Scheduler {
     /// Takes over the witnesses that the store has held since this scheduler was elected; `None` if it holds none.
     /// `binding` tells whether every earlier scheduler that may renew leases still goes by them.
-    pub fn restore_witnesses(&mut self, note: Option<WitnessNote>, revision: Revision, binding: bool) {
+    pub fn restore_witnesses(&mut self, note: Option<WitnessRecord>, revision: Revision, binding: bool) {
         self.witnesses.settled = revision == Revision(0);
         if binding && revision == Revision(0) {
             // Without witnesses in the store nobody may go on.
@@ -172,14 +172,14 @@
     }
 
     /// The store holds these, and not those that were to be replaced: an earlier write of ours took effect after all.
-    pub fn witnesses_found(&mut self, note: Option<WitnessNote>, revision: Revision) {
+    pub fn witnesses_found(&mut self, note: Option<WitnessRecord>, revision: Revision) {
         self.witnesses.held = note;
         self.witnesses.in_doubt.clear();
         self.witnesses.revision = revision;
     }
 
     /// Backend servers that answer, of each availability zone in turn.
-    fn choose_witnesses(&self) -> WitnessNote {
+    fn choose_witnesses(&self) -> WitnessRecord {
         let mut zones: BTreeMap<&AvailabilityZoneId, VecDeque<(&BackendServerId, &Server)>> = BTreeMap::new();
         for (id, server) in self.servers.iter().filter(|(_, server)| may_witness(server)) {
             if let Some(info) = &server.info {
@@ -191,11 +191,11 @@
             let next = zones.values_mut().filter_map(VecDeque::pop_front).take(MOST - lives.len());
             lives.extend(next.map(|(id, server)| (id.clone(), server.incarnation)));
         }
-        WitnessNote { lives }
+        WitnessRecord { lives }
     }
 
     /// Whether those in the store are as good as a new choice: nearly all of them answer, and they are about as many.
-    fn witnesses_suffice(&self, new: &WitnessNote) -> bool {
+    fn witnesses_suffice(&self, new: &WitnessRecord) -> bool {
         let Some(held) = self.witnesses.held.as_ref().filter(|_| self.witnesses.in_doubt.is_empty()) else {
             return false;
         };
--- a/crates/scheduler/tests/answers_in_any_order.rs
+++ b/crates/scheduler/tests/answers_in_any_order.rs
@@ -6,9 +6,9 @@
 
 use common::{Fixture, job, server_id, step};
 use model::{BackendServerId, Duration, Incarnation};
-use scheduler::{Listing, WitnessNote};
+use scheduler::{Listing, WitnessRecord};
 
-fn witnesses(ids: &[BackendServerId]) -> WitnessNote {
+fn witnesses(ids: &[BackendServerId]) -> WitnessRecord {
     let lives: Vec<String> = ids.iter().map(|id| format!("\"{id}\":1000")).collect();
     serde_json::from_str(&format!("{{\"lives\":{{{}}}}}", lives.join(","))).expect("it is a note")
 }
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -5,7 +5,7 @@
 use jobs::{OccurrenceId, RunNumber, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Incarnation, Moment, Revision};
 use scheduler::{
-    CallFailure, CompletionKind, EvacuatedBy, Listing, StartReply, UnreachableWrite, WitnessNote, WitnessWrite,
+    CallFailure, CompletionKind, EvacuatedBy, Listing, StartReply, UnreachableWrite, WitnessRecord, WitnessWrite,
     WriteBatch,
 };
 
@@ -102,7 +102,7 @@
     Chosen {
         leader: usize,
         write: WitnessWrite,
-        result: Result<Revision, Option<(WitnessNote, Revision)>>,
+        result: Result<Revision, Option<(WitnessRecord, Revision)>>,
     },
     ChoiceLost {
         leader: usize,
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -20,7 +20,7 @@
 use model::{AvailabilityZoneId, BackendServerId, CustomerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
     CallFailure, Completion, CompletionKind, CustomerPolicy, Listing, Order, PermitPolicy, Policy, QueuePolicy,
-    RunningTask, Scheduler, ServerAddress, ServerInfo, ServiceId, StartReply, Timing, UnreachableRecord, WitnessNote,
+    RunningTask, Scheduler, ServerAddress, ServerInfo, ServiceId, StartReply, Timing, UnreachableRecord, WitnessRecord,
 };
 
 pub(crate) const SERVICE: &str = "desk";
@@ -125,7 +125,7 @@
     /// Backend servers that the latest scheduler had not reached.
     note: Option<(UnreachableRecord, Revision)>,
     /// Backend servers that witness who schedules.
-    witnesses: Option<(WitnessNote, Revision)>,
+    witnesses: Option<(WitnessRecord, Revision)>,
     /// Every earlier scheduler goes by them.
     witnesses_bind: bool,
     /// The number of the newest backend server.
@@ -394,7 +394,7 @@
     }
 
     /// The store holds other witnesses, or none; `bind` tells whether all schedulers go by them.
-    pub(crate) fn hold_witnesses(&mut self, note: Option<WitnessNote>, bind: bool) {
+    pub(crate) fn hold_witnesses(&mut self, note: Option<WitnessRecord>, bind: bool) {
         self.revision += 1;
         self.witnesses = note.map(|note| (note, Revision(self.revision)));
         self.witnesses_bind = bind;
--- a/crates/scheduler/tests/common/witnesses.rs
+++ b/crates/scheduler/tests/common/witnesses.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use model::{BackendServerId, Duration, Moment, Revision};
-use scheduler::{WitnessNote, WitnessWrite};
+use scheduler::{WitnessRecord, WitnessWrite};
 
 use super::{
     events::Event,
@@ -93,7 +93,7 @@
         &mut self,
         leader: usize,
         write: &WitnessWrite,
-    ) -> Result<Revision, Option<(WitnessNote, Revision)>> {
+    ) -> Result<Revision, Option<(WitnessRecord, Revision)>> {
         let found = self.witnesses.as_ref().map_or(Revision(0), |(_, revision)| *revision);
         if self.leaders[leader].fence != self.holder {
             return Err(None);
@@ -111,7 +111,7 @@
         &mut self,
         leader: usize,
         write: WitnessWrite,
-        result: Result<Revision, Option<(WitnessNote, Revision)>>,
+        result: Result<Revision, Option<(WitnessRecord, Revision)>>,
     ) {
         let leader = &mut self.leaders[leader];
         leader.choosing = false;
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -10,7 +10,7 @@
 use jobs::{Fence, Job, JobId, JobState, OccurrenceId, Progress, TaskId};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Incarnation, Moment, Revision};
 use scheduler::{
-    CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachableRecord, UnreachableWrite, WitnessNote,
+    CompletionKind, EvacuatedBy, Scheduler, ServerInfo, Timing, UnreachableRecord, UnreachableWrite, WitnessRecord,
     WriteBatch,
 };
 
@@ -73,7 +73,7 @@
     pub(crate) stored: BTreeMap<OccurrenceId, (Progress, Revision)>,
     /// Backend servers that a scheduler had not reached.
     pub(crate) note: Option<(UnreachableRecord, Revision)>,
-    pub(crate) witnesses: Option<(WitnessNote, Revision)>,
+    pub(crate) witnesses: Option<(WitnessRecord, Revision)>,
     /// Schedulers go by witnesses; those of an earlier version do not.
     pub(crate) by_witnesses: bool,
     pub(crate) revision: u64,
--- a/crates/scheduler/tests/witnesses.rs
+++ b/crates/scheduler/tests/witnesses.rs
@@ -10,7 +10,7 @@
 use common::{Fixture, info, job, job_in, policy, server_id, step, world::World};
 use jobs::Fence;
 use model::{AvailabilityZoneId, BackendServerId, Duration, Incarnation, Moment, Revision};
-use scheduler::{Listing, Scheduler, ServerInfo, Timing, WitnessNote};
+use scheduler::{Listing, Scheduler, ServerInfo, Timing, WitnessRecord};
 
 const LIFE: Incarnation = Incarnation(1000);
 const BEGUN: Moment = Moment::from_millis(10_000);
@@ -45,7 +45,7 @@
 }
 
 /// One that has heard all of them and chosen witnesses, which the store has taken.
-fn with_witnesses(servers: usize) -> (Scheduler, WitnessNote) {
+fn with_witnesses(servers: usize) -> (Scheduler, WitnessRecord) {
     let mut scheduler = elected(10, servers);
     scheduler.restore_witnesses(None, Revision(0), false);
     answer(&mut scheduler, 0..servers, BEGUN);
@@ -167,7 +167,7 @@
 
 /// How long a run waits that is placed where nobody answers, if so many of six witnesses answer the new scheduler;
 /// `binding` as the store's note of earlier schedulers says.
-fn waits(heard: usize, note: &WitnessNote, binding: bool) -> Duration {
+fn waits(heard: usize, note: &WitnessRecord, binding: bool) -> Duration {
     let mut fixture = Fixture::new(7);
     fixture.submit(job(1, vec![step(1, 1)]));
     let place = fixture.start_all().remove(0).server;
@@ -188,7 +188,7 @@
 }
 
 /// The same witnesses under other ids.
-fn renamed(note: &WitnessNote, ids: &[BackendServerId]) -> WitnessNote {
+fn renamed(note: &WitnessRecord, ids: &[BackendServerId]) -> WitnessRecord {
     let mut text = serde_json::to_string(note).expect("it serializes");
     for (i, id) in ids.iter().enumerate() {
         text = text.replace(&format!("\"{}\"", server_id(i)), &format!("\"new-{id}\""));
