--- a/crates/runtime/src/unreached.rs
+++ b/crates/runtime/src/unreached.rs
@@ -73,7 +73,7 @@
 
 /// A write that only the elected scheduler can make, in place of the note that it knows of.
 fn transaction(active: &Active, write: &UnreachableWrite) -> Transaction {
-    let value = serde_json::to_vec(&write.note).expect("our own types always serialize");
+    let value = serde_json::to_vec(&write.record).expect("our own types always serialize");
     Transaction {
         expect: vec![
             (keys::SCHEDULER.to_owned(), Revision(active.fence.0)),
--- a/crates/runtime/src/witnesses.rs
+++ b/crates/runtime/src/witnesses.rs
@@ -80,7 +80,7 @@
 
 /// A write that only the elected scheduler can make, in place of the witnesses that it knows of.
 fn transaction(active: &Active, write: &WitnessWrite) -> Transaction {
-    let value = serde_json::to_vec(&write.note).expect("our own types always serialize");
+    let value = serde_json::to_vec(&write.record).expect("our own types always serialize");
     Transaction {
         expect: vec![
             (keys::SCHEDULER.to_owned(), Revision(active.fence.0)),
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -49,7 +49,7 @@
     }
 
     /// A stop has taken so long.
-    pub(crate) fn note(&mut self, took: Duration) {
+    pub(crate) fn record(&mut self, took: Duration) {
         let took = took.min(LONGEST).secs_f64();
         self.mean_s += LATEST * (took - self.mean_s);
     }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -135,7 +135,7 @@
 
 impl FleetSpeed {
     /// One has changed, or is known for the first time, or no more. Returns whether that changes what others count for.
-    fn note(&mut self, before: &Speed, after: &Speed) -> bool {
+    fn record(&mut self, before: &Speed, after: &Speed) -> bool {
         self.add(before, -1.0);
         self.add(after, 1.0);
         self.known = self.known + usize::from(after.runs > 0) - usize::from(before.runs > 0);
@@ -326,7 +326,7 @@
             let (before, class) = (server.speed, server.speed.class(&self.fleet_speed));
             server.speed.learn(off - expected, variance, now);
             let after = server.speed;
-            all_move |= self.fleet_speed.note(&before, &after);
+            all_move |= self.fleet_speed.record(&before, &after);
             if after.class(&self.fleet_speed) != class {
                 self.say_speed(id, now);
                 self.touch(id);
@@ -341,7 +341,7 @@
     pub(crate) fn forget_speed(&mut self, id: &BackendServerId) {
         let Some(server) = self.servers.get_mut(id) else { return };
         let speed = std::mem::take(&mut server.speed);
-        if self.fleet_speed.note(&speed, &Speed::default()) {
+        if self.fleet_speed.record(&speed, &Speed::default()) {
             self.touch_all();
         }
     }
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -35,7 +35,7 @@
 #[derive(Debug, Clone)]
 pub struct UnreachableWrite {
     /// What.
-    pub note: UnreachableRecord,
+    pub record: UnreachableRecord,
     /// The store's revision of the note that it replaces; 0 if there is none.
     pub replaces: Revision,
     at: Moment,
@@ -84,10 +84,10 @@
 
 impl Scheduler {
     /// Takes over the note of an earlier scheduler, before anything else is restored.
-    pub fn restore_unreached(&mut self, note: &UnreachableRecord, revision: Revision) {
+    pub fn restore_unreached(&mut self, record: &UnreachableRecord, revision: Revision) {
         let over = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
-        self.unreached.noted_over = note.left_ms.iter().map(over).collect();
-        self.unreached.named = note.left_ms.keys().cloned().collect();
+        self.unreached.noted_over = record.left_ms.iter().map(over).collect();
+        self.unreached.named = record.left_ms.keys().cloned().collect();
         self.unreached.noted_at = Some(self.elected);
         self.unreached.revision = revision;
     }
@@ -122,14 +122,15 @@
     pub fn next_unreached_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
         let new = now.since(self.elected) < FIRST_NOTE_AFTER;
         let fresh = self.unreached.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
-        let note = UnreachableRecord { left_ms: self.unreached_for_long(now) };
-        let due = !note.left_ms.is_empty() && !new && !fresh;
+        let record = UnreachableRecord { left_ms: self.unreached_for_long(now) };
+        let due = !record.left_ms.is_empty() && !new && !fresh;
         if !due && !self.unreached.is_to_be_withdrawn() {
             return None;
         }
-        let newly: Vec<BackendServerId> = note.left_ms.keys().filter(|id| !self.unreached.names(id)).cloned().collect();
+        let newly: Vec<BackendServerId> =
+            record.left_ms.keys().filter(|id| !self.unreached.names(id)).cloned().collect();
         self.unreached.named.extend(newly);
-        Some(UnreachableWrite { note, replaces: self.unreached.revision, at: now })
+        Some(UnreachableWrite { record, replaces: self.unreached.revision, at: now })
     }
 
     /// What the note is to name, with how long leases have left there in milliseconds: also what it names already, for
@@ -147,7 +148,7 @@
     /// The store has taken a note, at `revision`: what it does not name may be given leases again.
     pub fn unreached_stored(&mut self, write: UnreachableWrite, revision: Revision) {
         let before = std::mem::take(&mut self.unreached.named);
-        self.unreached.named = write.note.left_ms.into_keys().collect();
+        self.unreached.named = write.record.left_ms.into_keys().collect();
         self.unreached.noted_at = Some(write.at);
         self.unreached.revision = revision;
         for id in before {
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone)]
 pub struct WitnessWrite {
     /// Who.
-    pub note: WitnessRecord,
+    pub record: WitnessRecord,
     /// The store's revision of those that they replace; 0 if there are none.
     pub replaces: Revision,
 }
@@ -73,7 +73,7 @@
 
     /// Whether anything follows from an answer of a backend server.
     fn concern(&self, id: &BackendServerId) -> bool {
-        self.earlier.iter().chain(self.may_be_held()).any(|note| note.lives.contains_key(id))
+        self.earlier.iter().chain(self.may_be_held()).any(|record| record.lives.contains_key(id))
     }
 
     /// Whether each set that the store may hold vouches for this scheduler by answers to calls sent since then.
@@ -81,27 +81,27 @@
         let answered = |id: &BackendServerId, life| {
             self.answers.get(id).is_some_and(|(answering, sent)| *answering == life && *sent >= since)
         };
-        self.held.is_some() && self.may_be_held().all(|note| note.most(answered))
+        self.held.is_some() && self.may_be_held().all(|record| record.most(answered))
     }
 
     /// Whether so many have answered this scheduler that no earlier one can count most of them.
     fn outvote_earlier(&self) -> bool {
         let unheard = |id: &BackendServerId, _| !self.answers.contains_key(id);
-        self.earlier.as_ref().is_some_and(|note| !note.lives.is_empty() && !note.most(unheard))
+        self.earlier.as_ref().is_some_and(|record| !record.lives.is_empty() && !record.most(unheard))
     }
 }
 
 impl Scheduler {
     /// Takes over the witnesses that the store has held since this scheduler was elected; `None` if it holds none.
     /// `binding` tells whether every earlier scheduler that may renew leases still goes by them.
-    pub fn restore_witnesses(&mut self, note: Option<WitnessRecord>, revision: Revision, binding: bool) {
+    pub fn restore_witnesses(&mut self, record: Option<WitnessRecord>, revision: Revision, binding: bool) {
         self.witnesses.settled = revision == Revision(0);
         if binding && revision == Revision(0) {
             // Without witnesses in the store nobody may go on.
             self.limit_earlier_leases(self.timing.lease_over(self.elected));
         }
-        self.witnesses.earlier = note.clone().filter(|_| binding);
-        self.witnesses.held = note;
+        self.witnesses.earlier = record.clone().filter(|_| binding);
+        self.witnesses.held = record;
         self.witnesses.revision = revision;
     }
 
@@ -144,7 +144,7 @@
 
     /// Whether a backend server is one of those that vouch for this scheduler.
     pub fn is_witness(&self, id: &BackendServerId) -> bool {
-        self.witnesses.may_be_held().any(|note| note.lives.contains_key(id))
+        self.witnesses.may_be_held().any(|record| record.lives.contains_key(id))
     }
 
     /// The witnesses that should be stored now, if others than the store holds. From here on the store may hold them.
@@ -158,22 +158,22 @@
         self.witnesses.settled = true;
         self.witnesses.earlier = None;
         self.witnesses.chosen_at = Some(now);
-        let note = self.choose_witnesses();
-        if note.lives.is_empty() || self.witnesses_suffice(&note) {
+        let record = self.choose_witnesses();
+        if record.lives.is_empty() || self.witnesses_suffice(&record) {
             return None;
         }
-        self.witnesses.in_doubt.push(note.clone());
-        Some(WitnessWrite { note, replaces: self.witnesses.revision })
+        self.witnesses.in_doubt.push(record.clone());
+        Some(WitnessWrite { record, replaces: self.witnesses.revision })
     }
 
     /// The store has taken witnesses, at `revision`: no other write that replaces the same can take effect.
     pub fn witnesses_stored(&mut self, write: WitnessWrite, revision: Revision) {
-        self.witnesses_found(Some(write.note), revision);
+        self.witnesses_found(Some(write.record), revision);
     }
 
     /// The store holds these, and not those that were to be replaced: an earlier write of ours took effect after all.
-    pub fn witnesses_found(&mut self, note: Option<WitnessRecord>, revision: Revision) {
-        self.witnesses.held = note;
+    pub fn witnesses_found(&mut self, record: Option<WitnessRecord>, revision: Revision) {
+        self.witnesses.held = record;
         self.witnesses.in_doubt.clear();
         self.witnesses.revision = revision;
     }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -227,7 +227,7 @@
     fn store_note(&mut self) {
         if let Some(write) = self.scheduler.next_unreached_write(self.now) {
             self.revision += 1;
-            self.note = Some((write.note.clone(), Revision(self.revision)));
+            self.note = Some((write.record.clone(), Revision(self.revision)));
             self.scheduler.unreached_stored(write, Revision(self.revision));
         }
     }
@@ -235,7 +235,7 @@
     fn store_witnesses(&mut self) {
         if let Some(write) = self.scheduler.next_witness_write(self.now) {
             self.revision += 1;
-            self.witnesses = Some((write.note.clone(), Revision(self.revision)));
+            self.witnesses = Some((write.record.clone(), Revision(self.revision)));
             self.scheduler.witnesses_stored(write, Revision(self.revision));
         }
     }
--- a/crates/scheduler/tests/common/witnesses.rs
+++ b/crates/scheduler/tests/common/witnesses.rs
@@ -103,7 +103,7 @@
         }
         self.revision += 1;
         let revision = Revision(self.revision);
-        self.witnesses = Some((write.note.clone(), revision));
+        self.witnesses = Some((write.record.clone(), revision));
         Ok(revision)
     }
 
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -353,7 +353,7 @@
         }
         self.revision += 1;
         let revision = Revision(self.revision);
-        self.note = Some((write.note.clone(), revision));
+        self.note = Some((write.record.clone(), revision));
         Ok(revision)
     }
 
--- a/crates/scheduler/tests/witnesses.rs
+++ b/crates/scheduler/tests/witnesses.rs
@@ -50,7 +50,7 @@
     scheduler.restore_witnesses(None, Revision(0), false);
     answer(&mut scheduler, 0..servers, BEGUN);
     let write = scheduler.next_witness_write(after(1000)).expect("none are stored");
-    let note = write.note.clone();
+    let note = write.record.clone();
     scheduler.witnesses_stored(write, Revision(20));
     (scheduler, note)
 }
@@ -128,7 +128,7 @@
     }
     answer(&mut scheduler, 0..8, after(3500));
     let second = scheduler.next_witness_write(after(3500)).expect("there are more to choose from");
-    assert_ne!(second.note, first);
+    assert_ne!(second.record, first);
     answer(&mut scheduler, 2..8, after(6000));
     assert!(!may_renew(&scheduler, after(2000), after(6000)), "6 of 8 answer, and 1 of 3");
     answer(&mut scheduler, 0..1, after(6000));
@@ -245,7 +245,7 @@
     }
     answer(&mut scheduler, 0..90, BEGUN);
     let write = scheduler.next_witness_write(after(1000)).expect("none are stored");
-    let text = serde_json::to_string(&write.note).expect("it serializes");
+    let text = serde_json::to_string(&write.record).expect("it serializes");
     let count =
         |range: std::ops::Range<usize>| range.filter(|i| text.contains(&format!("\"{}\"", server_id(*i)))).count();
     assert_eq!((count(0..20), count(20..90)), (20, 10));
