--- a/crates/runtime/src/unreached.rs
+++ b/crates/runtime/src/unreached.rs
@@ -38,7 +38,7 @@
         log::error!("event=unreached_unreadable key={} why={e}", item.key);
         UnreachableRecord::default()
     });
-    scheduler.restore_unreached(&note, item.revision);
+    scheduler.restore_unreachable(&note, item.revision);
 }
 
 /// Keeps the note, until it is dropped.
@@ -51,15 +51,15 @@
             continue;
         }
         let now = parts.view.clock().now();
-        let Some(write) = active.lock().next_unreached_write(now) else { continue };
+        let Some(write) = active.lock().next_unreachable_write(now) else { continue };
         match parts.store.commit(transaction(&active, &write), WRITE_LIMIT).await {
             Ok(Committed::Done(revision)) => {
                 backoff.reset();
-                active.update(|scheduler| scheduler.unreached_stored(write, revision));
+                active.update(|scheduler| scheduler.unreachable_stored(write, revision));
             }
             Ok(Committed::Conflict(items)) => {
                 let found = items.iter().find(|item| item.key == keys::UNREACHED);
-                active.lock().unreached_found(found.map_or(Revision(0), |item| item.revision));
+                active.lock().unreachable_revision_found(found.map_or(Revision(0), |item| item.revision));
                 backoff.wait().await;
             }
             Ok(Committed::LeaseGone) => backoff.wait().await,
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -84,7 +84,7 @@
 
 impl Scheduler {
     /// Takes over the note of an earlier scheduler, before anything else is restored.
-    pub fn restore_unreached(&mut self, record: &UnreachableRecord, revision: Revision) {
+    pub fn restore_unreachable(&mut self, record: &UnreachableRecord, revision: Revision) {
         let over = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
         self.unreached.noted_over = record.left_ms.iter().map(over).collect();
         self.unreached.named = record.left_ms.keys().cloned().collect();
@@ -119,7 +119,7 @@
 
     /// The note that should be stored now, if any. The backend servers that it names count as named from here on,
     /// whatever comes of the write.
-    pub fn next_unreached_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
+    pub fn next_unreachable_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
         let new = now.since(self.elected) < FIRST_NOTE_AFTER;
         let fresh = self.unreached.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
         let record = UnreachableRecord { left_ms: self.unreached_for_long(now) };
@@ -146,7 +146,7 @@
     }
 
     /// The store has taken a note, at `revision`: what it does not name may be given leases again.
-    pub fn unreached_stored(&mut self, write: UnreachableWrite, revision: Revision) {
+    pub fn unreachable_stored(&mut self, write: UnreachableWrite, revision: Revision) {
         let before = std::mem::take(&mut self.unreached.named);
         self.unreached.named = write.record.left_ms.into_keys().collect();
         self.unreached.noted_at = Some(write.at);
@@ -160,7 +160,7 @@
     }
 
     /// The store holds another note than was to be replaced: an earlier write of ours took effect after all.
-    pub fn unreached_found(&mut self, revision: Revision) {
+    pub fn unreachable_revision_found(&mut self, revision: Revision) {
         self.unreached.revision = revision;
     }
 }
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -199,8 +199,8 @@
                 let leader = &mut self.leaders[leader];
                 leader.noting = false;
                 match result {
-                    Ok(revision) => leader.scheduler.unreached_stored(write, revision),
-                    Err(found) => leader.scheduler.unreached_found(found),
+                    Ok(revision) => leader.scheduler.unreachable_stored(write, revision),
+                    Err(found) => leader.scheduler.unreachable_revision_found(found),
                 }
             }
             Event::NoteLost { leader } => self.leaders[leader].noting = false,
--- a/crates/scheduler/tests/common/leading.rs
+++ b/crates/scheduler/tests/common/leading.rs
@@ -52,7 +52,7 @@
         if self.leaders[i].noting || !self.reaches_store(i) {
             return;
         }
-        let Some(write) = self.leaders[i].scheduler.next_unreached_write(now) else { return };
+        let Some(write) = self.leaders[i].scheduler.next_unreachable_write(now) else { return };
         self.leaders[i].noting = true;
         if self.now < self.lose_writes_until && self.rng.bool() {
             let late = if self.rng.bool() { STEP_MS } else { 1000 + self.rng.u64(..5000) };
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -225,10 +225,10 @@
     }
 
     fn store_note(&mut self) {
-        if let Some(write) = self.scheduler.next_unreached_write(self.now) {
+        if let Some(write) = self.scheduler.next_unreachable_write(self.now) {
             self.revision += 1;
             self.note = Some((write.record.clone(), Revision(self.revision)));
-            self.scheduler.unreached_stored(write, Revision(self.revision));
+            self.scheduler.unreachable_stored(write, Revision(self.revision));
         }
     }
 
@@ -374,7 +374,7 @@
         let fence = Fence(self.scheduler.fence().0 + 1);
         let mut next = Scheduler::new(fence, self.now, Timing::default(), self.policy.clone());
         if let Some((note, revision)) = &self.note {
-            next.restore_unreached(note, *revision);
+            next.restore_unreachable(note, *revision);
         }
         let (witnesses, at) = self.witnesses.clone().map_or((None, Revision(0)), |(note, at)| (Some(note), at));
         next.restore_witnesses(witnesses, at, self.witnesses_bind);
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -197,7 +197,7 @@
         let evacuated: BTreeSet<AvailabilityZoneId> = self.evacuated.keys().cloned().collect();
         scheduler.set_evacuated(EvacuatedBy::Platform, &evacuated, now);
         if let Some((note, revision)) = &self.note {
-            scheduler.restore_unreached(note, *revision);
+            scheduler.restore_unreachable(note, *revision);
         }
         let (witnesses, at) = self.witnesses.clone().map_or((None, Revision(0)), |(note, at)| (Some(note), at));
         scheduler.restore_witnesses(witnesses, at, self.by_witnesses);
--- a/crates/scheduler/tests/elections.rs
+++ b/crates/scheduler/tests/elections.rs
@@ -66,28 +66,28 @@
     let (mut fixture, started) = elected_out_of_reach(2);
     let id: &BackendServerId = &started.server;
     assert!(fixture.scheduler.may_renew(id), "nothing is noted yet");
-    let lost = fixture.scheduler.next_unreached_write(fixture.now).expect("it is out of reach");
+    let lost = fixture.scheduler.next_unreachable_write(fixture.now).expect("it is out of reach");
     assert!(!fixture.scheduler.may_renew(id), "the write may take effect at any time");
     answer(&mut fixture, &started);
     assert!(!fixture.scheduler.may_renew(id), "the note may stand in the store");
-    let withdrawal = fixture.scheduler.next_unreached_write(fixture.now).expect("it has answered");
+    let withdrawal = fixture.scheduler.next_unreachable_write(fixture.now).expect("it has answered");
     assert_eq!(withdrawal.replaces, lost.replaces, "only one of the two can take effect");
-    fixture.scheduler.unreached_stored(withdrawal, Revision(500));
+    fixture.scheduler.unreachable_stored(withdrawal, Revision(500));
     assert!(fixture.scheduler.may_renew(id));
-    assert!(fixture.scheduler.next_unreached_write(fixture.now).is_none(), "nothing is out of reach");
+    assert!(fixture.scheduler.next_unreachable_write(fixture.now).is_none(), "nothing is out of reach");
 }
 
 #[test]
 fn a_note_that_took_effect_late_is_withdrawn_in_its_turn() {
     let (mut fixture, started) = elected_out_of_reach(2);
-    fixture.scheduler.next_unreached_write(fixture.now).expect("it is out of reach");
+    fixture.scheduler.next_unreachable_write(fixture.now).expect("it is out of reach");
     answer(&mut fixture, &started);
-    fixture.scheduler.next_unreached_write(fixture.now).expect("it has answered");
-    fixture.scheduler.unreached_found(Revision(500));
+    fixture.scheduler.next_unreachable_write(fixture.now).expect("it has answered");
+    fixture.scheduler.unreachable_revision_found(Revision(500));
     assert!(!fixture.scheduler.may_renew(&started.server), "the store holds the first note");
-    let again = fixture.scheduler.next_unreached_write(fixture.now).expect("it has answered");
+    let again = fixture.scheduler.next_unreachable_write(fixture.now).expect("it has answered");
     assert_eq!(again.replaces, Revision(500));
-    fixture.scheduler.unreached_stored(again, Revision(501));
+    fixture.scheduler.unreachable_stored(again, Revision(501));
     assert!(fixture.scheduler.may_renew(&started.server));
 }
 
@@ -99,16 +99,16 @@
         let mut writes = 0;
         for _ in 0..100 {
             fixture.now = fixture.now + Duration::from_millis(100);
-            if let Some(write) = fixture.scheduler.next_unreached_write(fixture.now) {
+            if let Some(write) = fixture.scheduler.next_unreachable_write(fixture.now) {
                 writes += 1;
-                fixture.scheduler.unreached_stored(write, Revision(500 + writes));
+                fixture.scheduler.unreachable_stored(write, Revision(500 + writes));
             }
         }
         assert!((8..=11).contains(&writes), "{writes} writes in 10 s with {servers} backend servers");
         let mut calm = Fixture::new(servers);
         calm.elect_anew();
         calm.now = calm.now + Duration::from_secs(5);
-        assert!(calm.scheduler.next_unreached_write(calm.now).is_none());
+        assert!(calm.scheduler.next_unreachable_write(calm.now).is_none());
     }
 }
 
