--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -82,7 +82,7 @@
         self.forget_speed(id);
         self.servers.remove(id);
         self.trials.remove(id);
-        self.unreached.settle(id);
+        self.unreachable.remove_pending(id);
     }
 
     /// A backend server that has refused a start gets none for a while.
@@ -127,7 +127,7 @@
             self.note_changed_on(id);
         }
         if busy {
-            self.unreached.wait_for(id);
+            self.unreachable.add_pending(id);
         }
         self.look_whether_left(id, now);
     }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -42,7 +42,7 @@
             server.stocked = true;
             server.lease_over = self.timing.lease_over(now);
         }
-        self.unreached.settle(id);
+        self.unreachable.remove_pending(id);
         server.failed_calls = 0;
         server.silence.heard = Some(now);
         server.silence.since = None;
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -60,10 +60,10 @@
                     placed_groups.push(name);
                 }
                 for placed in &group.placed {
-                    let earlier = self.unreached.leases_over(&placed.server, by_election);
+                    let earlier = self.unreachable.leases_over(&placed.server, by_election);
                     let server =
                         self.servers.entry(placed.server.clone()).or_insert_with(|| Server::new(None, earlier));
-                    self.unreached.wait_for(&placed.server);
+                    self.unreachable.add_pending(&placed.server);
                     server.used.add(&job.steps[s].counted_resources());
                     server.members.insert(name.task(placed.index), group.run);
                     if !std::mem::replace(&mut server.touched, true) {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -23,7 +23,7 @@
     speed::FleetSpeed,
     stalled::Standing,
     timing::Timing,
-    unreachable::Unreached,
+    unreachable::Unreachable,
     witnesses::Witnesses,
 };
 
@@ -89,7 +89,7 @@
     /// Backend servers where a suspect has not outlived its start, with the trial there that has come least far.
     pub(crate) trials: BTreeMap<BackendServerId, Trial>,
     /// Backend servers that the next scheduler is told not to have been reached.
-    pub(crate) unreached: Unreached,
+    pub(crate) unreachable: Unreachable,
     /// Backend servers that witness who schedules.
     pub(crate) witnesses: Witnesses,
     /// How fast backend servers work on the mean.
@@ -141,7 +141,7 @@
             touched: Vec::new(),
             timed: Vec::new(),
             trials: BTreeMap::new(),
-            unreached: Unreached::default(),
+            unreachable: Unreachable::default(),
             witnesses: Witnesses::default(),
             lapsed: Lapsed::default(),
             standing: Standing::default(),
@@ -278,7 +278,7 @@
         for id in over {
             self.note_lapsed(&id, now);
             self.lapse_members(&id, "lease_over", now);
-            self.unreached.settle(&id);
+            self.unreachable.remove_pending(&id);
             if self.servers.get(&id).is_some_and(|server| !server.listed) {
                 log::info!("server={id} event=forgotten why=lease_over");
                 self.remove_server(&id);
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -43,7 +43,7 @@
 
 /// What a scheduler knows of the note in the store.
 #[derive(Debug, Default)]
-pub(crate) struct Unreached {
+pub(crate) struct Unreachable {
     /// Backend servers with runs, and not reached.
     waiting: BTreeSet<BackendServerId>,
     /// Backend servers that the note in the store may name.
@@ -55,24 +55,24 @@
     revision: Revision,
 }
 
-impl Unreached {
+impl Unreachable {
     /// When every lease that earlier schedulers can have given is over, if it is `by_election` without a note.
     pub(crate) fn leases_over(&self, id: &BackendServerId, by_election: Moment) -> Moment {
         self.noted_over.get(id).map_or(by_election, |noted| by_election.min(*noted))
     }
 
     /// A run may go on there, and it is not reached.
-    pub(crate) fn wait_for(&mut self, id: &BackendServerId) {
+    pub(crate) fn add_pending(&mut self, id: &BackendServerId) {
         self.waiting.insert(id.clone());
     }
 
     /// It has answered, or is not known any more.
-    pub(crate) fn settle(&mut self, id: &BackendServerId) {
+    pub(crate) fn remove_pending(&mut self, id: &BackendServerId) {
         self.waiting.remove(id);
     }
 
     /// Whether the note in the store may name it.
-    pub(crate) fn names(&self, id: &BackendServerId) -> bool {
+    pub(crate) fn is_recorded(&self, id: &BackendServerId) -> bool {
         self.named.contains(id)
     }
 
@@ -86,15 +86,15 @@
     /// Takes over the note of an earlier scheduler, before anything else is restored.
     pub fn restore_unreachable(&mut self, record: &UnreachableRecord, revision: Revision) {
         let over = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
-        self.unreached.noted_over = record.left_ms.iter().map(over).collect();
-        self.unreached.named = record.left_ms.keys().cloned().collect();
-        self.unreached.noted_at = Some(self.elected);
-        self.unreached.revision = revision;
+        self.unreachable.noted_over = record.left_ms.iter().map(over).collect();
+        self.unreachable.named = record.left_ms.keys().cloned().collect();
+        self.unreachable.noted_at = Some(self.elected);
+        self.unreachable.revision = revision;
     }
 
     /// When every lease that earlier schedulers can have given a backend server is over.
     pub(crate) fn earlier_leases_over(&self, id: &BackendServerId) -> Moment {
-        self.unreached.leases_over(id, self.earlier_leases)
+        self.unreachable.leases_over(id, self.earlier_leases)
     }
 
     /// Every earlier scheduler has said that it renews no lease any more, or is known to have begun anew since: the
@@ -114,45 +114,45 @@
 
     /// Whether a backend server may be given a lease: the next scheduler may have been told that it was given none.
     pub fn may_renew(&self, id: &BackendServerId) -> bool {
-        !self.unreached.names(id)
+        !self.unreachable.is_recorded(id)
     }
 
     /// The note that should be stored now, if any. The backend servers that it names count as named from here on,
     /// whatever comes of the write.
     pub fn next_unreachable_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
         let new = now.since(self.elected) < FIRST_NOTE_AFTER;
-        let fresh = self.unreached.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
-        let record = UnreachableRecord { left_ms: self.unreached_for_long(now) };
+        let fresh = self.unreachable.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
+        let record = UnreachableRecord { left_ms: self.unreachable_leases(now) };
         let due = !record.left_ms.is_empty() && !new && !fresh;
-        if !due && !self.unreached.is_to_be_withdrawn() {
+        if !due && !self.unreachable.is_to_be_withdrawn() {
             return None;
         }
         let newly: Vec<BackendServerId> =
-            record.left_ms.keys().filter(|id| !self.unreached.names(id)).cloned().collect();
-        self.unreached.named.extend(newly);
-        Some(UnreachableWrite { record, replaces: self.unreached.revision, at: now })
+            record.left_ms.keys().filter(|id| !self.unreachable.is_recorded(id)).cloned().collect();
+        self.unreachable.named.extend(newly);
+        Some(UnreachableWrite { record, replaces: self.unreachable.revision, at: now })
     }
 
     /// What the note is to name, with how long leases have left there in milliseconds: also what it names already, for
     /// as long as that is not reached.
-    fn unreached_for_long(&self, now: Moment) -> BTreeMap<BackendServerId, u64> {
+    fn unreachable_leases(&self, now: Moment) -> BTreeMap<BackendServerId, u64> {
         let left = |id: &BackendServerId| {
             let server = self.servers.get(id)?;
             let lost_just_now = server.silence.since.is_some_and(|since| now.since(since) < NOTED_AFTER);
-            let named = !server.stocked || !lost_just_now || self.unreached.names(id);
+            let named = !server.stocked || !lost_just_now || self.unreachable.is_recorded(id);
             named.then(|| (id.clone(), server.lease_over.since(now).millis()))
         };
-        self.unreached.waiting.iter().filter_map(left).collect()
+        self.unreachable.waiting.iter().filter_map(left).collect()
     }
 
     /// The store has taken a note, at `revision`: what it does not name may be given leases again.
     pub fn unreachable_stored(&mut self, write: UnreachableWrite, revision: Revision) {
-        let before = std::mem::take(&mut self.unreached.named);
-        self.unreached.named = write.record.left_ms.into_keys().collect();
-        self.unreached.noted_at = Some(write.at);
-        self.unreached.revision = revision;
+        let before = std::mem::take(&mut self.unreachable.named);
+        self.unreachable.named = write.record.left_ms.into_keys().collect();
+        self.unreachable.noted_at = Some(write.at);
+        self.unreachable.revision = revision;
         for id in before {
-            if !self.unreached.names(&id) {
+            if !self.unreachable.is_recorded(&id) {
                 self.touch(&id);
                 self.plan_wanted = true;
             }
@@ -161,6 +161,6 @@
 
     /// The store holds another note than was to be replaced: an earlier write of ours took effect after all.
     pub fn unreachable_revision_found(&mut self, revision: Revision) {
-        self.unreached.revision = revision;
+        self.unreachable.revision = revision;
     }
 }
