--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -47,7 +47,7 @@
         server.silence.heard = Some(now);
         server.silence.since = None;
         server.silence.refused = false;
-        self.hear_witness(id, listing.incarnation, sent, now);
+        self.record_witness_answer(id, listing.incarnation, sent, now);
         self.plan_wanted |= !listing.completions.is_empty();
         for end in &listing.completions {
             self.take_end(id, end, now);
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -100,7 +100,7 @@
     /// Every earlier scheduler has said that it renews no lease any more, or is known to have begun anew since: the
     /// latest of them at `ended`.
     pub fn earlier_terms_ended(&mut self, ended: Moment) {
-        self.settle_witnesses();
+        self.resolve_witnesses();
         self.limit_earlier_leases(self.timing.lease_over(ended));
     }
 
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -27,7 +27,8 @@
 /// Backend servers that witness who schedules, as the store holds them, each with its life.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessRecord {
-    lives: BTreeMap<BackendServerId, Option<Incarnation>>,
+    #[serde(rename = "lives")]
+    incarnations: BTreeMap<BackendServerId, Option<Incarnation>>,
 }
 
 /// Witnesses that are to be stored.
@@ -49,7 +50,7 @@
     /// Those that the store is known to have held last.
     held: Option<WitnessRecord>,
     /// Those that it may hold in their place.
-    in_doubt: Vec<WitnessRecord>,
+    unconfirmed_writes: Vec<WitnessRecord>,
     revision: Revision,
     chosen_at: Option<Moment>,
     /// The life that answered last, and when the call was sent.
@@ -61,25 +62,25 @@
 impl WitnessRecord {
     /// Whether more than two thirds of them fit: with a third of them elsewhere this cannot be.
     fn most(&self, fits: impl Fn(&BackendServerId, Option<Incarnation>) -> bool) -> bool {
-        let fitting = self.lives.iter().filter(|(id, life)| fits(id, **life)).count();
-        3 * fitting > 2 * self.lives.len()
+        let fitting = self.incarnations.iter().filter(|(id, incarnation)| fits(id, **incarnation)).count();
+        3 * fitting > 2 * self.incarnations.len()
     }
 }
 
 impl Witnesses {
     fn may_be_held(&self) -> impl Iterator<Item = &WitnessRecord> {
-        self.held.iter().chain(&self.in_doubt)
+        self.held.iter().chain(&self.unconfirmed_writes)
     }
 
     /// Whether anything follows from an answer of a backend server.
     fn concern(&self, id: &BackendServerId) -> bool {
-        self.earlier.iter().chain(self.may_be_held()).any(|record| record.lives.contains_key(id))
+        self.earlier.iter().chain(self.may_be_held()).any(|record| record.incarnations.contains_key(id))
     }
 
     /// Whether each set that the store may hold vouches for this scheduler by answers to calls sent since then.
     fn vouch(&self, since: Moment) -> bool {
-        let answered = |id: &BackendServerId, life| {
-            self.answers.get(id).is_some_and(|(answering, sent)| *answering == life && *sent >= since)
+        let answered = |id: &BackendServerId, incarnation| {
+            self.answers.get(id).is_some_and(|(answering, sent)| *answering == incarnation && *sent >= since)
         };
         self.held.is_some() && self.may_be_held().all(|record| record.most(answered))
     }
@@ -87,7 +88,7 @@
     /// Whether so many have answered this scheduler that no earlier one can count most of them.
     fn outvote_earlier(&self) -> bool {
         let unheard = |id: &BackendServerId, _| !self.answers.contains_key(id);
-        self.earlier.as_ref().is_some_and(|record| !record.lives.is_empty() && !record.most(unheard))
+        self.earlier.as_ref().is_some_and(|record| !record.incarnations.is_empty() && !record.most(unheard))
     }
 }
 
@@ -106,18 +107,24 @@
     }
 
     /// No earlier scheduler renews leases any more.
-    pub(crate) fn settle_witnesses(&mut self) {
+    pub(crate) fn resolve_witnesses(&mut self) {
         self.witnesses.settled = true;
     }
 
     /// A backend server has answered under this scheduler's fence, on a call sent at `sent`.
-    pub(crate) fn hear_witness(&mut self, id: &BackendServerId, life: Option<Incarnation>, sent: Moment, now: Moment) {
+    pub(crate) fn record_witness_answer(
+        &mut self,
+        id: &BackendServerId,
+        incarnation: Option<Incarnation>,
+        sent: Moment,
+        now: Moment,
+    ) {
         if !self.witnesses.concern(id) {
             return;
         }
         self.witnesses.latest = self.witnesses.latest.max(now);
-        let heard = self.witnesses.answers.entry(id.clone()).or_insert((life, sent));
-        *heard = if heard.0 == life { (life, heard.1.max(sent)) } else { (life, sent) };
+        let heard = self.witnesses.answers.entry(id.clone()).or_insert((incarnation, sent));
+        *heard = if heard.0 == incarnation { (incarnation, heard.1.max(sent)) } else { (incarnation, sent) };
         if self.witnesses.outvote_earlier() {
             self.witnesses.earlier = None;
             self.witnesses.settled = true;
@@ -144,7 +151,7 @@
 
     /// Whether a backend server is one of those that vouch for this scheduler.
     pub fn is_witness(&self, id: &BackendServerId) -> bool {
-        self.witnesses.may_be_held().any(|record| record.lives.contains_key(id))
+        self.witnesses.may_be_held().any(|record| record.incarnations.contains_key(id))
     }
 
     /// The witnesses that should be stored now, if others than the store holds. From here on the store may hold them.
@@ -159,10 +166,10 @@
         self.witnesses.earlier = None;
         self.witnesses.chosen_at = Some(now);
         let record = self.choose_witnesses();
-        if record.lives.is_empty() || self.witnesses_suffice(&record) {
+        if record.incarnations.is_empty() || self.witnesses_suffice(&record) {
             return None;
         }
-        self.witnesses.in_doubt.push(record.clone());
+        self.witnesses.unconfirmed_writes.push(record.clone());
         Some(WitnessWrite { record, replaces: self.witnesses.revision })
     }
 
@@ -174,7 +181,7 @@
     /// The store holds these, and not those that were to be replaced: an earlier write of ours took effect after all.
     pub fn witnesses_found(&mut self, record: Option<WitnessRecord>, revision: Revision) {
         self.witnesses.held = record;
-        self.witnesses.in_doubt.clear();
+        self.witnesses.unconfirmed_writes.clear();
         self.witnesses.revision = revision;
     }
 
@@ -186,24 +193,24 @@
                 zones.entry(&info.availability_zone).or_default().push_back((id, server));
             }
         }
-        let mut lives = BTreeMap::new();
-        while lives.len() < MOST && zones.values().any(|left| !left.is_empty()) {
-            let next = zones.values_mut().filter_map(VecDeque::pop_front).take(MOST - lives.len());
-            lives.extend(next.map(|(id, server)| (id.clone(), server.incarnation)));
+        let mut incarnations = BTreeMap::new();
+        while incarnations.len() < MOST && zones.values().any(|left| !left.is_empty()) {
+            let next = zones.values_mut().filter_map(VecDeque::pop_front).take(MOST - incarnations.len());
+            incarnations.extend(next.map(|(id, server)| (id.clone(), server.incarnation)));
         }
-        WitnessRecord { lives }
+        WitnessRecord { incarnations }
     }
 
     /// Whether those in the store are as good as a new choice: nearly all of them answer, and they are about as many.
     fn witnesses_suffice(&self, new: &WitnessRecord) -> bool {
-        let Some(held) = self.witnesses.held.as_ref().filter(|_| self.witnesses.in_doubt.is_empty()) else {
+        let Some(held) = self.witnesses.held.as_ref().filter(|_| self.witnesses.unconfirmed_writes.is_empty()) else {
             return false;
         };
-        let good = |(id, life): &(&BackendServerId, &Option<Incarnation>)| {
-            self.servers.get(*id).is_some_and(|server| may_witness(server) && server.incarnation == **life)
+        let good = |(id, incarnation): &(&BackendServerId, &Option<Incarnation>)| {
+            self.servers.get(*id).is_some_and(|server| may_witness(server) && server.incarnation == **incarnation)
         };
-        let good = held.lives.iter().filter(good).count();
-        5 * good >= 4 * held.lives.len() && 4 * held.lives.len() >= 3 * new.lives.len()
+        let good = held.incarnations.iter().filter(good).count();
+        5 * good >= 4 * held.incarnations.len() && 4 * held.incarnations.len() >= 3 * new.incarnations.len()
     }
 }
 
