--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -115,7 +115,7 @@
                 worker.start(&active, target, start).await;
             }
             Order::Stop { task, run, .. } => worker.stop(&active, task, run).await,
-            Order::Pace { task, run, percent, .. } => worker.pace(&active, task, run, percent).await,
+            Order::Throttle { task, run, percent, .. } => worker.pace(&active, task, run, percent).await,
         }
     }
 }
@@ -267,7 +267,7 @@
         let reply = self.parts.servers.pace(target, order).await;
         measure::server_answer("pace", &reply);
         if let Ok(true) = reply {
-            active.update(|scheduler| scheduler.pace_replied(&self.target.id, task, run, percent));
+            active.update(|scheduler| scheduler.throttle_replied(&self.target.id, task, run, percent));
         }
     }
 }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -60,7 +60,7 @@
             self.find_lost(id, listing, sent, now);
         }
         self.follow_trials(id);
-        self.pace_best_effort(id, now);
+        self.throttle_best_effort(id, now);
         if !listing.completions.is_empty() {
             self.acknowledge_stored(id);
         }
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -35,7 +35,7 @@
         run: RunNumber,
     },
     /// Let a run work at a share of its speed; safe to send twice.
-    Pace {
+    Throttle {
         /// Where.
         server: BackendServerId,
         /// What.
@@ -51,9 +51,9 @@
     /// The backend server and the task that it is about.
     pub fn subject(&self) -> (&BackendServerId, TaskId) {
         match self {
-            Order::Start { server, task, .. } | Order::Stop { server, task, .. } | Order::Pace { server, task, .. } => {
-                (server, *task)
-            }
+            Order::Start { server, task, .. }
+            | Order::Stop { server, task, .. }
+            | Order::Throttle { server, task, .. } => (server, *task),
         }
     }
 }
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     speed::{Measured, StepTimes},
-    throttle::Pace,
+    throttle::Throttle,
 };
 
 /// How far a start has come.
@@ -55,7 +55,7 @@
     pub(crate) percent_at: Moment,
     /// See [`crate::RunningTask::latency_ms`].
     pub(crate) latency_ms: Option<f64>,
-    pub(crate) pace: Pace,
+    pub(crate) throttle: Throttle,
     /// Whether its speed has told of its backend server's.
     pub(crate) measured: Measured,
 }
@@ -74,7 +74,7 @@
             percent: 0,
             percent_at: Moment::ZERO,
             latency_ms: None,
-            pace: Pace::full(),
+            throttle: Throttle::full(),
             measured: Measured::NotYet,
         }
     }
@@ -84,7 +84,7 @@
         Member {
             phase: Phase::Restored,
             settled: Some(elected),
-            pace: Pace::unknown(),
+            throttle: Throttle::unknown(),
             measured: Measured::BegunBefore,
             ..Member::planned(placed)
         }
--- a/crates/scheduler/src/throttle.rs
+++ b/crates/scheduler/src/throttle.rs
@@ -35,40 +35,40 @@
 
 /// How fast a run may work, and what its backend server has been told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct Pace {
+pub(crate) struct Throttle {
     /// In percent of its full speed.
-    wanted: u32,
+    requested: u32,
     /// What its backend server has confirmed; `None` if that is not known.
-    told: Option<u32>,
+    confirmed: Option<u32>,
     /// When an order was last sent.
     sent: Option<Moment>,
     /// When `wanted` last changed.
     changed: Option<Moment>,
 }
 
-impl Pace {
+impl Throttle {
     /// As a run begins.
-    pub(crate) fn full() -> Pace {
-        Pace { wanted: FULL, told: Some(FULL), sent: None, changed: None }
+    pub(crate) fn full() -> Throttle {
+        Throttle { requested: FULL, confirmed: Some(FULL), sent: None, changed: None }
     }
 
     /// Of a run that an earlier scheduler may have slowed.
-    pub(crate) fn unknown() -> Pace {
-        Pace { wanted: AFTER_ELECTION, told: None, sent: None, changed: None }
+    pub(crate) fn unknown() -> Throttle {
+        Throttle { requested: AFTER_ELECTION, confirmed: None, sent: None, changed: None }
     }
 
-    fn set(&mut self, wanted: u32, now: Moment) {
-        if self.wanted != wanted {
-            *self = Pace { wanted, changed: Some(now), sent: None, ..*self };
+    fn set(&mut self, requested: u32, now: Moment) {
+        if self.requested != requested {
+            *self = Throttle { requested, changed: Some(now), sent: None, ..*self };
         }
     }
 
     fn settled(&self, now: Moment) -> bool {
-        self.told == Some(self.wanted) && self.changed.is_none_or(|changed| now.since(changed) >= SETTLES)
+        self.confirmed == Some(self.requested) && self.changed.is_none_or(|changed| now.since(changed) >= SETTLES)
     }
 
     fn is_due(&self, now: Moment) -> bool {
-        self.told != Some(self.wanted) && self.sent.is_none_or(|sent| now.since(sent) >= REPEAT)
+        self.confirmed != Some(self.requested) && self.sent.is_none_or(|sent| now.since(sent) >= REPEAT)
     }
 }
 
@@ -84,18 +84,18 @@
     }
 
     /// A backend server lets a run work at this share of its speed.
-    pub fn pace_replied(&mut self, server: &BackendServerId, task: TaskId, run: RunNumber, percent: u32) {
+    pub fn throttle_replied(&mut self, server: &BackendServerId, task: TaskId, run: RunNumber, percent: u32) {
         let Some(name) = self.group_of(task) else { return };
         if self.progress_of(name).run != run {
             return;
         }
         if let Some(member) = self.member_mut(name, task.index, server) {
-            member.pace.told = Some(percent);
+            member.throttle.confirmed = Some(percent);
         }
     }
 
     /// Sets how fast the best-effort tasks of a backend server go, by its latest listing.
-    pub(crate) fn pace_best_effort(&mut self, id: &BackendServerId, now: Moment) {
+    pub(crate) fn throttle_best_effort(&mut self, id: &BackendServerId, now: Moment) {
         let best_effort = self.running_members(id, |step| step.best_effort);
         if best_effort.is_empty() {
             return;
@@ -104,21 +104,21 @@
         for (name, index) in best_effort {
             let run = self.progress_of(name).run;
             let Some(member) = self.member_mut(name, index, id) else { continue };
-            if load.is_none() || member.pace.settled(now) {
-                member.pace.set(next_pace(member.pace.wanted, load), now);
+            if load.is_none() || member.throttle.settled(now) {
+                member.throttle.set(next_throttle(member.throttle.requested, load), now);
             }
-            if !member.pace.is_due(now) {
+            if !member.throttle.is_due(now) {
                 continue;
             }
-            member.pace.sent = Some(now);
-            let percent = member.pace.wanted;
+            member.throttle.sent = Some(now);
+            let percent = member.throttle.requested;
             let task = name.task(index);
             log::info!(
                 "job={} event=paced task={task} run={run} server={id} percent={percent} load={:.2}",
                 name.occurrence.job,
                 load.unwrap_or(0.0)
             );
-            self.orders.push(Order::Pace { server: id.clone(), task, run, percent });
+            self.orders.push(Order::Throttle { server: id.clone(), task, run, percent });
         }
     }
 
@@ -148,7 +148,7 @@
 }
 
 /// How fast a best-effort task goes next, by the highest share of a target that its neighbours have reached.
-fn next_pace(pace: u32, load: Option<f64>) -> u32 {
+fn next_throttle(pace: u32, load: Option<f64>) -> u32 {
     let Some(load) = load else { return FULL };
     let slower = |factor: f64| {
         let slowed = (f64::from(pace) * factor) as u32;
--- a/crates/scheduler/tests/common/leading.rs
+++ b/crates/scheduler/tests/common/leading.rs
@@ -140,7 +140,7 @@
             Order::Stop { server, task, run, .. } => {
                 self.after(late, Event::Stop { leader: i, server, life, task, run, answered: !lost });
             }
-            Order::Pace { .. } => unreachable!("no job of this world lives on what others leave"),
+            Order::Throttle { .. } => unreachable!("no job of this world lives on what others leave"),
         }
     }
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -265,9 +265,9 @@
                     started.push(start);
                 }
                 stop @ Order::Stop { .. } => self.stops.push(stop),
-                Order::Pace { server, task, run, percent } => {
+                Order::Throttle { server, task, run, percent } => {
                     self.paces.insert(task, percent);
-                    self.scheduler.pace_replied(&server, task, run, percent);
+                    self.scheduler.throttle_replied(&server, task, run, percent);
                 }
             }
         }
