--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -9,7 +9,7 @@
 
 use model::{AvailabilityZoneId, Duration, Moment, Revision};
 use outside::{Change, Committed, CoordinationStore, Item, Put, Transaction};
-use scheduler::{EvacuatedBy, EvacuationRefused, EvacuationStatus, Scheduler};
+use scheduler::{EvacuatedBy, EvacuationError, EvacuationStatus, Scheduler};
 
 use crate::{
     active::Active,
@@ -31,7 +31,7 @@
     /// It is in force, and the store holds it.
     Done,
     /// It may not be.
-    Refused(EvacuationRefused),
+    Refused(EvacuationError),
     /// Another box schedules.
     NotHere,
     /// The store did not take it, or gave no answer: it may be in force. Asking again is safe.
--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -55,7 +55,7 @@
 
 /// Why operators' evacuation is refused.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
-pub enum EvacuationRefused {
+pub enum EvacuationError {
     /// No backend server is listed there.
     #[display("no backend server is in availability zone {zone}; allowed are {}", known.join(", "))]
     UnknownZone {
@@ -149,20 +149,20 @@
     }
 
     /// Whether operators may evacuate an availability zone.
-    pub fn check_evacuation(&self, zone: &AvailabilityZoneId) -> Result<(), EvacuationRefused> {
+    pub fn check_evacuation(&self, zone: &AvailabilityZoneId) -> Result<(), EvacuationError> {
         let known = self.accelerators_by_zone();
         if !known.contains_key(zone) {
             let known = known.keys().map(ToString::to_string).collect();
-            return Err(EvacuationRefused::UnknownZone { zone: zone.clone(), known });
+            return Err(EvacuationError::UnknownZone { zone: zone.clone(), known });
         }
         if known.keys().all(|other| other == zone || self.evacuations.holds(other)) {
-            return Err(EvacuationRefused::LastZone { zone: zone.clone() });
+            return Err(EvacuationError::LastZone { zone: zone.clone() });
         }
         let stays = |other: &AvailabilityZoneId| other != zone && !self.evacuations.holds(other);
         let left: u64 = known.iter().filter(|(other, _)| stays(other)).map(|(_, n)| n).sum();
         let guaranteed = self.guaranteed();
         if left < guaranteed {
-            return Err(EvacuationRefused::Guarantees { zone: zone.clone(), left, guaranteed });
+            return Err(EvacuationError::Guarantees { zone: zone.clone(), left, guaranteed });
         }
         Ok(())
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -58,7 +58,7 @@
     batch::{ProgressWrite, WriteBatch},
     completions::{Completion, CompletionKind, Listing, RunningTask},
     contact::CallFailure,
-    evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
+    evacuation::{EvacuatedBy, EvacuationError, EvacuationStatus},
     maintenance_batch::{Machine, MachineId, MaintenanceProgress, MaintenanceReply, MaintenanceRequest},
     observations::Observation,
     orders::{Order, StartReply},
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -9,7 +9,7 @@
 use common::{Fixture, gang, job, job_in, run_of, server_id, step, zone};
 use jobs::{JobState, OccurrenceId, Placement, Progress, RunNumber, Step};
 use model::{AvailabilityZoneId, Duration, Revision};
-use scheduler::{CompletionKind, EvacuatedBy, EvacuationRefused, Order, StartReply};
+use scheduler::{CompletionKind, EvacuatedBy, EvacuationError, Order, StartReply};
 
 fn evacuate(fixture: &mut Fixture, rack: usize) {
     let now = fixture.now;
@@ -234,12 +234,12 @@
     let refused = |fixture: &Fixture, zone: AvailabilityZoneId| fixture.scheduler.check_evacuation(&zone).unwrap_err();
     assert_eq!(fixture.scheduler.check_evacuation(&zone(0)), Ok(()));
     let why = refused(&fixture, zone(1));
-    assert_eq!(why, EvacuationRefused::Guarantees { zone: zone(1), left: 8, guaranteed: 16 });
+    assert_eq!(why, EvacuationError::Guarantees { zone: zone(1), left: 8, guaranteed: 16 });
     assert_eq!(why.to_string(), "without az-2 8 accelerators are left, and customers are guaranteed 16: 8 too few");
     let unknown = refused(&fixture, "az-9".parse().expect("it is a valid id"));
     assert_eq!(unknown.to_string(), "no backend server is in availability zone az-9; allowed are az-1, az-2");
     evacuate(&mut fixture, 0);
-    assert_eq!(refused(&fixture, zone(1)), EvacuationRefused::LastZone { zone: zone(1) });
+    assert_eq!(refused(&fixture, zone(1)), EvacuationError::LastZone { zone: zone(1) });
     // The platform's operators are obeyed all the same, and status says what is missing.
     evacuate(&mut fixture, 1);
     let status = fixture.scheduler.evacuations(fixture.now);
