--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -99,7 +99,7 @@
     known.set(zone, revision);
     match revision {
         Some(_) => scheduler.evacuate(zone, EvacuatedBy::Platform, now),
-        None => scheduler.take_back(zone, EvacuatedBy::Platform),
+        None => scheduler.end_evacuation(zone, EvacuatedBy::Platform),
     }
 }
 
@@ -153,7 +153,7 @@
         if evacuated {
             scheduler.evacuate(zone, EvacuatedBy::Operators, now());
         } else {
-            scheduler.take_back(zone, EvacuatedBy::Operators);
+            scheduler.end_evacuation(zone, EvacuatedBy::Operators);
         }
     });
     EvacuationOutcome::Done
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -23,8 +23,8 @@
     pub fn server_listed(&mut self, id: BackendServerId, info: ServerInfo, now: Moment) {
         let earlier = self.earlier_leases_over(&id);
         let draining = info.draining;
-        self.evacuations.note_zone(&info.availability_zone);
-        let evacuated = self.evacuations.holds(&info.availability_zone);
+        self.evacuations.record_zone(&info.availability_zone);
+        let evacuated = self.evacuations.is_evacuated(&info.availability_zone);
         self.servers.entry(id.clone()).or_insert_with(|| Server::new(None, earlier));
         let server = self.server_mut(&id).expect("it was just added");
         let was_draining = server.info.as_ref().is_some_and(|old| old.draining);
--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -95,13 +95,13 @@
 
 impl Evacuations {
     /// A backend server is there.
-    pub(crate) fn note_zone(&mut self, zone: &AvailabilityZoneId) {
+    pub(crate) fn record_zone(&mut self, zone: &AvailabilityZoneId) {
         if !self.known.contains(zone) {
             self.known.insert(zone.clone());
         }
     }
 
-    pub(crate) fn holds(&self, zone: &AvailabilityZoneId) -> bool {
+    pub(crate) fn is_evacuated(&self, zone: &AvailabilityZoneId) -> bool {
         self.zones.contains_key(zone)
     }
 }
@@ -110,7 +110,7 @@
     /// An availability zone is to be evacuated. Told again, it changes nothing.
     pub fn evacuate(&mut self, zone: &AvailabilityZoneId, by: EvacuatedBy, now: Moment) {
         let anew = || Evacuation { since: now, by: BTreeSet::new() };
-        let was_known = self.evacuations.holds(zone);
+        let was_known = self.evacuations.is_evacuated(zone);
         let asked = self.evacuations.zones.entry(zone.clone()).or_insert_with(anew).by.insert(by);
         if asked {
             log::warn!("event=evacuation zone={zone} by={by} fence={}", self.fence);
@@ -121,7 +121,7 @@
     }
 
     /// An availability zone is taken back by one who has asked for its evacuation.
-    pub fn take_back(&mut self, zone: &AvailabilityZoneId, by: EvacuatedBy) {
+    pub fn end_evacuation(&mut self, zone: &AvailabilityZoneId, by: EvacuatedBy) {
         let Some(evacuation) = self.evacuations.zones.get_mut(zone) else { return };
         if !evacuation.by.remove(&by) {
             return;
@@ -141,7 +141,7 @@
         let over: Vec<AvailabilityZoneId> =
             known.map(|(zone, _)| zone).filter(|zone| !zones.contains(zone)).cloned().collect();
         for zone in &over {
-            self.take_back(zone, by);
+            self.end_evacuation(zone, by);
         }
         for zone in zones {
             self.evacuate(zone, by, now);
@@ -155,10 +155,10 @@
             let known = known.keys().map(ToString::to_string).collect();
             return Err(EvacuationError::UnknownZone { zone: zone.clone(), known });
         }
-        if known.keys().all(|other| other == zone || self.evacuations.holds(other)) {
+        if known.keys().all(|other| other == zone || self.evacuations.is_evacuated(other)) {
             return Err(EvacuationError::LastZone { zone: zone.clone() });
         }
-        let stays = |other: &AvailabilityZoneId| other != zone && !self.evacuations.holds(other);
+        let stays = |other: &AvailabilityZoneId| other != zone && !self.evacuations.is_evacuated(other);
         let left: u64 = known.iter().filter(|(other, _)| stays(other)).map(|(_, n)| n).sum();
         let guaranteed = self.guaranteed();
         if left < guaranteed {
@@ -170,7 +170,7 @@
     /// How far each evacuation has come.
     pub fn evacuations(&self, now: Moment) -> Vec<EvacuationStatus> {
         let by_zone = self.accelerators_by_zone();
-        let elsewhere = by_zone.iter().filter(|(zone, _)| !self.evacuations.holds(zone)).map(|(_, n)| n).sum();
+        let elsewhere = by_zone.iter().filter(|(zone, _)| !self.evacuations.is_evacuated(zone)).map(|(_, n)| n).sum();
         let status = |(zone, evacuation): (&AvailabilityZoneId, &Evacuation)| {
             let servers = self.servers_in(zone);
             let ends = |name: &GroupId| !self.step(*name).long_running;
@@ -217,7 +217,7 @@
 
     /// Notes at each backend server of an availability zone whether it is evacuated.
     fn mark_zone(&mut self, zone: &AvailabilityZoneId) {
-        let evacuated = self.evacuations.holds(zone);
+        let evacuated = self.evacuations.is_evacuated(zone);
         for id in self.servers_in(zone) {
             if let Some(server) = self.server_mut(&id) {
                 server.evacuated = evacuated;
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -17,7 +17,7 @@
 }
 
 fn take_back(fixture: &mut Fixture, rack: usize) {
-    fixture.scheduler.take_back(&zone(rack), EvacuatedBy::Platform);
+    fixture.scheduler.end_evacuation(&zone(rack), EvacuatedBy::Platform);
 }
 
 fn lasting() -> Step {
@@ -139,7 +139,7 @@
     fixture.submit(job_in("urgent", 1, vec![step(1, 4)]));
     take_back(&mut fixture, 0);
     assert!(fixture.start_all().is_empty());
-    fixture.scheduler.take_back(&zone(0), EvacuatedBy::Operators);
+    fixture.scheduler.end_evacuation(&zone(0), EvacuatedBy::Operators);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -208,7 +208,7 @@
         self.scheduler.evacuate(&zone, EvacuatedBy::Platform, self.now);
         let closing = begun.elapsed().as_secs_f64() * 1e6;
         let took = closing + self.plan();
-        self.scheduler.take_back(&zone, EvacuatedBy::Platform);
+        self.scheduler.end_evacuation(&zone, EvacuatedBy::Platform);
         self.scheduler.cancel(id, self.now);
         self.settle();
         took
