--- a/crates/runtime/src/active.rs
+++ b/crates/runtime/src/active.rs
@@ -57,7 +57,7 @@
         let mut scheduler = self.lock();
         let result = change(&mut scheduler);
         let (orders, observations) = (scheduler.take_orders(), scheduler.take_observations());
-        let (plan, write) = (scheduler.take_plan_wanted(), scheduler.has_pending_writes());
+        let (plan, write) = (scheduler.take_plan_request(), scheduler.has_pending_writes());
         let (ask, deposed) = (scheduler.has_permit_requests(), scheduler.lost_leadership());
         drop(scheduler);
         let dropped: Vec<Order> = orders.into_iter().filter_map(|order| self.links.send(order).err()).collect();
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -131,7 +131,7 @@
             scheduler.tick(now);
             scheduler.plan(now, wall_ms);
             // Planning's own changes are no reason to plan again.
-            scheduler.take_plan_wanted();
+            scheduler.take_plan_request();
         });
         let took = begun.elapsed();
         metrics::histogram!("martenscale_plan_seconds").record(took.as_secs_f64());
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -30,7 +30,7 @@
         let was_draining = server.info.as_ref().is_some_and(|old| old.draining);
         server.take_info(info);
         server.evacuated = evacuated;
-        self.plan_wanted = true;
+        self.plan_requested = true;
         self.give_up_unordered(&id, now);
         if draining && !was_draining {
             log::info!("server={id} event=draining fence={}", self.fence);
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -258,7 +258,7 @@
             None => self.trials.remove(id),
         };
         self.touch(id);
-        self.plan_wanted = true;
+        self.plan_requested = true;
     }
 
     /// The trial on a backend server that has come least far.
--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -131,7 +131,7 @@
         if over {
             self.evacuations.zones.remove(zone);
             self.mark_zone(zone);
-            self.plan_wanted = true;
+            self.plan_requested = true;
         }
     }
 
@@ -212,7 +212,7 @@
             self.stop_unordered(&id, StopReason::ZoneEvacuated, now);
         }
         self.move_lasting(now);
-        self.plan_wanted = true;
+        self.plan_requested = true;
     }
 
     /// Notes at each backend server of an availability zone whether it is evacuated.
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -40,7 +40,7 @@
         self.end_life(id, now);
         self.forget_speed(id);
         self.permits.remove_permits_for(id);
-        self.plan_wanted = true;
+        self.plan_requested = true;
         if let Some(server) = self.server_mut(id) {
             server.begin_life();
         }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -34,10 +34,10 @@
         let Some(server) = self.servers.get_mut(id) else { return };
         if server.failed_calls > 0 {
             log::info!("server={id} event=reachable_again after_calls={}", server.failed_calls);
-            self.plan_wanted = true;
+            self.plan_requested = true;
         }
         if !server.stocked {
-            self.plan_wanted = true;
+            self.plan_requested = true;
             // From here on it obeys no earlier scheduler, which can have renewed its lease up to now.
             server.stocked = true;
             server.lease_over = self.timing.lease_over(now);
@@ -48,7 +48,7 @@
         server.silence.since = None;
         server.silence.refused = false;
         self.record_witness_answer(id, listing.incarnation, sent, now);
-        self.plan_wanted |= !listing.completions.is_empty();
+        self.plan_requested |= !listing.completions.is_empty();
         for end in &listing.completions {
             self.take_end(id, end, now);
         }
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -123,7 +123,7 @@
     pub fn permit_request_failed(&mut self, request: &PermitRequest) {
         log::info!("job={} event=not_advised step={}", request.step.occurrence.job, request.step);
         self.permits.asking = None;
-        self.plan_wanted = true;
+        self.plan_requested = true;
     }
 
     /// The adviser allows these of the backend servers of a question that was sent at `sent`, and no others.
@@ -141,7 +141,7 @@
             allowed.len()
         );
         self.permits.asking = None;
-        self.plan_wanted = true;
+        self.plan_requested = true;
         if !self.open.contains(&job) {
             return;
         }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -148,7 +148,7 @@
             group.stopping = None;
             group.ready_since = Some(now);
         }
-        self.plan_wanted = true;
+        self.plan_requested = true;
         if let Some(server) = self.server_mut(&member.server) {
             server.used.remove(&need);
             server.members.remove(&name.task(index));
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -97,7 +97,7 @@
     /// How long stops have taken lately.
     pub(crate) stop_times: StopTimes,
     /// Something has happened that may let a group start.
-    pub(crate) plan_wanted: bool,
+    pub(crate) plan_requested: bool,
     /// When leases and stops were last looked at.
     last_look: Moment,
     /// Occurrences whose progress the store does not hold as it is.
@@ -147,7 +147,7 @@
             standing: Standing::default(),
             fleet_speed: FleetSpeed::default(),
             stop_times: StopTimes::unseen(),
-            plan_wanted: false,
+            plan_requested: false,
             last_look: elected,
             servers: BTreeMap::new(),
             dirty: Unstored::default(),
@@ -183,12 +183,12 @@
         for entry in self.jobs.values_mut() {
             entry.priority = self.policy.priority(&entry.job.queue);
         }
-        self.plan_wanted = true;
+        self.plan_requested = true;
     }
 
     /// Whether something has happened, since this was last asked, that may let a group start.
-    pub fn take_plan_wanted(&mut self) -> bool {
-        std::mem::take(&mut self.plan_wanted)
+    pub fn take_plan_request(&mut self) -> bool {
+        std::mem::take(&mut self.plan_requested)
     }
 
     /// A job that the store holds. Told again, it changes nothing.
@@ -202,7 +202,7 @@
         self.changed.extend(entry.occurrence_ids());
         self.jobs.insert(id, entry);
         self.open.insert(id);
-        self.plan_wanted = true;
+        self.plan_requested = true;
     }
 
     /// The caller does not want the job any more; the store holds that.
@@ -219,7 +219,7 @@
         }
         let over_before = entry.ended.replace(now).is_some();
         self.changed.extend(entry.occurrence_ids());
-        self.plan_wanted = true;
+        self.plan_requested = true;
         log::info!("job={id} event=cancelled fence={}", self.fence);
         for name in self.group_names(id) {
             self.stop_group(name, StopReason::Cancelled, now);
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -154,7 +154,7 @@
         for id in before {
             if !self.unreachable.is_recorded(&id) {
                 self.touch(&id);
-                self.plan_wanted = true;
+                self.plan_requested = true;
             }
         }
     }
