--- a/crates/runtime/src/active.rs
+++ b/crates/runtime/src/active.rs
@@ -168,7 +168,7 @@
     pub(crate) fn state(&self, id: JobId, may_see: impl Fn(Option<&CustomerId>) -> bool) -> StateOutcome {
         let Some(active) = self.get() else { return StateOutcome::Unavailable };
         let scheduler = active.lock();
-        match scheduler.job(id) {
+        match scheduler.job_status(id) {
             None => StateOutcome::NoSuchJob,
             Some((_, owner)) if !may_see(owner) => StateOutcome::NotYours,
             Some((state, _)) => StateOutcome::Found(state),
--- a/crates/runtime/src/intake.rs
+++ b/crates/runtime/src/intake.rs
@@ -104,7 +104,7 @@
 fn take_intake(scheduler: &mut Scheduler, items: &[Item], now: Moment) {
     for item in items {
         if let Some(Intake::Job(id)) = keys::intake(&item.key)
-            && scheduler.job(id).is_none()
+            && scheduler.job_status(id).is_none()
         {
             add_job(scheduler, id, item);
         }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -230,7 +230,7 @@
     }
 
     /// What a caller may be told, and whose the job is.
-    pub fn job(&self, id: JobId) -> Option<(JobState, Option<&CustomerId>)> {
+    pub fn job_status(&self, id: JobId) -> Option<(JobState, Option<&CustomerId>)> {
         if let Some(entry) = self.jobs.get(&id) {
             return Some((entry.state(), entry.job.customer.as_ref()));
         }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -206,7 +206,7 @@
     }
 
     pub(crate) fn state(&self, id: u64) -> Option<JobState> {
-        self.scheduler.job(JobId(id)).map(|(state, _)| state)
+        self.scheduler.job_status(JobId(id)).map(|(state, _)| state)
     }
 
     pub(crate) fn advance(&mut self, ms: u64) {
--- a/crates/scheduler/tests/common/still.rs
+++ b/crates/scheduler/tests/common/still.rs
@@ -187,7 +187,7 @@
         let in_office = self.leaders.iter().rfind(|leader| leader.alive && leader.fence == self.holder);
         let group = if self.jobs[&id].steps[step].gang { 0 } else { index as usize };
         let placed = stored.map(|(progress, _)| format!("{:?}", progress.groups[step][group]));
-        let believes = in_office.map(|leader| (leader.fence, leader.scheduler.job(id).map(|(state, _)| state)));
+        let believes = in_office.map(|leader| (leader.fence, leader.scheduler.job_status(id).map(|(state, _)| state)));
         let counts = in_office.map(|leader| leader.scheduler.counts());
         let taken =
             self.servers.values().map(|s| (s.id.clone(), s.info.capacity.accelerators, self.taken_on(s).accelerators));
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -381,7 +381,7 @@
     /// What the scheduler in office tells of a job.
     pub(crate) fn state(&self, id: JobId) -> Option<JobState> {
         let leader = self.leaders.iter().rfind(|leader| leader.alive && leader.fence == self.holder)?;
-        leader.scheduler.job(id).map(|(state, _)| state)
+        leader.scheduler.job_status(id).map(|(state, _)| state)
     }
 
     pub(crate) fn unacknowledged(&self) -> usize {
