--- a/crates/runtime/src/measure.rs
+++ b/crates/runtime/src/measure.rs
@@ -37,13 +37,13 @@
                 let announced = announced.to_string();
                 metrics::counter!("martenscale_servers_gone_total", "announced" => announced).increment(1);
             }
-            Observation::CrashedUnder { early } => {
+            Observation::CrashedUnderTask { early } => {
                 metrics::counter!("martenscale_crashes_under_tasks_total", "early" => early.to_string()).increment(1);
             }
-            Observation::GivenUp { why } => {
+            Observation::TaskAbandoned { why } => {
                 metrics::counter!("martenscale_tasks_given_up_total", "why" => why).increment(1);
             }
-            Observation::EndKnown => {
+            Observation::CompletionRedelivered => {
                 metrics::counter!("martenscale_ends_known_total").increment(1);
             }
             Observation::RunLost { why } => {
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -171,7 +171,7 @@
         }
         let task = name.task(index);
         log::warn!("job={job} event=crashed_under task={task} run={run} server={id} early={early}");
-        self.observations.push(Observation::CrashedUnder { early });
+        self.observations.push(Observation::CrashedUnderTask { early });
         if !early && self.step(name).long_running {
             // It was at work: it does not crash what starts it, and over months chance crashes add up.
             self.change(name, |progress| progress.crashes.retain(|crash| crash.index != index));
--- a/crates/scheduler/src/observations.rs
+++ b/crates/scheduler/src/observations.rs
@@ -51,17 +51,17 @@
         announced: bool,
     },
     /// A backend server has crashed while a task ran there.
-    CrashedUnder {
+    CrashedUnderTask {
         /// The run is not known to have outlived its start.
         early: bool,
     },
     /// A task is given up, and its occurrence has failed.
-    GivenUp {
+    TaskAbandoned {
         /// What it has used up: `attempts_used` or `crashes`.
         why: &'static str,
     },
     /// An end was listed that counts as taken in already, since its serial number had been acknowledged.
-    EndKnown,
+    CompletionRedelivered,
     /// A run is over without a word of how it ended.
     RunLost {
         /// How that is known: `server_gone`, `lease_over` or `not_listed`.
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -19,7 +19,7 @@
             if end.serial <= server.acknowledged_serial {
                 // Told again though it was acknowledged: the call that did so was lost, or this is another end with its serial number.
                 log::info!("server={id} event=end_known task={} run={} serial={}", end.task, end.run, end.serial);
-                self.observations.push(Observation::EndKnown);
+                self.observations.push(Observation::CompletionRedelivered);
             }
             return;
         }
@@ -135,7 +135,7 @@
             name.step,
             name.group
         );
-        self.observations.push(Observation::GivenUp { why });
+        self.observations.push(Observation::TaskAbandoned { why });
         self.occurrence_mut(name.occurrence).progress.failed = true;
         self.note_end(job, now);
         let others = self.group_names(job);
