--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -59,13 +59,13 @@
     pub fn server_ended(&mut self, id: &BackendServerId, now: Moment) {
         self.charge_lapsed(id, now);
         if self.servers.contains_key(id) {
-            self.end_life(id, now);
+            self.end_incarnation(id, now);
             self.remove_server(id);
         }
     }
 
     /// What ran in a life of a backend server is over with it; it was a crash, unless it had been announced.
-    pub(crate) fn end_life(&mut self, id: &BackendServerId, now: Moment) {
+    pub(crate) fn end_incarnation(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
         let announced = server.announced();
         let silent = server.silence.since.map_or(0, |since| now.since(since).millis());
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -10,7 +10,7 @@
 
 impl Scheduler {
     /// A life of a backend server answers. If it is another one than the one that answered last, that one is over.
-    pub(crate) fn hear_life(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
+    pub(crate) fn observe_incarnation(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         self.settle_lapsed(id, incarnation, now);
         let Some(server) = self.servers.get(id) else { return };
         let known = server.incarnation;
@@ -25,10 +25,10 @@
                 );
                 self.incarnation_ended(id, known, now);
             }
-            None => self.end_other_lives(id, incarnation, now),
+            None => self.end_other_incarnations(id, incarnation, now),
         }
         if let Some(server) = self.server_mut(id) {
-            server.set_life(incarnation);
+            server.set_incarnation(incarnation);
         }
     }
 
@@ -37,12 +37,12 @@
         if self.incarnation(id) != Some(incarnation) {
             return;
         }
-        self.end_life(id, now);
+        self.end_incarnation(id, now);
         self.forget_speed(id);
         self.permits.remove_permits_for(id);
         self.plan_requested = true;
         if let Some(server) = self.server_mut(id) {
-            server.begin_life();
+            server.begin_incarnation();
         }
     }
 
@@ -52,7 +52,7 @@
     }
 
     /// The first word of a backend server: what an earlier scheduler placed in other lives of it is over.
-    fn end_other_lives(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
+    fn end_other_incarnations(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         let other = |member: &Member| member.incarnation.is_some_and(|placed| placed != incarnation);
         self.charge_crash_if(id, other, now);
         self.lapse_members_if(id, other, "server_gone", now);
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -23,7 +23,7 @@
             return;
         }
         match listing.incarnation {
-            Some(incarnation) => self.hear_life(id, incarnation, now),
+            Some(incarnation) => self.observe_incarnation(id, incarnation, now),
             None => drop(self.lapsed.remove(id)),
         }
         let Some(server) = self.servers.get(id) else { return };
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -194,7 +194,7 @@
     }
 
     /// Begins the next life under the same id, which was not heard yet: of the earlier one only what the platform tells remains.
-    pub(crate) fn begin_life(&mut self) {
+    pub(crate) fn begin_incarnation(&mut self) {
         let info = self.info.take();
         *self = Server {
             listed: self.listed,
@@ -208,14 +208,14 @@
     }
 
     /// A life is heard for the first time.
-    pub(crate) fn set_life(&mut self, incarnation: Incarnation) {
+    pub(crate) fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = Some(incarnation);
         self.leaves = self.info.as_ref().is_some_and(|info| info.draining) && self.is_as_listed();
     }
 
     /// Takes in what the platform lists of it. What another life than the one that was last heard says of leaving is no word of that one.
     pub(crate) fn take_info(&mut self, info: ServerInfo) {
-        if is_one_life(info.incarnation, self.incarnation) {
+        if may_be_same_incarnation(info.incarnation, self.incarnation) {
             self.leaves = info.draining;
         }
         self.info = Some(info);
@@ -225,7 +225,7 @@
 
     /// Whether the life that answers is the one that the platform lists: another one may have other room and other labels.
     pub(crate) fn is_as_listed(&self) -> bool {
-        self.info.as_ref().is_some_and(|info| is_one_life(info.incarnation, self.incarnation))
+        self.info.as_ref().is_some_and(|info| may_be_same_incarnation(info.incarnation, self.incarnation))
     }
 
     /// Whether the life that was last heard has said that it leaves.
@@ -261,6 +261,6 @@
 }
 
 /// Whether two words of a backend server may be of one life: a platform that tells no incarnations has an id for each life.
-fn is_one_life(one: Option<Incarnation>, other: Option<Incarnation>) -> bool {
+fn may_be_same_incarnation(one: Option<Incarnation>, other: Option<Incarnation>) -> bool {
     one.zip(other).is_none_or(|(one, other)| one == other)
 }
