--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -9,7 +9,7 @@
     Scheduler,
     crashes::has_its_last_try,
     guarantee::Guarantees,
-    headroom::STANDS_AT_MOST,
+    headroom::STALL_LIMIT,
     policy::ServiceId,
     ready::{ReadyStep, ReadySteps},
     run_state::GroupId,
@@ -33,7 +33,7 @@
     /// A backend server has crashed under it as it began: it runs by itself until it has outlived its start.
     pub(crate) suspect: bool,
     /// Nothing of its occurrence has run for long, though it could.
-    pub(crate) stands: bool,
+    pub(crate) is_stalled: bool,
     /// So late that it no longer counts: it goes behind the others of its priority.
     hopeless: bool,
     /// Wall-clock milliseconds by which its job should end.
@@ -57,7 +57,7 @@
             guaranteed: false,
             long_running: false,
             suspect: false,
-            stands: false,
+            is_stalled: false,
             hopeless: false,
             deadline_ms: u64::MAX,
             pressed_ms: u64::MAX,
@@ -79,7 +79,7 @@
     /// It has waited for half of the time that it can without being late.
     pub(crate) pressed: bool,
     /// Nothing of its occurrence has run for long: it goes wherever it can.
-    pub(crate) stands: bool,
+    pub(crate) is_stalled: bool,
     /// It has failed before: one more failure costs much.
     careful: bool,
     /// One more crash as it begins may give it up.
@@ -100,7 +100,7 @@
     /// The same, whatever the adviser says.
     pub(crate) fn could_run(&self, room: &Room) -> bool {
         let labelled = self.step.label.as_ref().is_none_or(|label| room.labels.contains(label));
-        let trusted = self.stands || !(room.set_aside || room.on_trial || self.careful && room.doubtful);
+        let trusted = self.is_stalled || !(room.set_aside || room.on_trial || self.careful && room.doubtful);
         let trusted = trusted && !(room.on_trial && self.last_try);
         *self.service == room.service && trusted && labelled && room.capacity.contains(&self.need)
     }
@@ -151,7 +151,7 @@
             step,
             groups,
             suspect,
-            stands: idle.min(turn_has_come) >= STANDS_AT_MOST,
+            is_stalled: idle.min(turn_has_come) >= STALL_LIMIT,
             priority: queue.priority,
             guaranteed: false,
             long_running: entry.job.steps[step].long_running,
@@ -198,7 +198,18 @@
         let urgent = queue.priority == 0 || step.long_running;
         let allowed = queue.permits.map(|_| self.permits.allowed(candidate.step_id(), now));
         let pressed = self.wall_ms(now) >= candidate.pressed_ms;
-        let stands = candidate.stands;
-        Some(Wanted { step, need, service: &queue.service, urgent, pressed, stands, careful, last_try, here, allowed })
+        let is_stalled = candidate.is_stalled;
+        Some(Wanted {
+            step,
+            need,
+            service: &queue.service,
+            urgent,
+            pressed,
+            is_stalled,
+            careful,
+            last_try,
+            here,
+            allowed,
+        })
     }
 }
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -16,7 +16,7 @@
 use crate::{
     Scheduler,
     candidate::Candidate,
-    headroom::STANDS_AT_MOST,
+    headroom::STALL_LIMIT,
     observations::Observation,
     run_state::{Group, GroupId, Member, Phase, Trial},
     server::ServerAddress,
@@ -206,7 +206,7 @@
     pub(crate) fn waits_for_empty_one(&self, candidate: &Candidate, now: Moment) -> bool {
         let name = candidate.group(candidate.groups[0]);
         let waited = self.group(name).ready_since.map_or(Duration::ZERO, |since| now.since(since));
-        candidate.suspect && has_its_last_try(self.progress_of(name)) && waited < STANDS_AT_MOST
+        candidate.suspect && has_its_last_try(self.progress_of(name)) && waited < STALL_LIMIT
     }
 
     /// A run of a group is placed, or is found by a new scheduler: that of a suspect is on trial.
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -27,7 +27,7 @@
 /// Below this share in use, nothing that fits is held back (users' rules: half of a service's capacity).
 const LITTLE_USED: f64 = 0.55;
 /// A job of which nothing runs is held back for so long at most (users' rules: 3 s until something of it runs).
-pub(crate) const STANDS_AT_MOST: Duration = Duration::from_millis(2000);
+pub(crate) const STALL_LIMIT: Duration = Duration::from_millis(2000);
 /// So many times as much as such a job takes has to be free (users' rules).
 const ROOM_BESIDE: u64 = 2;
 /// Longer ones tell of a backend server that was out of reach, not of stops.
@@ -74,11 +74,11 @@
         count: u64,
         rooms: &Rooms,
     ) -> bool {
-        let stands = || {
+        let is_stalled = || {
             let free = rooms.totals(wanted.service).free;
-            candidate.stands && taken == 0 && free >= ROOM_BESIDE * count * wanted.need.accelerators
+            candidate.is_stalled && taken == 0 && free >= ROOM_BESIDE * count * wanted.need.accelerators
         };
-        wanted.urgent || self.leaves_headroom(wanted, taken, count, rooms) || stands()
+        wanted.urgent || self.leaves_headroom(wanted, taken, count, rooms) || is_stalled()
     }
 
     /// Whether enough accelerators stay free for urgent jobs if `count` tasks start beside `taken` that are
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -64,7 +64,7 @@
         for (near, doubtful, speed) in tiers(wanted, rooms) {
             // One task away from its data keeps a job from standing; the others wait for room near it.
             let only_one = !near && !far_is_worth_it;
-            let nothing_near = wanted.stands && filling.places.is_empty();
+            let nothing_near = wanted.is_stalled && filling.places.is_empty();
             if !near && wanted.step.data_rack.is_none() || only_one && !nothing_near {
                 continue;
             }
@@ -111,7 +111,7 @@
                     break;
                 }
                 looked_at += 1;
-                if !wanted.stands && self.avoids(candidate.group(group), room, now) {
+                if !wanted.is_stalled && self.avoids(candidate.group(group), room, now) {
                     kept.push(group);
                     continue;
                 }
@@ -167,7 +167,7 @@
             whole.iter().any(|(_, n)| *n >= count)
         };
         if slots.iter().map(|(_, n)| n).sum::<u64>() < count
-            || wanted.step.same_rack && !wanted.stands && one_rack_could()
+            || wanted.step.same_rack && !wanted.is_stalled && one_rack_could()
         {
             return None;
         }
@@ -204,7 +204,7 @@
     ) -> impl Iterator<Item = (Slot, &'r Room)> {
         rooms
             .in_rack(rack)
-            .filter(move |(_, room)| wanted.allows(room) && (wanted.stands || !self.avoids(name, room, now)))
+            .filter(move |(_, room)| wanted.allows(room) && (wanted.is_stalled || !self.avoids(name, room, now)))
     }
 
     /// Fills racks in their order, in each trusted backend servers first, then the fullest; a suspect takes those with the
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -168,7 +168,7 @@
         now: Moment,
     ) -> Takers<'a> {
         let each = if wanted.step.gang { u64::from(wanted.step.count) } else { 1 };
-        let picks = |group: &&usize| !wanted.stands && self.may_avoid(candidate.group(**group), now);
+        let picks = |group: &&usize| !wanted.is_stalled && self.may_avoid(candidate.group(**group), now);
         let choosy: Vec<GroupId> = groups.iter().filter(picks).map(|&group| candidate.group(group)).collect();
         Takers { scheduler: self, each, easy: (groups.len() - choosy.len()) as u64, choosy, now }
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -21,7 +21,7 @@
     run_state::{JobEntry, StopReason, Trial},
     server::Server,
     speed::FleetSpeed,
-    stalled::Standing,
+    stalled::Stalled,
     timing::Timing,
     unreachable::Unreachable,
     witnesses::Witnesses,
@@ -85,7 +85,7 @@
     /// Runs that were lost with their lease, on backend servers that may have crashed.
     pub(crate) lapsed: Lapsed,
     /// Occurrences of which nothing runs although something could.
-    pub(crate) standing: Standing,
+    pub(crate) stalled: Stalled,
     /// Backend servers where a suspect has not outlived its start, with the trial there that has come least far.
     pub(crate) trials: BTreeMap<BackendServerId, Trial>,
     /// Backend servers that the next scheduler is told not to have been reached.
@@ -144,7 +144,7 @@
             unreachable: Unreachable::default(),
             witnesses: Witnesses::default(),
             lapsed: Lapsed::default(),
-            standing: Standing::default(),
+            stalled: Stalled::default(),
             fleet_speed: FleetSpeed::default(),
             stop_times: StopTimes::unseen(),
             plan_requested: false,
@@ -251,7 +251,7 @@
             servers: self.servers.len(),
             unheard_servers: self.servers.values().filter(|server| !server.stocked).count(),
             waiting: self.ready.len(),
-            standing: self.standing.long,
+            standing: self.stalled.long,
             unstored: self.dirty.len(),
             refreshed: self.refreshed,
         }
@@ -286,6 +286,6 @@
         }
         self.move_lasting(now);
         self.repeat_stops(now);
-        self.look_for_standing(now);
+        self.detect_stalled(now);
     }
 }
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -22,7 +22,7 @@
 
 /// Since when occurrences stand.
 #[derive(Debug, Default)]
-pub(crate) struct Standing {
+pub(crate) struct Stalled {
     since: BTreeMap<OccurrenceId, Moment>,
     looked: Moment,
     /// How many stood for long at the latest look.
@@ -72,14 +72,17 @@
 
 impl Scheduler {
     /// Looks which occurrences stand, and tells what those wait for that have stood for long.
-    pub(crate) fn look_for_standing(&mut self, now: Moment) {
-        if now.since(self.standing.looked) < LOOK_EVERY {
+    pub(crate) fn detect_stalled(&mut self, now: Moment) {
+        if now.since(self.stalled.looked) < LOOK_EVERY {
             return;
         }
-        let before = std::mem::take(&mut self.standing.since);
-        let stands = |id: &OccurrenceId| self.stands(*id, now);
-        let since: BTreeMap<OccurrenceId, Moment> =
-            self.open_occurrences().filter(stands).map(|id| (id, before.get(&id).copied().unwrap_or(now))).collect();
+        let before = std::mem::take(&mut self.stalled.since);
+        let is_stalled = |id: &OccurrenceId| self.is_stalled(*id, now);
+        let since: BTreeMap<OccurrenceId, Moment> = self
+            .open_occurrences()
+            .filter(is_stalled)
+            .map(|id| (id, before.get(&id).copied().unwrap_or(now)))
+            .collect();
         let long: Vec<(OccurrenceId, Duration)> =
             since.iter().map(|(id, since)| (*id, now.since(*since))).filter(|(_, time)| *time >= ON_ITS_WAY).collect();
         for (id, time) in long.iter().take(MOST_LINES) {
@@ -92,7 +95,7 @@
                 );
             }
         }
-        self.standing = Standing { since, looked: now, long: long.len() };
+        self.stalled = Stalled { since, looked: now, long: long.len() };
     }
 
     fn open_occurrences(&self) -> impl Iterator<Item = OccurrenceId> {
@@ -100,7 +103,7 @@
     }
 
     /// Whether nothing of an occurrence is known to run, and something of it is placed or could be.
-    fn stands(&self, id: OccurrenceId, now: Moment) -> bool {
+    fn is_stalled(&self, id: OccurrenceId, now: Moment) -> bool {
         let entry = &self.jobs[&id.job];
         let occurrence = self.occurrence(id);
         if entry.cancelled || occurrence.over() || self.wall_ms(now) < entry.job.due_ms(id.number) {
