--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -187,7 +187,7 @@
             if self.acknowledge_stored(&server) {
                 acknowledged.push(server.clone());
             }
-            if self.servers.get(&server).is_some_and(|server| server.waits_for(id)) {
+            if self.servers.get(&server).is_some_and(|server| server.awaits_write(id)) {
                 still_waiting.push(server);
             }
         }
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -167,7 +167,7 @@
     }
 
     /// Whether an end waits for an occurrence to be stored.
-    pub(crate) fn waits_for(&self, id: OccurrenceId) -> bool {
+    pub(crate) fn awaits_write(&self, id: OccurrenceId) -> bool {
         self.pending_ends.iter().any(|end| end.held_by.is_some_and(|(occurrence, _)| occurrence == id))
     }
 
