--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -96,7 +96,7 @@
             let id = entry.occurrence;
             self.under_way.remove(&id);
             self.entry_stored(entry, revision);
-            acknowledged.extend(self.acknowledge_held_by(id));
+            acknowledged.extend(self.acknowledge_stored_with(id));
         }
         self.send_stored_starts();
         acknowledged
--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Scheduler,
-    crashes::has_its_last_try,
+    crashes::is_last_attempt,
     guarantee::Guarantees,
     headroom::STALL_LIMIT,
     policy::ServiceId,
@@ -48,7 +48,7 @@
     }
 
     /// One group, of which only what it asks of a place is looked at.
-    pub(crate) fn to_look_at(name: GroupId) -> Candidate {
+    pub(crate) fn for_diagnosis(name: GroupId) -> Candidate {
         Candidate {
             occurrence: name.occurrence,
             step: name.step,
@@ -83,7 +83,7 @@
     /// It has failed before: one more failure costs much.
     careful: bool,
     /// One more crash as it begins may give it up.
-    last_try: bool,
+    last_attempt: bool,
     /// Tasks of the step that each backend server runs already, if their number there is limited.
     here: BTreeMap<&'a BackendServerId, u64>,
     /// Backend servers that the adviser allows now; `None` if its leave is not needed.
@@ -101,7 +101,7 @@
     pub(crate) fn could_run(&self, room: &Room) -> bool {
         let labelled = self.step.label.as_ref().is_none_or(|label| room.labels.contains(label));
         let trusted = self.is_stalled || !(room.set_aside || room.on_trial || self.careful && room.doubtful);
-        let trusted = trusted && !(room.on_trial && self.last_try);
+        let trusted = trusted && !(room.on_trial && self.last_attempt);
         *self.service == room.service && trusted && labelled && room.capacity.contains(&self.need)
     }
 
@@ -193,7 +193,7 @@
         }
         let progress = &occurrence.progress.groups[candidate.step];
         let careful = progress.iter().any(|group| !group.failed_runs.is_empty());
-        let last_try = candidate.groups.iter().any(|&group| has_its_last_try(&progress[group]));
+        let last_attempt = candidate.groups.iter().any(|&group| is_last_attempt(&progress[group]));
         let need = step.counted_resources();
         let urgent = queue.priority == 0 || step.long_running;
         let allowed = queue.permits.map(|_| self.permits.allowed(candidate.step_id(), now));
@@ -207,7 +207,7 @@
             pressed,
             is_stalled,
             careful,
-            last_try,
+            last_attempt,
             here,
             allowed,
         })
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -28,20 +28,20 @@
         self.servers.entry(id.clone()).or_insert_with(|| Server::new(None, earlier));
         let server = self.server_mut(&id).expect("it was just added");
         let was_draining = server.info.as_ref().is_some_and(|old| old.draining);
-        server.take_info(info);
+        server.update_info(info);
         server.evacuated = evacuated;
         self.plan_requested = true;
-        self.give_up_unordered(&id, now);
+        self.stop_oversized_starts(&id, now);
         if draining && !was_draining {
             log::info!("server={id} event=draining fence={}", self.fence);
-            self.leave_in_time(&id, now);
+            self.stop_before_departure(&id, now);
         }
     }
 
     /// What was placed on a backend server that has shrunk below it, and was not ordered, is placed anew.
-    fn give_up_unordered(&mut self, id: &BackendServerId, now: Moment) {
+    fn stop_oversized_starts(&mut self, id: &BackendServerId, now: Moment) {
         if self.servers.get(id).is_some_and(Server::is_over_capacity) {
-            self.stop_unordered(id, StopReason::ServerShrunk, now);
+            self.stop_unsent(id, StopReason::ServerShrunk, now);
         }
     }
 
@@ -52,7 +52,7 @@
             server.listed = false;
             server.silence.unlisted = Some(now);
         }
-        self.look_whether_left(id, now);
+        self.check_departed(id, now);
     }
 
     /// A backend server's life is over: another life answers in its place, under another id.
@@ -79,14 +79,14 @@
 
     pub(crate) fn remove_server(&mut self, id: &BackendServerId) {
         self.touch(id);
-        self.forget_speed(id);
+        self.reset_speed(id);
         self.servers.remove(id);
         self.trials.remove(id);
         self.unreachable.remove_pending(id);
     }
 
     /// A backend server that has refused a start gets none for a while.
-    pub(crate) fn leave_alone(&mut self, id: &BackendServerId, now: Moment) {
+    pub(crate) fn pause_starts(&mut self, id: &BackendServerId, now: Moment) {
         let until = now + self.timing.refused_pause;
         if let Some(server) = self.server_mut(id) {
             server.not_before = until;
@@ -124,23 +124,23 @@
         if server.failed_calls == 1 {
             server.silence.since = Some(now);
             log::warn!("server={id} event=unreachable lease_over_at={}", server.lease_over.millis());
-            self.note_changed_on(id);
+            self.mark_changed_on(id);
         }
         if busy {
             self.unreachable.add_pending(id);
         }
-        self.look_whether_left(id, now);
+        self.check_departed(id, now);
     }
 
     /// Whether a backend server answers has changed: so may have whether anything runs of what is placed there.
-    pub(crate) fn note_changed_on(&mut self, id: &BackendServerId) {
+    pub(crate) fn mark_changed_on(&mut self, id: &BackendServerId) {
         let occurrences = self.groups_on(id).into_iter().map(|name| name.occurrence);
         self.changed.extend(occurrences);
     }
 
     /// A backend server that has left takes all that ran on it along, so that no lease has to be waited for.
-    fn look_whether_left(&mut self, id: &BackendServerId, now: Moment) {
-        if self.servers.get(id).is_some_and(Server::has_left) {
+    fn check_departed(&mut self, id: &BackendServerId, now: Moment) {
+        if self.servers.get(id).is_some_and(Server::has_departed) {
             log::info!("server={id} event=left");
             self.server_ended(id, now);
         }
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -63,7 +63,7 @@
 }
 
 impl Lapsed {
-    pub(crate) fn forget_old(&mut self, now: Moment) {
+    pub(crate) fn remove_expired(&mut self, now: Moment) {
         self.by_server.retain(|_, lapsed| now.since(lapsed.since) < REMEMBERED);
     }
 
@@ -81,7 +81,7 @@
 
 /// Whether one more crash as it begins may give a group up. Its run shares a backend server with nothing else that is
 /// on trial, and with nothing that stands.
-pub(crate) fn has_its_last_try(progress: &GroupProgress) -> bool {
+pub(crate) fn is_last_attempt(progress: &GroupProgress) -> bool {
     progress.crashes.iter().filter(|crash| crash.early).count() + 1 >= EARLY_CRASHES
 }
 
@@ -92,12 +92,12 @@
 
 impl Group {
     /// Whether its run is known to have outlived its start on backend servers of which one was last heard at `heard`.
-    pub(crate) fn outlived_start(&self, heard: Option<Moment>) -> bool {
-        self.known_at_work(heard) >= Some(OUTLIVES)
+    pub(crate) fn survived_start(&self, heard: Option<Moment>) -> bool {
+        self.known_run_time(heard) >= Some(OUTLIVES)
     }
 
-    fn known_at_work(&self, heard: Option<Moment>) -> Option<Duration> {
-        self.members.iter().map(|member| member.known_at_work(heard)).min().flatten()
+    fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
+        self.members.iter().map(|member| member.known_run_time(heard)).min().flatten()
     }
 }
 
@@ -115,7 +115,7 @@
     }
 
     /// The leases of a backend server are over, and nothing tells whether it has crashed.
-    pub(crate) fn note_lapsed(&mut self, id: &BackendServerId, now: Moment) {
+    pub(crate) fn record_lapsed(&mut self, id: &BackendServerId, now: Moment) {
         let runs = self.under_crash(id, |_| true);
         let Some(server) = self.servers.get(id) else { return };
         if !runs.is_empty() && !server.announced() {
@@ -134,7 +134,7 @@
     }
 
     /// A backend server answers again after its leases were over: if in another life, it had crashed.
-    pub(crate) fn settle_lapsed(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
+    pub(crate) fn resolve_lapsed(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         let Some(lapsed) = self.lapsed.by_server.get(id) else { return };
         if lapsed.incarnation.is_some_and(|earlier| earlier != incarnation) {
             self.charge_lapsed(id, now);
@@ -151,7 +151,7 @@
             let group = self.group(name);
             let here = |member: &&Member| member.index == task.index && member.server == *id && which(member);
             let member = group.members.iter().find(here)?;
-            let early = !group.outlived_start(server.silence.heard);
+            let early = !group.survived_start(server.silence.heard);
             let address = server.info.as_ref().map_or_else(|| Arc::from(""), |info| Arc::from(info.address.as_str()));
             let started = member.phase == Phase::Running;
             let crash = Crash { index: task.index, run: *run, started, early, address };
@@ -191,7 +191,7 @@
             let group = self.group(*other);
             group.trial.is_some() && group.members.iter().any(goes_on)
         };
-        has_its_last_try(self.progress_of(name)) && self.group_names(name.occurrence.job).iter().any(on_trial)
+        is_last_attempt(self.progress_of(name)) && self.group_names(name.occurrence.job).iter().any(on_trial)
     }
 
     /// Whether a backend server answers, or is silent for so short that it may have crashed and its next life is not there yet.
@@ -206,7 +206,7 @@
     pub(crate) fn waits_for_empty_one(&self, candidate: &Candidate, now: Moment) -> bool {
         let name = candidate.group(candidate.groups[0]);
         let waited = self.group(name).ready_since.map_or(Duration::ZERO, |since| now.since(since));
-        candidate.suspect && has_its_last_try(self.progress_of(name)) && waited < STALL_LIMIT
+        candidate.suspect && is_last_attempt(self.progress_of(name)) && waited < STALL_LIMIT
     }
 
     /// A run of a group is placed, or is found by a new scheduler: that of a suspect is on trial.
@@ -229,9 +229,9 @@
         for name in self.groups_on(id) {
             let group = self.group(name);
             let Some(trial) = group.trial else { continue };
-            let goes_well = group.known_at_work(heard) >= Some(GOES_WELL) && !has_its_last_try(self.progress_of(name));
+            let goes_well = group.known_run_time(heard) >= Some(GOES_WELL) && !is_last_attempt(self.progress_of(name));
             let now = match trial {
-                _ if group.outlived_start(heard) => None,
+                _ if group.survived_start(heard) => None,
                 Trial::Begun if goes_well => Some(Trial::GoesWell),
                 trial => Some(trial),
             };
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -24,7 +24,7 @@
 
 impl Scheduler {
     /// Moves what cannot end before its backend server leaves.
-    pub(crate) fn leave_in_time(&mut self, id: &BackendServerId, now: Moment) {
+    pub(crate) fn stop_before_departure(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
         let Some(remaining) = server.info.as_ref().and_then(|info| info.remaining) else { return };
         for name in self.groups_on(id) {
--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -194,11 +194,11 @@
     }
 
     /// Tasks that last leave evacuated availability zones, as their steps allow.
-    pub(crate) fn move_lasting(&mut self, now: Moment) {
+    pub(crate) fn evacuate_long_running(&mut self, now: Moment) {
         let zones: Vec<AvailabilityZoneId> = self.evacuations.zones.keys().cloned().collect();
         for id in zones.iter().flat_map(|zone| self.servers_in(zone)).collect::<Vec<_>>() {
             for name in self.groups_on(&id) {
-                if self.step(name).long_running && self.may_be_absent(name) {
+                if self.step(name).long_running && self.may_interrupt(name) {
                     self.stop_group(name, StopReason::ZoneEvacuated, now);
                 }
             }
@@ -209,9 +209,9 @@
     fn close_zone(&mut self, zone: &AvailabilityZoneId, now: Moment) {
         self.mark_zone(zone);
         for id in self.servers_in(zone) {
-            self.stop_unordered(&id, StopReason::ZoneEvacuated, now);
+            self.stop_unsent(&id, StopReason::ZoneEvacuated, now);
         }
-        self.move_lasting(now);
+        self.evacuate_long_running(now);
         self.plan_requested = true;
     }
 
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -66,7 +66,7 @@
 
     /// Whether `count` tasks may start beside `taken` that are about to, as far as what is kept free for urgent jobs goes. A job of which nothing has run for long
     /// gets as much of that as lets something of it run: kept room must not starve it.
-    pub(crate) fn may_take(
+    pub(crate) fn headroom_allows(
         &self,
         candidate: &Candidate,
         wanted: &Wanted<'_>,
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -11,7 +11,7 @@
 impl Scheduler {
     /// A life of a backend server answers. If it is another one than the one that answered last, that one is over.
     pub(crate) fn observe_incarnation(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
-        self.settle_lapsed(id, incarnation, now);
+        self.resolve_lapsed(id, incarnation, now);
         let Some(server) = self.servers.get(id) else { return };
         let known = server.incarnation;
         if known == Some(incarnation) {
@@ -38,7 +38,7 @@
             return;
         }
         self.end_incarnation(id, now);
-        self.forget_speed(id);
+        self.reset_speed(id);
         self.permits.remove_permits_for(id);
         self.plan_requested = true;
         if let Some(server) = self.server_mut(id) {
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -29,7 +29,7 @@
         let Some(server) = self.servers.get(id) else { return };
         if !server.reached() {
             self.touch(id);
-            self.note_changed_on(id);
+            self.mark_changed_on(id);
         }
         let Some(server) = self.servers.get_mut(id) else { return };
         if server.failed_calls > 0 {
@@ -50,14 +50,14 @@
         self.record_witness_answer(id, listing.incarnation, sent, now);
         self.plan_requested |= !listing.completions.is_empty();
         for end in &listing.completions {
-            self.take_end(id, end, now);
+            self.receive_completion(id, end, now);
         }
-        self.take_strays(id, listing, now);
+        self.stop_orphaned_runs(id, listing, now);
         for running in &listing.running {
             self.confirm(id, running, now);
         }
         if !listing.more_completions {
-            self.find_lost(id, listing, sent, now);
+            self.detect_lost_runs(id, listing, sent, now);
         }
         self.follow_trials(id);
         self.throttle_best_effort(id, now);
@@ -83,7 +83,7 @@
             Phase::Restored | Phase::Sent { .. } => {
                 member.phase = Phase::Running;
                 member.settled.get_or_insert(now);
-                self.note_begun(name, id);
+                self.record_run_started(name, id);
             }
             Phase::Planned | Phase::Running => {}
         }
@@ -91,7 +91,7 @@
     }
 
     /// Runs that no one wants here: stopped, and their room counted until they are gone.
-    fn take_strays(&mut self, id: &BackendServerId, listing: &Listing, now: Moment) {
+    fn stop_orphaned_runs(&mut self, id: &BackendServerId, listing: &Listing, now: Moment) {
         let unwanted: Vec<(TaskId, RunNumber)> = listing
             .running
             .iter()
@@ -129,7 +129,7 @@
     }
 
     /// Runs that the listing must show if they went on, and does not.
-    fn find_lost(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
+    fn detect_lost_runs(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         let server = &self.servers[id];
         let listed = |task: &TaskId| listing.running.iter().any(|running| running.task == *task);
         let missing: Vec<TaskId> = server.members.keys().filter(|task| !listed(task)).copied().collect();
--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -173,7 +173,7 @@
         for name in members {
             let step = self.step(name);
             let moves_well = step.checkpoints || step.long_running;
-            if (moves_well || patience_over) && self.may_be_absent(name) {
+            if (moves_well || patience_over) && self.may_interrupt(name) {
                 self.stop_group(name, StopReason::ServerLeaving, now);
             }
         }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -13,7 +13,7 @@
 
 impl Scheduler {
     /// Takes an end in, unless it was before; it is acknowledged once the store holds what came of it.
-    pub(crate) fn take_end(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
+    pub(crate) fn receive_completion(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
         let server = self.servers.get_mut(id).expect("the caller has looked");
         if end.serial <= server.seen_end {
             if end.serial <= server.acknowledged_serial {
@@ -28,9 +28,9 @@
             self.apply_end(name, id, end, now);
         }
         let occurrence = end.task.occurrence;
-        let held_by = self.known_occurrence(occurrence).map(|state| (occurrence, state.version));
+        let stored_with = self.known_occurrence(occurrence).map(|state| (occurrence, state.version));
         let server = self.servers.get_mut(id).expect("ends remove no backend server");
-        server.pending_ends.push_back(PendingEnd { serial: end.serial, held_by });
+        server.pending_ends.push_back(PendingEnd { serial: end.serial, stored_with });
         if let Some(state) = self.known_occurrence_mut(occurrence)
             && !state.ends_from.contains(id)
         {
@@ -162,7 +162,7 @@
         let Some(server) = servers.get_mut(id) else { return false };
         let before = server.acknowledged_serial;
         while let Some(end) = server.pending_ends.front() {
-            let stored = end.held_by.is_none_or(|(occurrence, version)| {
+            let stored = end.stored_with.is_none_or(|(occurrence, version)| {
                 let entry = jobs.get(&occurrence.job);
                 let state = entry.and_then(|entry| entry.occurrences.get(occurrence.number as usize));
                 state.is_none_or(|state| state.stored_version >= version)
@@ -178,7 +178,7 @@
 
     /// The store holds an occurrence as of a version: the ends that wait for it are looked at. Returns the backend
     /// servers to which more can be acknowledged now.
-    pub(crate) fn acknowledge_held_by(&mut self, id: OccurrenceId) -> Vec<BackendServerId> {
+    pub(crate) fn acknowledge_stored_with(&mut self, id: OccurrenceId) -> Vec<BackendServerId> {
         let Some(occurrence) = self.known_occurrence_mut(id) else { return Vec::new() };
         let waiting = std::mem::take(&mut occurrence.ends_from);
         let mut acknowledged = Vec::new();
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -36,7 +36,7 @@
 impl Scheduler {
     /// Places tasks that each run by themselves, taking them out of `left`: near their data first, then on trusted
     /// backend servers, then rack by rack on the fullest.
-    pub(crate) fn choose_tasks(
+    pub(crate) fn place_tasks(
         &self,
         candidate: &Candidate,
         wanted: &Wanted<'_>,
@@ -46,11 +46,11 @@
         now: Moment,
     ) -> Places {
         let mut filling = Filling { left, places: Places::new() };
-        if !self.may_take(candidate, wanted, 0, 1, rooms) {
+        if !self.headroom_allows(candidate, wanted, 0, 1, rooms) {
             return filling.places;
         }
         if candidate.suspect {
-            let far = self.far_is_worth_it(candidate, wanted.step, rooms, now);
+            let far = self.remote_is_worthwhile(candidate, wanted.step, rooms, now);
             let order = fewest_tasks_first(wanted, rooms, &part, far);
             self.fill_with_tasks(candidate, wanted, rooms, order, &mut filling, now);
             return filling.places;
@@ -60,10 +60,10 @@
             self.fill_with_tasks(candidate, wanted, rooms, order, &mut filling, now);
             return filling.places;
         }
-        let far_is_worth_it = self.far_is_worth_it(candidate, wanted.step, rooms, now);
+        let remote_is_worthwhile = self.remote_is_worthwhile(candidate, wanted.step, rooms, now);
         for (near, doubtful, speed) in tiers(wanted, rooms) {
             // One task away from its data keeps a job from standing; the others wait for room near it.
-            let only_one = !near && !far_is_worth_it;
+            let only_one = !near && !remote_is_worthwhile;
             let nothing_near = wanted.is_stalled && filling.places.is_empty();
             if !near && wanted.step.data_rack.is_none() || only_one && !nothing_near {
                 continue;
@@ -104,7 +104,7 @@
             let mut looked_at = 0;
             for &group in filling.left.iter() {
                 let placed = filling.places.len() as u64;
-                let enough = self.may_take(candidate, wanted, placed, 1, rooms);
+                let enough = self.headroom_allows(candidate, wanted, placed, 1, rooms);
                 // One task keeps a job from standing; the others wait until nothing is on trial there.
                 let enough = enough && !(room.on_trial && placed > 0);
                 if fitting == 0 || !enough {
@@ -127,7 +127,7 @@
 
     /// Places a gang, an urgent one on backend servers of which the slowest is as fast as can be: it ends when its slowest member does.
     /// `None` if it must wait.
-    pub(crate) fn choose_gang(
+    pub(crate) fn place_gang(
         &self,
         name: GroupId,
         wanted: &Wanted<'_>,
@@ -139,13 +139,13 @@
         let classes = SpeedClass::ALL.iter().filter(|class| wanted.urgent && **class < slowest);
         let mut faster = classes.filter_map(|class| {
             let part = |room: &Room| if room.speed <= *class { part(room) } else { Resources::default() };
-            self.choose_gang_among(name, wanted, rooms, part, now)
+            self.place_gang_among(name, wanted, rooms, part, now)
         });
-        faster.next().or_else(|| self.choose_gang_among(name, wanted, rooms, &part, now))
+        faster.next().or_else(|| self.place_gang_among(name, wanted, rooms, &part, now))
     }
 
     /// Places a gang: in one rack if it fits there; else over several, if it may be. `None` if it must wait.
-    fn choose_gang_among(
+    fn place_gang_among(
         &self,
         name: GroupId,
         wanted: &Wanted<'_>,
@@ -237,7 +237,7 @@
     }
 
     /// A task runs longer away from its data: it waits as long as that would cost before it goes there.
-    pub(crate) fn far_is_worth_it(&self, candidate: &Candidate, step: &Step, rooms: &Rooms, now: Moment) -> bool {
+    pub(crate) fn remote_is_worthwhile(&self, candidate: &Candidate, step: &Step, rooms: &Rooms, now: Moment) -> bool {
         let Some(rack) = step.data_rack.as_ref().filter(|_| self.timing.tuning.data_rack) else { return true };
         let since = candidate.groups.iter().filter_map(|&group| self.group(candidate.group(group)).ready_since).min();
         let waited = since.map_or(Duration::ZERO, |since| now.since(since));
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -50,13 +50,13 @@
         let name = candidate.group(0);
         let Some(wanted) = self.wanted(candidate, now) else { return };
         let count = u64::from(wanted.step.count);
-        if !self.may_take(candidate, &wanted, 0, count, rooms) {
+        if !self.headroom_allows(candidate, &wanted, 0, count, rooms) {
             return;
         }
-        let free = self.choose_gang(name, &wanted, rooms, self.free_for(candidate, now), now);
+        let free = self.place_gang(name, &wanted, rooms, self.free_for(candidate, now), now);
         let soon = if wanted.urgent && free.is_none() {
             // Room that is being made counts as taken, so that nothing slips in and no more is stopped for it.
-            self.choose_gang(name, &wanted, rooms, |room| room.soon, now)
+            self.place_gang(name, &wanted, rooms, |room| room.soon, now)
         } else {
             None
         };
@@ -72,7 +72,7 @@
         } else if urgent {
             self.preempt_for(candidate, &candidate.groups, rooms, guarantees, now);
             let Some(wanted) = self.wanted(candidate, now) else { return };
-            if let Some(places) = self.choose_gang(name, &wanted, rooms, |room| room.soon, now) {
+            if let Some(places) = self.place_gang(name, &wanted, rooms, |room| room.soon, now) {
                 rooms.claim(&step, &places);
             }
         }
@@ -84,9 +84,9 @@
         let Some(wanted) = self.wanted(candidate, now) else { return };
         let (step, urgent) = (wanted.step.clone(), wanted.urgent);
         let mut left = candidate.groups.clone();
-        let placed = self.choose_tasks(candidate, &wanted, rooms, self.free_for(candidate, now), &mut left, now);
+        let placed = self.place_tasks(candidate, &wanted, rooms, self.free_for(candidate, now), &mut left, now);
         let waiting = if urgent && !left.is_empty() {
-            self.choose_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now)
+            self.place_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now)
         } else {
             Places::new()
         };
@@ -101,7 +101,7 @@
         if urgent && !left.is_empty() {
             self.preempt_for(candidate, &left, rooms, guarantees, now);
             let Some(wanted) = self.wanted(candidate, now) else { return };
-            let coming = self.choose_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now);
+            let coming = self.place_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now);
             rooms.claim(&step, &coming);
         }
     }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -138,7 +138,7 @@
     ) -> (f64, Vec<GroupId>) {
         let Some(wanted) = self.wanted(candidate, now) else { return (0.0, Vec::new()) };
         // Nothing is stopped where no task of the step goes.
-        let far = wanted.step.gang || self.far_is_worth_it(candidate, wanted.step, rooms, now);
+        let far = wanted.step.gang || self.remote_is_worthwhile(candidate, wanted.step, rooms, now);
         let goes_there = |room: &Room| far || is_near(wanted.step, &room.rack);
         let takers = self.takers(candidate, &wanted, groups, now);
         let mut by_rack: BTreeMap<Option<&Arc<str>>, Vec<Offer>> = BTreeMap::new();
@@ -228,7 +228,7 @@
         let outlasted = candidate.long_running && entry.priority == candidate.priority && !step.long_running;
         let reclaimed = || candidate.guaranteed && guarantees.is_beyond(entry.job.customer.as_ref());
         let gives_way = entry.priority > candidate.priority || outlasted || reclaimed();
-        if !gives_way || step.max_absent.is_some() && !self.may_be_absent(name) {
+        if !gives_way || step.max_absent.is_some() && !self.may_interrupt(name) {
             return None;
         }
         let ran = now.since(group.placed_at).secs_f64();
@@ -256,7 +256,7 @@
 
     /// Whether one more task of the step may be away through the system's doing. One that is not at work yet, or is
     /// out of reach, counts as away whatever the cause.
-    pub(crate) fn may_be_absent(&self, name: GroupId) -> bool {
+    pub(crate) fn may_interrupt(&self, name: GroupId) -> bool {
         let Some(most) = self.step(name).max_absent else { return true };
         let reached = |id: &BackendServerId| self.servers.get(id).is_some_and(|server| server.failed_calls == 0);
         let at_work = |member: &Member| member.percent >= AT_WORK && reached(&member.server);
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -51,7 +51,7 @@
     fn note_idle(&mut self, servers: &BTreeMap<BackendServerId, Server>, now: Moment) {
         let reached = |member: &&Member| servers.get(&member.server).is_some_and(Server::reached);
         let placed = || self.groups.iter().flatten().flat_map(|group| &group.members).filter(reached);
-        let idle = !placed().any(Member::has_begun);
+        let idle = !placed().any(Member::is_running);
         self.is_placed = placed().next().is_some();
         self.idle_since = idle.then(|| self.idle_since.unwrap_or(now));
     }
--- a/crates/scheduler/src/retention.rs
+++ b/crates/scheduler/src/retention.rs
@@ -11,7 +11,7 @@
     pub fn expired_records(&self, now: Moment, most: usize) -> Vec<JobId> {
         let old = |since: Moment| now.since(since) > self.timing.keep_ended;
         let records = self.ended.iter().filter(|(_, ended)| old(ended.since)).map(|(id, _)| *id);
-        let marks = self.cancelled_before.iter().filter(|(_, since)| old(**since)).map(|(id, _)| *id);
+        let marks = self.cancelled_before_submission.iter().filter(|(_, since)| old(**since)).map(|(id, _)| *id);
         records.chain(marks).take(most).collect()
     }
 
@@ -19,7 +19,7 @@
     pub fn remove_records(&mut self, forgotten: &[JobId]) {
         for id in forgotten {
             self.ended.remove(id);
-            self.cancelled_before.remove(id);
+            self.cancelled_before_submission.remove(id);
         }
     }
 }
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -93,13 +93,13 @@
 
 impl Member {
     /// Whether it runs as far as is known.
-    pub(crate) fn has_begun(&self) -> bool {
+    pub(crate) fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::Restored)
     }
 
     /// How long it is known to have run: from when that was first known until its backend server was last heard, at `heard`.
     /// `None` if this scheduler does not know that it has begun.
-    pub(crate) fn known_at_work(&self, heard: Option<Moment>) -> Option<Duration> {
+    pub(crate) fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
         let started = self.settled.filter(|_| self.phase == Phase::Running)?;
         Some(heard.map_or(Duration::ZERO, |heard| heard.since(started)))
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -69,7 +69,7 @@
     /// Progress in the store that belongs to no job any more.
     pub(crate) orphans: BTreeSet<OccurrenceId>,
     /// Jobs that were cancelled before they came; the store holds a mark that keeps them from coming.
-    pub(crate) cancelled_before: BTreeMap<JobId, Moment>,
+    pub(crate) cancelled_before_submission: BTreeMap<JobId, Moment>,
     /// Occurrences that were touched since the last plan.
     pub(crate) changed: BTreeSet<OccurrenceId>,
     /// What could start.
@@ -133,7 +133,7 @@
             over: BTreeSet::new(),
             ended: BTreeMap::new(),
             orphans: BTreeSet::new(),
-            cancelled_before: BTreeMap::new(),
+            cancelled_before_submission: BTreeMap::new(),
             changed: BTreeSet::new(),
             ready: BTreeMap::new(),
             refreshed: 0,
@@ -211,7 +211,7 @@
             return;
         }
         let Some(entry) = self.jobs.get_mut(&id) else {
-            self.cancelled_before.entry(id).or_insert(now);
+            self.cancelled_before_submission.entry(id).or_insert(now);
             return;
         };
         if std::mem::replace(&mut entry.cancelled, true) {
@@ -274,9 +274,9 @@
             .filter(|(_, server)| (server.failed_calls > 0 || !server.stocked) && now >= server.lease_over)
             .map(|(id, _)| id.clone())
             .collect();
-        self.lapsed.forget_old(now);
+        self.lapsed.remove_expired(now);
         for id in over {
-            self.note_lapsed(&id, now);
+            self.record_lapsed(&id, now);
             self.lapse_members(&id, "lease_over", now);
             self.unreachable.remove_pending(&id);
             if self.servers.get(&id).is_some_and(|server| !server.listed) {
@@ -284,7 +284,7 @@
                 self.remove_server(&id);
             }
         }
-        self.move_lasting(now);
+        self.evacuate_long_running(now);
         self.repeat_stops(now);
         self.detect_stalled(now);
     }
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -68,7 +68,7 @@
 pub(crate) struct PendingEnd {
     pub(crate) serial: u64,
     /// The progress, and its version, that holds the end; `None` if nothing is to be stored.
-    pub(crate) held_by: Option<(OccurrenceId, u64)>,
+    pub(crate) stored_with: Option<(OccurrenceId, u64)>,
 }
 
 /// A run that is listed but belongs to nothing that is wanted.
@@ -168,7 +168,7 @@
 
     /// Whether an end waits for an occurrence to be stored.
     pub(crate) fn awaits_write(&self, id: OccurrenceId) -> bool {
-        self.pending_ends.iter().any(|end| end.held_by.is_some_and(|(occurrence, _)| occurrence == id))
+        self.pending_ends.iter().any(|end| end.stored_with.is_some_and(|(occurrence, _)| occurrence == id))
     }
 
     /// Room that is taken, also by what is being stopped.
@@ -214,7 +214,7 @@
     }
 
     /// Takes in what the platform lists of it. What another life than the one that was last heard says of leaving is no word of that one.
-    pub(crate) fn take_info(&mut self, info: ServerInfo) {
+    pub(crate) fn update_info(&mut self, info: ServerInfo) {
         if may_be_same_incarnation(info.incarnation, self.incarnation) {
             self.leaves = info.draining;
         }
@@ -239,7 +239,7 @@
     /// connections close and its port refuses new ones. One that is cut off falls out of the list only after three
     /// heartbeats, long after the first call that it left unanswered, also if what cuts it refuses connections. A
     /// scheduler that has not heard it lately, since it is new or has stood still, cannot tell the two apart.
-    pub(crate) fn has_left(&self) -> bool {
+    pub(crate) fn has_departed(&self) -> bool {
         let Silence { heard: Some(heard), since: Some(silent), refused: true, unlisted: Some(unlisted) } = self.silence
         else {
             return false;
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -338,7 +338,7 @@
     }
 
     /// A life of a backend server is over: the next may be of another kind.
-    pub(crate) fn forget_speed(&mut self, id: &BackendServerId) {
+    pub(crate) fn reset_speed(&mut self, id: &BackendServerId) {
         let Some(server) = self.servers.get_mut(id) else { return };
         let speed = std::mem::take(&mut server.speed);
         if self.fleet_speed.record(&speed, &Speed::default()) {
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -142,7 +142,7 @@
     fn waits_for_place(&self, occurrence: OccurrenceId, ready: &ReadyStep, now: Moment) -> Option<WaitsFor> {
         let group = *ready.groups.first().or(ready.suspects.first())?;
         let name = GroupId { occurrence, step: ready.step, group };
-        let wanted = self.wanted(&Candidate::to_look_at(name), now)?;
+        let wanted = self.wanted(&Candidate::for_diagnosis(name), now)?;
         let on_trial = ready.groups.is_empty() && self.waits_for_trial(name, now);
         let no_headroom = !wanted.urgent && !self.leaves_headroom(&wanted, 0, 1, &self.rooms);
         let held_back_by = if on_trial { Some("trial") } else { no_headroom.then_some("headroom") };
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -60,14 +60,14 @@
                 if first {
                     self.observe_run_start(name, now);
                 }
-                self.note_begun(name, server);
+                self.record_run_started(name, server);
             }
             // What is known of a run that has begun: the next listing tells its end, or that it is lost. Taken for a
             // refusal, a run that was done would be started again.
             StartReply::Over => {
                 member.phase = Phase::Running;
                 member.settled = Some(now);
-                self.note_begun(name, server);
+                self.record_run_started(name, server);
             }
             StartReply::Unknown => self.start_unanswered(name, task.index, server, now),
             _ => self.start_refused(name, task, server, reply, now),
@@ -75,7 +75,7 @@
     }
 
     /// A run is known to have begun: from its end on its job may stand anew. That may come before the next plan.
-    pub(crate) fn note_begun(&mut self, name: GroupId, server: &BackendServerId) {
+    pub(crate) fn record_run_started(&mut self, name: GroupId, server: &BackendServerId) {
         if self.servers.get(server).is_some_and(Server::reached) {
             self.occurrence_mut(name.occurrence).idle_since = None;
         }
@@ -116,7 +116,7 @@
         if reply == StartReply::NoTicket {
             self.permits.permit_refused(name.step_id(), server);
         } else {
-            self.leave_alone(server, now);
+            self.pause_starts(server, now);
         }
         match self.member_mut(name, task.index, server).map(|member| member.phase) {
             Some(Phase::Sent { tries: 1 }) => self.remove_member(name, task.index, None, now),
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -33,7 +33,7 @@
     }
 
     /// Stops the runs of which a member was placed on a backend server and not ordered yet.
-    pub(crate) fn stop_unordered(&mut self, id: &BackendServerId, reason: StopReason, now: Moment) {
+    pub(crate) fn stop_unsent(&mut self, id: &BackendServerId, reason: StopReason, now: Moment) {
         for name in self.groups_on(id) {
             let unordered = |member: &Member| member.server == *id && member.phase == Phase::Planned;
             if self.group(name).members.iter().any(unordered) {
@@ -81,7 +81,7 @@
         for (task, run) in members {
             let Some(name) = self.group_of(task) else { continue };
             let Some(member) = self.member_mut(name, task.index, id).filter(|member| which(member)) else { continue };
-            let at_work = member.known_at_work(heard);
+            let at_work = member.known_run_time(heard);
             log::info!(
                 "job={} event=lapsed task={task} run={run} server={id} why={why} at_work_ms={}",
                 task.occurrence.job,
