--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -163,7 +163,7 @@
 
     /// Whether ends of a backend server wait to be stored.
     pub fn has_pending_completions(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(|server| !server.pending_ends.is_empty())
+        self.servers.get(id).is_some_and(|server| !server.pending_completions.is_empty())
     }
 
     /// Whether anything runs, or may run, on a backend server.
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -21,7 +21,7 @@
             Some(known) => {
                 log::info!(
                     "server={id} event=life incarnation={incarnation} after={known} seen_end={}",
-                    server.seen_end
+                    server.highest_completion
                 );
                 self.incarnation_ended(id, known, now);
             }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -8,14 +8,14 @@
     completions::{Completion, CompletionKind},
     observations::Observation,
     run_state::{GroupId, Occurrence, StopReason},
-    server::PendingEnd,
+    server::PendingCompletion,
 };
 
 impl Scheduler {
     /// Takes an end in, unless it was before; it is acknowledged once the store holds what came of it.
     pub(crate) fn receive_completion(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
         let server = self.servers.get_mut(id).expect("the caller has looked");
-        if end.serial <= server.seen_end {
+        if end.serial <= server.highest_completion {
             if end.serial <= server.acknowledged_serial {
                 // Told again though it was acknowledged: the call that did so was lost, or this is another end with its serial number.
                 log::info!("server={id} event=end_known task={} run={} serial={}", end.task, end.run, end.serial);
@@ -23,18 +23,18 @@
             }
             return;
         }
-        server.seen_end = end.serial;
+        server.highest_completion = end.serial;
         if let Some(name) = self.group_of(end.task) {
             self.apply_end(name, id, end, now);
         }
         let occurrence = end.task.occurrence;
         let stored_with = self.known_occurrence(occurrence).map(|state| (occurrence, state.version));
         let server = self.servers.get_mut(id).expect("ends remove no backend server");
-        server.pending_ends.push_back(PendingEnd { serial: end.serial, stored_with });
+        server.pending_completions.push_back(PendingCompletion { serial: end.serial, stored_with });
         if let Some(state) = self.known_occurrence_mut(occurrence)
-            && !state.ends_from.contains(id)
+            && !state.completions_from.contains(id)
         {
-            state.ends_from.push(id.clone());
+            state.completions_from.push(id.clone());
         }
     }
 
@@ -161,7 +161,7 @@
         let Scheduler { servers, jobs, .. } = self;
         let Some(server) = servers.get_mut(id) else { return false };
         let before = server.acknowledged_serial;
-        while let Some(end) = server.pending_ends.front() {
+        while let Some(end) = server.pending_completions.front() {
             let stored = end.stored_with.is_none_or(|(occurrence, version)| {
                 let entry = jobs.get(&occurrence.job);
                 let state = entry.and_then(|entry| entry.occurrences.get(occurrence.number as usize));
@@ -171,7 +171,7 @@
                 break;
             }
             server.acknowledged_serial = end.serial;
-            server.pending_ends.pop_front();
+            server.pending_completions.pop_front();
         }
         server.acknowledged_serial > before
     }
@@ -180,7 +180,7 @@
     /// servers to which more can be acknowledged now.
     pub(crate) fn acknowledge_stored_with(&mut self, id: OccurrenceId) -> Vec<BackendServerId> {
         let Some(occurrence) = self.known_occurrence_mut(id) else { return Vec::new() };
-        let waiting = std::mem::take(&mut occurrence.ends_from);
+        let waiting = std::mem::take(&mut occurrence.completions_from);
         let mut acknowledged = Vec::new();
         let mut still_waiting = Vec::new();
         for server in waiting {
@@ -192,7 +192,7 @@
             }
         }
         if let Some(occurrence) = self.known_occurrence_mut(id) {
-            occurrence.ends_from = still_waiting;
+            occurrence.completions_from = still_waiting;
         }
         acknowledged
     }
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -177,7 +177,7 @@
     /// The store's revision of it; 0 if it holds none.
     pub(crate) store_revision: Revision,
     /// Backend servers with ends that wait for this to be stored.
-    pub(crate) ends_from: Vec<BackendServerId>,
+    pub(crate) completions_from: Vec<BackendServerId>,
     /// Since when nothing of it runs on a backend server that answers, as of the latest plan; `None` while something does.
     pub(crate) idle_since: Option<Moment>,
     /// Something of it is placed on a backend server that answers, as of the latest plan.
@@ -198,7 +198,7 @@
             version: 0,
             stored_version: 0,
             store_revision: Revision(0),
-            ends_from: Vec::new(),
+            completions_from: Vec::new(),
             idle_since: None,
             is_placed: false,
             times: vec![StepTimes::default(); job.steps.len()],
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -65,7 +65,7 @@
 
 /// An end that must be stored before it may be acknowledged.
 #[derive(Debug)]
-pub(crate) struct PendingEnd {
+pub(crate) struct PendingCompletion {
     pub(crate) serial: u64,
     /// The progress, and its version, that holds the end; `None` if nothing is to be stored.
     pub(crate) stored_with: Option<(OccurrenceId, u64)>,
@@ -115,9 +115,9 @@
     pub(crate) lease_over: Moment,
     /// When this scheduler last gave it a whole lease.
     pub(crate) renewed_to: Option<Moment>,
-    pub(crate) pending_ends: VecDeque<PendingEnd>,
+    pub(crate) pending_completions: VecDeque<PendingCompletion>,
     /// Highest end that was looked at.
-    pub(crate) seen_end: u64,
+    pub(crate) highest_completion: u64,
     /// Highest end that may be acknowledged.
     pub(crate) acknowledged_serial: u64,
     /// The life that was last heard has said that it leaves.
@@ -149,8 +149,8 @@
             silence: Silence::default(),
             lease_over,
             renewed_to: None,
-            pending_ends: VecDeque::new(),
-            seen_end: 0,
+            pending_completions: VecDeque::new(),
+            highest_completion: 0,
             acknowledged_serial: 0,
             closed_for_maintenance: false,
             evacuated: false,
@@ -168,7 +168,7 @@
 
     /// Whether an end waits for an occurrence to be stored.
     pub(crate) fn awaits_write(&self, id: OccurrenceId) -> bool {
-        self.pending_ends.iter().any(|end| end.stored_with.is_some_and(|(occurrence, _)| occurrence == id))
+        self.pending_completions.iter().any(|end| end.stored_with.is_some_and(|(occurrence, _)| occurrence == id))
     }
 
     /// Room that is taken, also by what is being stopped.
