--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -153,7 +153,7 @@
 
     /// Whether a backend server has shown what it runs, in the life that it leads as far as is known.
     pub fn has_reported(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(|server| server.stocked)
+        self.servers.get(id).is_some_and(|server| server.has_reported)
     }
 
     /// Highest end that may be acknowledged to a backend server.
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -36,10 +36,10 @@
             log::info!("server={id} event=reachable_again after_calls={}", server.failed_calls);
             self.plan_requested = true;
         }
-        if !server.stocked {
+        if !server.has_reported {
             self.plan_requested = true;
             // From here on it obeys no earlier scheduler, which can have renewed its lease up to now.
-            server.stocked = true;
+            server.has_reported = true;
             server.lease_over = self.timing.lease_over(now);
         }
         self.unreachable.remove_pending(id);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -249,7 +249,7 @@
         Counts {
             open_jobs: self.open.len(),
             servers: self.servers.len(),
-            unheard_servers: self.servers.values().filter(|server| !server.stocked).count(),
+            unheard_servers: self.servers.values().filter(|server| !server.has_reported).count(),
             waiting: self.ready.len(),
             standing: self.stalled.long,
             unstored: self.dirty.len(),
@@ -271,7 +271,7 @@
         let over: Vec<BackendServerId> = self
             .servers
             .iter()
-            .filter(|(_, server)| (server.failed_calls > 0 || !server.stocked) && now >= server.lease_over)
+            .filter(|(_, server)| (server.failed_calls > 0 || !server.has_reported) && now >= server.lease_over)
             .map(|(id, _)| id.clone())
             .collect();
         self.lapsed.remove_expired(now);
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -107,7 +107,7 @@
     pub(crate) members: BTreeMap<TaskId, RunNumber>,
     pub(crate) strays: BTreeMap<TaskId, Stray>,
     /// It has shown what it runs since this scheduler was elected.
-    pub(crate) stocked: bool,
+    pub(crate) has_reported: bool,
     /// Calls that it left without answer since it last answered one.
     pub(crate) failed_calls: u32,
     pub(crate) silence: Silence,
@@ -144,7 +144,7 @@
             used: Resources::default(),
             members: BTreeMap::new(),
             strays: BTreeMap::new(),
-            stocked: false,
+            has_reported: false,
             failed_calls: 0,
             silence: Silence::default(),
             lease_over,
@@ -163,7 +163,7 @@
 
     /// Whether it answers this scheduler.
     pub(crate) fn reached(&self) -> bool {
-        self.stocked && self.failed_calls == 0
+        self.has_reported && self.failed_calls == 0
     }
 
     /// Whether an end waits for an occurrence to be stored.
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -107,7 +107,7 @@
     /// Every lease that an earlier scheduler can have given is over by then, and may be over sooner.
     pub(crate) fn limit_earlier_leases(&mut self, over: Moment) {
         self.earlier_leases = self.earlier_leases.min(over);
-        for server in self.servers.values_mut().filter(|server| !server.stocked) {
+        for server in self.servers.values_mut().filter(|server| !server.has_reported) {
             server.lease_over = server.lease_over.min(over);
         }
     }
@@ -139,7 +139,7 @@
         let left = |id: &BackendServerId| {
             let server = self.servers.get(id)?;
             let lost_just_now = server.silence.since.is_some_and(|since| now.since(since) < NOTED_AFTER);
-            let named = !server.stocked || !lost_just_now || self.unreachable.is_recorded(id);
+            let named = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
             named.then(|| (id.clone(), server.lease_over.since(now).millis()))
         };
         self.unreachable.waiting.iter().filter_map(left).collect()
