--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -168,6 +168,6 @@
 
     /// Whether anything runs, or may run, on a backend server.
     pub fn is_busy(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(|server| !server.members.is_empty() || !server.strays.is_empty())
+        self.servers.get(id).is_some_and(|server| !server.members.is_empty() || !server.orphaned_runs.is_empty())
     }
 }
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -11,7 +11,7 @@
     observations::Observation,
     orders::Order,
     run_state::{Member, Phase, StopReason},
-    server::Stray,
+    server::OrphanedRun,
 };
 
 impl Scheduler {
@@ -100,26 +100,26 @@
             .collect();
         let retry = self.timing.stop_retry;
         let server = self.servers.get_mut(id).expect("the caller has looked");
-        if unwanted.is_empty() && server.strays.is_empty() {
+        if unwanted.is_empty() && server.orphaned_runs.is_empty() {
             return;
         }
         let whole = server.info.as_ref().map(|info| info.capacity).unwrap_or_default();
-        let mut before = std::mem::take(&mut server.strays);
-        let mut strays = BTreeMap::new();
+        let mut before = std::mem::take(&mut server.orphaned_runs);
+        let mut orphaned_runs = BTreeMap::new();
         for (task, run) in unwanted {
             // One of a job that is not known any more may take everything.
             let need = self.group_of(task).map_or(whole, |name| self.step(name).counted_resources());
-            let stray = match before.remove(&task) {
-                Some(stray) if stray.run == run && stray.stop_sent + retry > now => stray,
+            let orphaned_run = match before.remove(&task) {
+                Some(orphaned_run) if orphaned_run.run == run && orphaned_run.stop_sent + retry > now => orphaned_run,
                 _ => {
                     log::info!("job={} event=stray_stopped task={task} run={run} server={id}", task.occurrence.job);
                     self.orders.push(Order::Stop { server: id.clone(), task, run });
-                    Stray { run, need, stop_sent: now }
+                    OrphanedRun { run, need, stop_sent: now }
                 }
             };
-            strays.insert(task, stray);
+            orphaned_runs.insert(task, orphaned_run);
         }
-        self.server_mut(id).expect("the caller has looked").strays = strays;
+        self.server_mut(id).expect("the caller has looked").orphaned_runs = orphaned_runs;
     }
 
     fn is_wanted(&self, id: &BackendServerId, running: &RunningTask) -> bool {
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -73,7 +73,7 @@
 
 /// A run that is listed but belongs to nothing that is wanted.
 #[derive(Debug)]
-pub(crate) struct Stray {
+pub(crate) struct OrphanedRun {
     pub(crate) run: RunNumber,
     pub(crate) need: Resources,
     pub(crate) stop_sent: Moment,
@@ -105,7 +105,7 @@
     pub(crate) used: Resources,
     /// Runs that are placed here.
     pub(crate) members: BTreeMap<TaskId, RunNumber>,
-    pub(crate) strays: BTreeMap<TaskId, Stray>,
+    pub(crate) orphaned_runs: BTreeMap<TaskId, OrphanedRun>,
     /// It has shown what it runs since this scheduler was elected.
     pub(crate) has_reported: bool,
     /// Calls that it left without answer since it last answered one.
@@ -143,7 +143,7 @@
             info,
             used: Resources::default(),
             members: BTreeMap::new(),
-            strays: BTreeMap::new(),
+            orphaned_runs: BTreeMap::new(),
             has_reported: false,
             failed_calls: 0,
             silence: Silence::default(),
@@ -174,8 +174,8 @@
     /// Room that is taken, also by what is being stopped.
     fn taken(&self) -> Resources {
         let mut taken = self.used;
-        for stray in self.strays.values() {
-            taken.add(&stray.need);
+        for orphaned_run in self.orphaned_runs.values() {
+            taken.add(&orphaned_run.need);
         }
         taken
     }
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -118,7 +118,7 @@
             open,
             free,
             soon: free,
-            tasks: server.members.len() + server.strays.len(),
+            tasks: server.members.len() + server.orphaned_runs.len(),
             best_effort: 0,
             serving: 0,
             set_aside: self.timing.tuning.set_aside && server.health.set_aside(now),
