--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -78,7 +78,7 @@
     }
 
     pub(crate) fn remove_server(&mut self, id: &BackendServerId) {
-        self.touch(id);
+        self.mark_stale(id);
         self.reset_speed(id);
         self.servers.remove(id);
         self.trials.remove(id);
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -257,7 +257,7 @@
             Some(trial) => self.trials.insert(id.clone(), trial),
             None => self.trials.remove(id),
         };
-        self.touch(id);
+        self.mark_stale(id);
         self.plan_requested = true;
     }
 
--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -202,31 +202,31 @@
     /// A backend server, whose room is looked at anew by the next plan.
     pub(crate) fn server_mut(&mut self, id: &BackendServerId) -> Option<&mut Server> {
         let server = self.servers.get_mut(id)?;
-        if !std::mem::replace(&mut server.touched, true) {
-            self.touched.push(id.clone());
+        if !std::mem::replace(&mut server.is_stale, true) {
+            self.stale_servers.push(id.clone());
         }
         Some(server)
     }
 
     /// The room of a backend server is to be looked at anew by the next plan.
-    pub(crate) fn touch(&mut self, id: &BackendServerId) {
+    pub(crate) fn mark_stale(&mut self, id: &BackendServerId) {
         let _ = self.server_mut(id);
     }
 
     /// Brings the rooms up to date: of what has changed, what the plan before has claimed, and what time changes.
     pub(crate) fn refresh_rooms(&mut self, now: Moment) {
         let mut rooms = std::mem::take(&mut self.rooms);
-        let mut stale = std::mem::take(&mut self.touched);
-        stale.extend(std::mem::take(&mut self.timed));
+        let mut stale = std::mem::take(&mut self.stale_servers);
+        stale.extend(std::mem::take(&mut self.time_dependent));
         stale.extend(rooms.take_claimed());
         stale.sort();
         stale.dedup();
         let mut racks = Vec::new();
         for id in &stale {
             if let Some(server) = self.servers.get_mut(id) {
-                server.touched = false;
+                server.is_stale = false;
                 if server.changes_with_time(now) {
-                    self.timed.push(id.clone());
+                    self.time_dependent.push(id.clone());
                 }
             }
             let room = self.room(id, now);
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -28,7 +28,7 @@
         }
         let Some(server) = self.servers.get(id) else { return };
         if !server.reached() {
-            self.touch(id);
+            self.mark_stale(id);
             self.mark_changed_on(id);
         }
         let Some(server) = self.servers.get_mut(id) else { return };
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -66,8 +66,8 @@
                     self.unreachable.add_pending(&placed.server);
                     server.used.add(&job.steps[s].counted_resources());
                     server.members.insert(name.task(placed.index), group.run);
-                    if !std::mem::replace(&mut server.touched, true) {
-                        self.touched.push(placed.server.clone());
+                    if !std::mem::replace(&mut server.is_stale, true) {
+                        self.stale_servers.push(placed.server.clone());
                     }
                     live.members.push(Member::restored(placed, self.elected));
                 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -79,9 +79,9 @@
     /// Room as of the latest plan.
     pub(crate) rooms: Rooms,
     /// Backend servers whose rooms may have changed since.
-    pub(crate) touched: Vec<BackendServerId>,
+    pub(crate) stale_servers: Vec<BackendServerId>,
     /// Backend servers whose rooms change with time.
-    pub(crate) timed: Vec<BackendServerId>,
+    pub(crate) time_dependent: Vec<BackendServerId>,
     /// Runs that were lost with their lease, on backend servers that may have crashed.
     pub(crate) lapsed: Lapsed,
     /// Occurrences of which nothing runs although something could.
@@ -138,8 +138,8 @@
             ready: BTreeMap::new(),
             refreshed: 0,
             rooms: Rooms::default(),
-            touched: Vec::new(),
-            timed: Vec::new(),
+            stale_servers: Vec::new(),
+            time_dependent: Vec::new(),
             trials: BTreeMap::new(),
             unreachable: Unreachable::default(),
             witnesses: Witnesses::default(),
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -131,7 +131,7 @@
     pub(crate) health: Health,
     pub(crate) speed: Speed,
     /// The next plan looks at its room anew.
-    pub(crate) touched: bool,
+    pub(crate) is_stale: bool,
 }
 
 impl Server {
@@ -157,7 +157,7 @@
             not_before: Moment::ZERO,
             health: Health::default(),
             speed: Speed::default(),
-            touched: false,
+            is_stale: false,
         }
     }
 
@@ -202,7 +202,7 @@
             silence: Silence { unlisted: self.silence.unlisted, ..Silence::default() },
             closed_for_maintenance: self.closed_for_maintenance,
             evacuated: self.evacuated,
-            touched: self.touched,
+            is_stale: self.is_stale,
             ..Server::new(info, Moment::ZERO)
         };
     }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -329,11 +329,11 @@
             all_move |= self.fleet_speed.record(&before, &after);
             if after.class(&self.fleet_speed) != class {
                 self.say_speed(id, now);
-                self.touch(id);
+                self.mark_stale(id);
             }
         }
         if all_move {
-            self.touch_all();
+            self.mark_all_stale();
         }
     }
 
@@ -342,14 +342,14 @@
         let Some(server) = self.servers.get_mut(id) else { return };
         let speed = std::mem::take(&mut server.speed);
         if self.fleet_speed.record(&speed, &Speed::default()) {
-            self.touch_all();
+            self.mark_all_stale();
         }
     }
 
     /// What one counts for has changed for all.
-    fn touch_all(&mut self) {
+    fn mark_all_stale(&mut self) {
         let all: Vec<BackendServerId> = self.servers.keys().cloned().collect();
-        all.iter().for_each(|id| self.touch(id));
+        all.iter().for_each(|id| self.mark_stale(id));
     }
 
     fn say_speed(&self, id: &BackendServerId, now: Moment) {
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -23,7 +23,7 @@
         log::info!("job={} event=stopping step={} group={} why={reason}", name.occurrence.job, name.step, name.group);
         self.observations.push(Observation::Stopped { why: reason.to_string() });
         for member in members {
-            self.touch(&member.server);
+            self.mark_stale(&member.server);
             if member.phase == Phase::Planned {
                 self.remove_member(name, member.index, None, now);
             } else {
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -153,7 +153,7 @@
         self.unreachable.revision = revision;
         for id in before {
             if !self.unreachable.is_recorded(&id) {
-                self.touch(&id);
+                self.mark_stale(&id);
                 self.plan_requested = true;
             }
         }
