--- a/crates/scheduler/src/archive.rs
+++ b/crates/scheduler/src/archive.rs
@@ -44,9 +44,9 @@
         let Some(entry) = self.jobs.remove(&id) else { return };
         for occurrence in entry.occurrence_ids() {
             self.ready.remove(&occurrence);
-            self.dirty.remove(occurrence);
+            self.pending_writes.remove(occurrence);
             self.changed.remove(&occurrence);
-            self.unsent.remove(&occurrence);
+            self.unsent_starts.remove(&occurrence);
         }
         self.ended.insert(id, Archived { record, since: entry.ended.unwrap_or(now) });
     }
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -37,7 +37,7 @@
 impl Scheduler {
     /// Whether something is to be stored.
     pub fn has_pending_writes(&self) -> bool {
-        !self.dirty.is_empty()
+        !self.pending_writes.is_empty()
     }
 
     /// What should be stored next, at most `most` entries; `None` if everything is stored.
@@ -48,7 +48,7 @@
     pub fn next_write_batch(&mut self, most: usize) -> Option<WriteBatch> {
         let mut tasks = 0;
         let mut writes: Vec<ProgressWrite> = Vec::new();
-        let free = self.dirty.iter().filter(|id| !self.under_way.contains(id));
+        let free = self.pending_writes.iter().filter(|id| !self.writes_in_flight.contains(id));
         for entry in free.filter_map(|id| self.entry(id)).take(most) {
             tasks += entry.progress.groups.iter().map(Vec::len).sum::<usize>();
             if tasks > MOST_TASKS && !writes.is_empty() {
@@ -60,14 +60,14 @@
             return None;
         }
         let placement_zones = writes.iter().flat_map(|entry| self.placement_zones(entry.occurrence)).collect();
-        self.under_way.extend(writes.iter().map(|entry| entry.occurrence));
+        self.writes_in_flight.extend(writes.iter().map(|entry| entry.occurrence));
         Some(WriteBatch { writes, placement_zones })
     }
 
     /// A batch was not stored, or nothing is known of it.
     pub fn batch_failed(&mut self, batch: &WriteBatch) {
         for entry in &batch.writes {
-            self.under_way.remove(&entry.occurrence);
+            self.writes_in_flight.remove(&entry.occurrence);
         }
     }
 
@@ -94,7 +94,7 @@
         let mut acknowledged = Vec::new();
         for entry in batch.writes {
             let id = entry.occurrence;
-            self.under_way.remove(&id);
+            self.writes_in_flight.remove(&id);
             self.entry_stored(entry, revision);
             acknowledged.extend(self.acknowledge_stored_with(id));
         }
@@ -109,11 +109,11 @@
         occurrence.stored_version = entry.version;
         occurrence.stored_progress = entry.progress;
         if occurrence.version == entry.version {
-            self.dirty.remove(id);
+            self.pending_writes.remove(id);
         } else {
-            self.dirty.requeue(id);
+            self.pending_writes.requeue(id);
         }
-        self.unsent.insert(id);
+        self.unsent_starts.insert(id);
     }
 
     /// The store holds other revisions than the batch expected: an earlier write of ours took effect after all.
--- a/crates/scheduler/src/pending_writes.rs
+++ b/crates/scheduler/src/pending_writes.rs
@@ -10,13 +10,13 @@
 /// of their names, jobs that change with every write would hold up the others, and accelerators would stand reserved for starts that wait for their
 /// write.
 #[derive(Debug, Default)]
-pub(crate) struct Unstored {
+pub(crate) struct PendingWrites {
     by_turn: BTreeMap<u64, OccurrenceId>,
     turns: BTreeMap<OccurrenceId, u64>,
     next: u64,
 }
 
-impl Unstored {
+impl PendingWrites {
     /// An occurrence has changed. One that waits already keeps its turn.
     pub(crate) fn insert(&mut self, id: OccurrenceId) {
         if self.turns.contains_key(&id) {
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -51,7 +51,7 @@
         let occurrence = self.occurrence_mut(name.occurrence);
         change(&mut occurrence.progress.groups[name.step][name.group]);
         occurrence.version += 1;
-        self.dirty.insert(name.occurrence);
+        self.pending_writes.insert(name.occurrence);
         self.changed.insert(name.occurrence);
     }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -14,7 +14,7 @@
     maintenance::Maintenance,
     observations::Observation,
     orders::Order,
-    pending_writes::Unstored,
+    pending_writes::PendingWrites,
     permits::PermitBook,
     policy::Policy,
     ready::ReadySteps,
@@ -101,11 +101,11 @@
     /// When leases and stops were last looked at.
     last_look: Moment,
     /// Occurrences whose progress the store does not hold as it is.
-    pub(crate) dirty: Unstored,
+    pub(crate) pending_writes: PendingWrites,
     /// Occurrences of which a write is under way.
-    pub(crate) under_way: BTreeSet<OccurrenceId>,
+    pub(crate) writes_in_flight: BTreeSet<OccurrenceId>,
     /// Occurrences that may have starts to send since the store took their progress.
-    pub(crate) unsent: BTreeSet<OccurrenceId>,
+    pub(crate) unsent_starts: BTreeSet<OccurrenceId>,
     pub(crate) orders: Vec<Order>,
     /// Waves of upkeep that operators have asked for.
     pub(crate) maintenance: Maintenance,
@@ -150,9 +150,9 @@
             plan_requested: false,
             last_look: elected,
             servers: BTreeMap::new(),
-            dirty: Unstored::default(),
-            under_way: BTreeSet::new(),
-            unsent: BTreeSet::new(),
+            pending_writes: PendingWrites::default(),
+            writes_in_flight: BTreeSet::new(),
+            unsent_starts: BTreeSet::new(),
             orders: Vec::new(),
             maintenance: Maintenance::default(),
             evacuations: Evacuations::default(),
@@ -252,7 +252,7 @@
             unheard_servers: self.servers.values().filter(|server| !server.has_reported).count(),
             waiting: self.ready.len(),
             standing: self.stalled.long,
-            unstored: self.dirty.len(),
+            unstored: self.pending_writes.len(),
             refreshed: self.refreshed,
         }
     }
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -22,7 +22,7 @@
 impl Scheduler {
     /// Sends the starts whose places the store holds.
     pub(crate) fn send_stored_starts(&mut self) {
-        for id in std::mem::take(&mut self.unsent) {
+        for id in std::mem::take(&mut self.unsent_starts) {
             let Some(occurrence) = self.known_occurrence_mut(id) else { continue };
             for (name, index, server) in take_stored_starts(id, occurrence) {
                 let order = self.start_order(name, index, &server);
