--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -144,7 +144,7 @@
         let turn_has_come = Duration::from_millis(wall_ms.saturating_sub(due));
         let state = self.occurrence(occurrence);
         let idle_since = state.idle_since.filter(|_| !state.is_placed);
-        let idle = idle_since.map_or(Duration::ZERO, |since| self.wall.0.since(since));
+        let idle = idle_since.map_or(Duration::ZERO, |since| self.plan_clocks.0.since(since));
         let spare = objective.millis().saturating_sub(entry.chain.millis());
         let candidate = |step: usize, groups: Vec<usize>, suspect: bool| Candidate {
             occurrence,
--- a/crates/scheduler/src/observations.rs
+++ b/crates/scheduler/src/observations.rs
@@ -77,7 +77,7 @@
 
     /// The time of day, in milliseconds since 1970, by the clock readings of the latest plan.
     pub(crate) fn wall_ms(&self, now: Moment) -> u64 {
-        let (at, wall_ms) = self.wall;
+        let (at, wall_ms) = self.plan_clocks;
         wall_ms + now.since(at).millis()
     }
 
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -10,7 +10,7 @@
 impl Scheduler {
     /// Places what can start now, and stops what has to make room. `wall_ms` is the time of day.
     pub fn plan(&mut self, now: Moment, wall_ms: u64) {
-        self.wall = (now, wall_ms);
+        self.plan_clocks = (now, wall_ms);
         self.refresh_ready(now);
         let mut guarantees = Guarantees::new(self);
         let candidates = self.candidates(wall_ms, &mut guarantees);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -115,7 +115,7 @@
     pub(crate) permits: PermitBook,
     pub(crate) observations: Vec<Observation>,
     /// The clocks at the latest plan: this process's own, and the time of day.
-    pub(crate) wall: (Moment, u64),
+    pub(crate) plan_clocks: (Moment, u64),
     pub(crate) lost_leadership: bool,
 }
 
@@ -158,7 +158,7 @@
             evacuations: Evacuations::default(),
             permits: PermitBook::default(),
             observations: Vec::new(),
-            wall: (elected, 0),
+            plan_clocks: (elected, 0),
             lost_leadership: false,
         }
     }
