--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -82,7 +82,7 @@
         match member.phase {
             Phase::Restored | Phase::Sent { .. } => {
                 member.phase = Phase::Running;
-                member.settled.get_or_insert(now);
+                member.confirmed_at.get_or_insert(now);
                 self.record_run_started(name, id);
             }
             Phase::Planned | Phase::Running => {}
@@ -136,7 +136,7 @@
         for task in missing {
             let Some(name) = self.group_of(task) else { continue };
             let Some(member) = self.member_mut(name, task.index, id) else { continue };
-            if member.settled.is_some_and(|settled| settled < sent) {
+            if member.confirmed_at.is_some_and(|settled| settled < sent) {
                 log::info!("job={} event=not_listed task={task} server={id}", task.occurrence.job);
                 self.observations.push(Observation::RunLost { why: "not_listed" });
                 self.remove_member(name, task.index, None, now);
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -44,7 +44,7 @@
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) phase: Phase,
     /// A listing that was asked for after this must show the run, if it goes on.
-    pub(crate) settled: Option<Moment>,
+    pub(crate) confirmed_at: Option<Moment>,
     /// When it was last told to stop.
     pub(crate) stop_sent: Option<Moment>,
     /// The latest checkpoint that it has told of.
@@ -68,7 +68,7 @@
             server: placed.server.clone(),
             incarnation: placed.incarnation,
             phase: Phase::Planned,
-            settled: None,
+            confirmed_at: None,
             stop_sent: None,
             checkpoint: None,
             percent: 0,
@@ -83,7 +83,7 @@
     pub(crate) fn restored(placed: &Placement, elected: Moment) -> Member {
         Member {
             phase: Phase::Restored,
-            settled: Some(elected),
+            confirmed_at: Some(elected),
             throttle: Throttle::unknown(),
             measured: Measured::BegunBefore,
             ..Member::planned(placed)
@@ -100,7 +100,7 @@
     /// How long it is known to have run: from when that was first known until its backend server was last heard, at `heard`.
     /// `None` if this scheduler does not know that it has begun.
     pub(crate) fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
-        let started = self.settled.filter(|_| self.phase == Phase::Running)?;
+        let started = self.confirmed_at.filter(|_| self.phase == Phase::Running)?;
         Some(heard.map_or(Duration::ZERO, |heard| heard.since(started)))
     }
 }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -202,7 +202,7 @@
 impl Member {
     /// From when its work can be measured: its start, unless it goes on from a checkpoint.
     fn measured_from(&self, checkpoint: bool) -> Measured {
-        match (self.measured, self.phase, self.settled) {
+        match (self.measured, self.phase, self.confirmed_at) {
             (Measured::NotYet, Phase::Running, Some(started)) if !checkpoint => Measured::From(started, 0),
             (measured, ..) => measured,
         }
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -56,7 +56,7 @@
             StartReply::Started => {
                 let first = member.phase != Phase::Running;
                 member.phase = Phase::Running;
-                member.settled = Some(now);
+                member.confirmed_at = Some(now);
                 if first {
                     self.observe_run_start(name, now);
                 }
@@ -66,7 +66,7 @@
             // refusal, a run that was done would be started again.
             StartReply::Over => {
                 member.phase = Phase::Running;
-                member.settled = Some(now);
+                member.confirmed_at = Some(now);
                 self.record_run_started(name, server);
             }
             StartReply::Unknown => self.start_unanswered(name, task.index, server, now),
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -100,7 +100,7 @@
             return;
         }
         if let Some(member) = self.member_mut(name, task.index, server) {
-            member.settled = Some(now);
+            member.confirmed_at = Some(now);
             member.stop_sent = None;
         }
     }
