--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -8,13 +8,17 @@
     /// Tells of a difference, which is a fault of the scheduler.
     pub fn check_kept(&mut self, now: Moment) -> Result<(), String> {
         self.check_rooms(now)?;
-        self.check_trials()?;
+        self.check_isolated_retries()?;
         self.check_acknowledged()
     }
 
-    fn check_trials(&self) -> Result<(), String> {
-        match self.servers.keys().find(|id| self.trials.get(*id).copied() != self.trial_on(id)) {
-            Some(id) => Err(format!("{id}: kept trial: {:?}, anew: {:?}", self.trials.get(id), self.trial_on(id))),
+    fn check_isolated_retries(&self) -> Result<(), String> {
+        match self.servers.keys().find(|id| self.isolated_retries.get(*id).copied() != self.isolated_retry_on(id)) {
+            Some(id) => Err(format!(
+                "{id}: kept trial: {:?}, anew: {:?}",
+                self.isolated_retries.get(id),
+                self.isolated_retry_on(id)
+            )),
             None => Ok(()),
         }
     }
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -81,7 +81,7 @@
         self.mark_stale(id);
         self.reset_speed(id);
         self.servers.remove(id);
-        self.trials.remove(id);
+        self.isolated_retries.remove(id);
         self.unreachable.remove_pending(id);
     }
 
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -18,7 +18,7 @@
     candidate::Candidate,
     headroom::STALL_LIMIT,
     observations::Observation,
-    run_state::{Group, GroupId, Member, Phase, Trial},
+    run_state::{Group, GroupId, IsolatedRetry, Member, Phase},
     server::ServerAddress,
 };
 
@@ -185,13 +185,13 @@
 
     /// Whether a suspect has to wait for another of its job. Before its last try only one at a time is on trial: if it crashes its
     /// backend server, the job has failed. The first try after a crash is not held up, since most suspects are bystanders.
-    pub(crate) fn waits_for_trial(&self, name: GroupId, now: Moment) -> bool {
+    pub(crate) fn awaits_isolated_retry(&self, name: GroupId, now: Moment) -> bool {
         let goes_on = |member: &Member| self.may_tell_of_crash(&member.server, now);
-        let on_trial = |other: &GroupId| {
+        let has_isolated_retry = |other: &GroupId| {
             let group = self.group(*other);
-            group.trial.is_some() && group.members.iter().any(goes_on)
+            group.isolated_retry.is_some() && group.members.iter().any(goes_on)
         };
-        is_last_attempt(self.progress_of(name)) && self.group_names(name.occurrence.job).iter().any(on_trial)
+        is_last_attempt(self.progress_of(name)) && self.group_names(name.occurrence.job).iter().any(has_isolated_retry)
     }
 
     /// Whether a backend server answers, or is silent for so short that it may have crashed and its next life is not there yet.
@@ -203,41 +203,41 @@
 
     /// Whether a suspect waits for an empty backend server before its last try: after two crashes it is likely that
     /// the next one takes along what runs there.
-    pub(crate) fn waits_for_empty_one(&self, candidate: &Candidate, now: Moment) -> bool {
+    pub(crate) fn awaits_empty_server(&self, candidate: &Candidate, now: Moment) -> bool {
         let name = candidate.group(candidate.groups[0]);
         let waited = self.group(name).ready_since.map_or(Duration::ZERO, |since| now.since(since));
         candidate.suspect && is_last_attempt(self.progress_of(name)) && waited < STALL_LIMIT
     }
 
     /// A run of a group is placed, or is found by a new scheduler: that of a suspect is on trial.
-    pub(crate) fn begin_trial(&mut self, name: GroupId) {
-        let trial = is_suspect(self.progress_of(name)).then_some(Trial::Begun);
-        self.group_mut(name).trial = trial;
-        if trial.is_some() {
+    pub(crate) fn begin_isolated_retry(&mut self, name: GroupId) {
+        let isolated_retry = is_suspect(self.progress_of(name)).then_some(IsolatedRetry::Started);
+        self.group_mut(name).isolated_retry = isolated_retry;
+        if isolated_retry.is_some() {
             for id in self.servers_of(name) {
-                self.trials.insert(id, Trial::Begun);
+                self.isolated_retries.insert(id, IsolatedRetry::Started);
             }
         }
     }
 
     /// A backend server was heard: trials there of what has outlived its start end, and others have come further.
-    pub(crate) fn follow_trials(&mut self, id: &BackendServerId) {
-        if !self.trials.contains_key(id) {
+    pub(crate) fn update_isolated_retries(&mut self, id: &BackendServerId) {
+        if !self.isolated_retries.contains_key(id) {
             return;
         }
         let heard = self.servers.get(id).and_then(|server| server.silence.heard);
         for name in self.groups_on(id) {
             let group = self.group(name);
-            let Some(trial) = group.trial else { continue };
+            let Some(isolated_retry) = group.isolated_retry else { continue };
             let goes_well = group.known_run_time(heard) >= Some(GOES_WELL) && !is_last_attempt(self.progress_of(name));
-            let now = match trial {
+            let now = match isolated_retry {
                 _ if group.survived_start(heard) => None,
-                Trial::Begun if goes_well => Some(Trial::GoesWell),
-                trial => Some(trial),
+                IsolatedRetry::Started if goes_well => Some(IsolatedRetry::Stable),
+                isolated_retry => Some(isolated_retry),
             };
-            if now != Some(trial) {
-                self.group_mut(name).trial = now;
-                self.servers_of(name).iter().for_each(|id| self.look_for_trials(id));
+            if now != Some(isolated_retry) {
+                self.group_mut(name).isolated_retry = now;
+                self.servers_of(name).iter().for_each(|id| self.refresh_isolated_retry(id));
             }
         }
     }
@@ -247,23 +247,23 @@
     }
 
     /// Lets other work onto a backend server again as far as the trials allow it that are left there.
-    pub(crate) fn look_for_trials(&mut self, id: &BackendServerId) {
-        let Some(before) = self.trials.get(id).copied() else { return };
-        let now = self.trial_on(id);
+    pub(crate) fn refresh_isolated_retry(&mut self, id: &BackendServerId) {
+        let Some(before) = self.isolated_retries.get(id).copied() else { return };
+        let now = self.isolated_retry_on(id);
         if now == Some(before) {
             return;
         }
         match now {
-            Some(trial) => self.trials.insert(id.clone(), trial),
-            None => self.trials.remove(id),
+            Some(isolated_retry) => self.isolated_retries.insert(id.clone(), isolated_retry),
+            None => self.isolated_retries.remove(id),
         };
         self.mark_stale(id);
         self.plan_requested = true;
     }
 
     /// The trial on a backend server that has come least far.
-    pub(crate) fn trial_on(&self, id: &BackendServerId) -> Option<Trial> {
-        self.groups_on(id).into_iter().filter_map(|name| self.group(name).trial).min()
+    pub(crate) fn isolated_retry_on(&self, id: &BackendServerId) -> Option<IsolatedRetry> {
+        self.groups_on(id).into_iter().filter_map(|name| self.group(name).isolated_retry).min()
     }
 
     fn has_crashed_enough(&self, name: GroupId, index: u32) -> bool {
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -59,7 +59,7 @@
         if !listing.more_completions {
             self.detect_lost_runs(id, listing, sent, now);
         }
-        self.follow_trials(id);
+        self.update_isolated_retries(id);
         self.throttle_best_effort(id, now);
         if !listing.completions.is_empty() {
             self.acknowledge_stored(id);
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -106,7 +106,7 @@
                 let placed = filling.places.len() as u64;
                 let enough = self.headroom_allows(candidate, wanted, placed, 1, rooms);
                 // One task keeps a job from standing; the others wait until nothing is on trial there.
-                let enough = enough && !(room.on_trial && placed > 0);
+                let enough = enough && !(room.has_isolated_retry && placed > 0);
                 if fitting == 0 || !enough {
                     break;
                 }
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -22,7 +22,7 @@
         // Planning changes jobs and backend servers besides: the rooms are put back when it is over.
         let mut rooms = std::mem::take(&mut self.rooms);
         for candidate in &candidates {
-            if candidate.suspect && self.waits_for_trial(candidate.group(candidate.groups[0]), now) {
+            if candidate.suspect && self.awaits_isolated_retry(candidate.group(candidate.groups[0]), now) {
                 continue;
             }
             if self.step_of(candidate).gang {
@@ -41,7 +41,7 @@
 
     /// What of a room a candidate may take now.
     fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&Room) -> Resources + use<> {
-        let apart = self.waits_for_empty_one(candidate, now);
+        let apart = self.awaits_empty_server(candidate, now);
         move |room| if apart && room.tasks > 0 { Resources::default() } else { room.free }
     }
 
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -143,7 +143,7 @@
         let takers = self.takers(candidate, &wanted, groups, now);
         let mut by_rack: BTreeMap<Option<&Arc<str>>, Vec<Offer>> = BTreeMap::new();
         // A run on trial is not stopped: its trial would begin anew.
-        let may_give = |room: &&Room| !room.on_trial && wanted.allows(room) && goes_there(room);
+        let may_give = |room: &&Room| !room.has_isolated_retry && wanted.allows(room) && goes_there(room);
         let giving: Vec<&Room> = rooms.iter().map(|(_, room)| room).filter(may_give).collect();
         let count = takers.of_any(&giving);
         for room in giving {
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -34,7 +34,7 @@
             entry.ended.get_or_insert(self.elected);
         }
         for name in self.restore_members(id, &job) {
-            self.begin_trial(name);
+            self.begin_isolated_retry(name);
         }
     }
 
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -28,11 +28,11 @@
 
 /// How far the trial of a suspect's run has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Trial {
+pub(crate) enum IsolatedRetry {
     /// Nothing is placed beside it.
-    Begun,
+    Started,
     /// A task that crashes whatever starts it would have done so: one task of a job that stands may be placed beside it.
-    GoesWell,
+    Stable,
 }
 
 /// One task of a run.
@@ -144,7 +144,7 @@
     /// When its latest run was placed.
     pub(crate) placed_at: Moment,
     /// Its run is a suspect's and has not outlived its start; `None` of any other.
-    pub(crate) trial: Option<Trial>,
+    pub(crate) isolated_retry: Option<IsolatedRetry>,
     /// Backend servers where it failed.
     pub(crate) avoid: Vec<BackendServerId>,
 }
@@ -158,7 +158,7 @@
             stopped_at: Moment::ZERO,
             ready_since: None,
             placed_at: Moment::ZERO,
-            trial: None,
+            isolated_retry: None,
             avoid: Vec::new(),
         }
     }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -103,7 +103,7 @@
         group.placed_at = now;
         group.stopping = None;
         group.members = members;
-        self.begin_trial(name);
+        self.begin_isolated_retry(name);
     }
 
     fn placed(&self, index: u32, id: &BackendServerId) -> Placement {
@@ -153,7 +153,7 @@
             server.used.remove(&need);
             server.members.remove(&name.task(index));
         }
-        self.look_for_trials(&member.server);
+        self.refresh_isolated_retry(&member.server);
         let checkpoint = checkpoint.or(member.checkpoint).filter(|_| checkpoints);
         self.change(name, |progress| {
             progress.placed.retain(|placed| placed.index != index);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -18,7 +18,7 @@
     permits::PermitBook,
     policy::Policy,
     ready::ReadySteps,
-    run_state::{JobEntry, StopReason, Trial},
+    run_state::{IsolatedRetry, JobEntry, StopReason},
     server::Server,
     speed::FleetSpeed,
     stalled::Stalled,
@@ -87,7 +87,7 @@
     /// Occurrences of which nothing runs although something could.
     pub(crate) stalled: Stalled,
     /// Backend servers where a suspect has not outlived its start, with the trial there that has come least far.
-    pub(crate) trials: BTreeMap<BackendServerId, Trial>,
+    pub(crate) isolated_retries: BTreeMap<BackendServerId, IsolatedRetry>,
     /// Backend servers that the next scheduler is told not to have been reached.
     pub(crate) unreachable: Unreachable,
     /// Backend servers that witness who schedules.
@@ -140,7 +140,7 @@
             rooms: Rooms::default(),
             stale_servers: Vec::new(),
             time_dependent: Vec::new(),
-            trials: BTreeMap::new(),
+            isolated_retries: BTreeMap::new(),
             unreachable: Unreachable::default(),
             witnesses: Witnesses::default(),
             lapsed: Lapsed::default(),
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -8,7 +8,7 @@
 use crate::{
     Scheduler,
     policy::ServiceId,
-    run_state::Trial,
+    run_state::IsolatedRetry,
     server::{Server, ServerAddress, ServerInfo},
     speed::SpeedClass,
 };
@@ -43,7 +43,7 @@
     /// Tasks of several jobs failed there lately: it takes work only of jobs that stand.
     pub(crate) set_aside: bool,
     /// A suspect is on trial there: it takes work only of jobs that stand, one task or gang of each.
-    pub(crate) on_trial: bool,
+    pub(crate) has_isolated_retry: bool,
     /// A task failed there lately and none has been done since, or something is on trial there.
     pub(crate) doubtful: bool,
     /// How fast it works.
@@ -89,7 +89,7 @@
     }
 
     fn free_accelerators(&self) -> u64 {
-        if self.open && !self.set_aside && !self.on_trial { self.free.accelerators } else { 0 }
+        if self.open && !self.set_aside && !self.has_isolated_retry { self.free.accelerators } else { 0 }
     }
 }
 
@@ -102,8 +102,8 @@
     }
 
     fn room_of(&self, id: &BackendServerId, server: &Server, info: &ServerInfo, now: Moment) -> Room {
-        let trial = self.trials.get(id);
-        let open = server.open(now) && trial != Some(&Trial::Begun) && self.may_renew(id);
+        let isolated_retry = self.isolated_retries.get(id);
+        let open = server.open(now) && isolated_retry != Some(&IsolatedRetry::Started) && self.may_renew(id);
         let free = server.free();
         let mut room = Room {
             id: id.clone(),
@@ -122,8 +122,8 @@
             best_effort: 0,
             serving: 0,
             set_aside: self.timing.tuning.set_aside && server.health.set_aside(now),
-            on_trial: trial.is_some(),
-            doubtful: self.timing.tuning.doubt && server.health.doubtful(now) || trial.is_some(),
+            has_isolated_retry: isolated_retry.is_some(),
+            doubtful: self.timing.tuning.doubt && server.health.doubtful(now) || isolated_retry.is_some(),
             speed: if self.timing.tuning.speed { server.speed.class(&self.fleet_speed) } else { SpeedClass::default() },
         };
         for task in server.members.keys() {
