--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -50,7 +50,7 @@
 /// Runs that were lost with their lease. Whether their backend servers had crashed is known only if another life answers in their
 /// place: on some deployments that takes longer than a lease of 6 s.
 #[derive(Debug, Default)]
-pub(crate) struct Lapsed {
+pub(crate) struct LapsedLeases {
     by_server: BTreeMap<BackendServerId, LapsedRuns>,
 }
 
@@ -62,7 +62,7 @@
     runs: Vec<(GroupId, Crash)>,
 }
 
-impl Lapsed {
+impl LapsedLeases {
     pub(crate) fn remove_expired(&mut self, now: Moment) {
         self.by_server.retain(|_, lapsed| now.since(lapsed.since) < REMEMBERED);
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     archive::Archived,
-    crashes::Lapsed,
+    crashes::LapsedLeases,
     evacuation::Evacuations,
     fleet_capacity::Rooms,
     headroom::StopTimes,
@@ -83,7 +83,7 @@
     /// Backend servers whose rooms change with time.
     pub(crate) time_dependent: Vec<BackendServerId>,
     /// Runs that were lost with their lease, on backend servers that may have crashed.
-    pub(crate) lapsed: Lapsed,
+    pub(crate) lapsed: LapsedLeases,
     /// Occurrences of which nothing runs although something could.
     pub(crate) stalled: Stalled,
     /// Backend servers where a suspect has not outlived its start, with the trial there that has come least far.
@@ -143,7 +143,7 @@
             isolated_retries: BTreeMap::new(),
             unreachable: Unreachable::default(),
             witnesses: Witnesses::default(),
-            lapsed: Lapsed::default(),
+            lapsed: LapsedLeases::default(),
             stalled: Stalled::default(),
             fleet_speed: FleetSpeed::default(),
             stop_times: StopTimes::unseen(),
