--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -35,13 +35,13 @@
 
 /// How long stops have taken lately, from the decision to the end in a listing.
 #[derive(Debug)]
-pub(crate) struct StopTimes {
+pub(crate) struct StopDurations {
     mean_s: f64,
 }
 
-impl StopTimes {
-    pub(crate) fn unseen() -> StopTimes {
-        StopTimes { mean_s: UNSEEN.secs_f64() }
+impl StopDurations {
+    pub(crate) fn initial() -> StopDurations {
+        StopDurations { mean_s: UNSEEN.secs_f64() }
     }
 
     pub(crate) fn mean_s(&self) -> f64 {
@@ -60,7 +60,7 @@
     /// has waited for half of the time that it can.
     fn headroom(&self, pressed: bool) -> f64 {
         let most = if pressed { AT_MOST_IF_PRESSED } else { AT_MOST };
-        let learned = AT_LEAST + PER_SECOND * self.stop_times.mean_s;
+        let learned = AT_LEAST + PER_SECOND * self.stop_durations.mean_s;
         self.timing.tuning.headroom.unwrap_or(learned.min(most))
     }
 
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -58,7 +58,7 @@
         );
         if end.kind == CompletionKind::Stopped && self.group(name).stopping.is_some() {
             let took = now.since(self.group(name).stopped_at);
-            self.stop_times.record(took);
+            self.stop_durations.record(took);
         }
         if end.kind == CompletionKind::Done {
             self.measure_end(name, end.task.index, id, now);
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -244,7 +244,7 @@
     /// nothing of its end.
     fn ends_before_a_stop(&self, name: GroupId, now: Moment) -> bool {
         let told = self.group(name).members.iter().all(|member| member.percent > 0);
-        told && self.time_left(name, now).secs_f64() < self.stop_times.mean_s()
+        told && self.time_left(name, now).secs_f64() < self.stop_durations.mean_s()
     }
 
     /// Most core-seconds that are thrown away so that groups of a candidate without a guarantee can start.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -10,7 +10,7 @@
     crashes::LapsedLeases,
     evacuation::Evacuations,
     fleet_capacity::Rooms,
-    headroom::StopTimes,
+    headroom::StopDurations,
     maintenance::Maintenance,
     observations::Observation,
     orders::Order,
@@ -95,7 +95,7 @@
     /// How fast backend servers work on the mean.
     pub(crate) fleet_speed: FleetSpeed,
     /// How long stops have taken lately.
-    pub(crate) stop_times: StopTimes,
+    pub(crate) stop_durations: StopDurations,
     /// Something has happened that may let a group start.
     pub(crate) plan_requested: bool,
     /// When leases and stops were last looked at.
@@ -146,7 +146,7 @@
             lapsed: LapsedLeases::default(),
             stalled: Stalled::default(),
             fleet_speed: FleetSpeed::default(),
-            stop_times: StopTimes::unseen(),
+            stop_durations: StopDurations::initial(),
             plan_requested: false,
             last_look: elected,
             servers: BTreeMap::new(),
