--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -50,7 +50,7 @@
     pub fn server_unlisted(&mut self, id: &BackendServerId, now: Moment) {
         if let Some(server) = self.server_mut(id) {
             server.listed = false;
-            server.silence.unlisted = Some(now);
+            server.contact.unlisted_at = Some(now);
         }
         self.check_departed(id, now);
     }
@@ -68,7 +68,7 @@
     pub(crate) fn end_incarnation(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
         let announced = server.announced();
-        let silent = server.silence.since.map_or(0, |since| now.since(since).millis());
+        let silent = server.contact.failing_since.map_or(0, |since| now.since(since).millis());
         log::info!("server={id} event=gone runs={} announced={announced} silent_ms={silent}", server.members.len());
         self.observations.push(Observation::ServerEnded { announced });
         if !announced {
@@ -119,10 +119,10 @@
     pub fn call_failed(&mut self, id: &BackendServerId, how: CallFailure, now: Moment) {
         let Some(server) = self.server_mut(id) else { return };
         server.failed_calls += 1;
-        server.silence.refused |= how == CallFailure::Refused;
+        server.contact.refused |= how == CallFailure::Refused;
         let busy = !server.members.is_empty();
         if server.failed_calls == 1 {
-            server.silence.since = Some(now);
+            server.contact.failing_since = Some(now);
             log::warn!("server={id} event=unreachable lease_over_at={}", server.lease_over.millis());
             self.mark_changed_on(id);
         }
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -151,7 +151,7 @@
             let group = self.group(name);
             let here = |member: &&Member| member.index == task.index && member.server == *id && which(member);
             let member = group.members.iter().find(here)?;
-            let early = !group.survived_start(server.silence.heard);
+            let early = !group.survived_start(server.contact.last_response);
             let address = server.info.as_ref().map_or_else(|| Arc::from(""), |info| Arc::from(info.address.as_str()));
             let started = member.phase == Phase::Running;
             let crash = Crash { index: task.index, run: *run, started, early, address };
@@ -197,7 +197,7 @@
     /// Whether a backend server answers, or is silent for so short that it may have crashed and its next life is not there yet.
     fn may_tell_of_crash(&self, id: &BackendServerId, now: Moment) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
-        let silent = || now.since(server.silence.since.unwrap_or(self.elected));
+        let silent = || now.since(server.contact.failing_since.unwrap_or(self.elected));
         server.reached() || silent() < BACK_WITHIN
     }
 
@@ -225,7 +225,7 @@
         if !self.isolated_retries.contains_key(id) {
             return;
         }
-        let heard = self.servers.get(id).and_then(|server| server.silence.heard);
+        let heard = self.servers.get(id).and_then(|server| server.contact.last_response);
         for name in self.groups_on(id) {
             let group = self.group(name);
             let Some(isolated_retry) = group.isolated_retry else { continue };
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -44,9 +44,9 @@
         }
         self.unreachable.remove_pending(id);
         server.failed_calls = 0;
-        server.silence.heard = Some(now);
-        server.silence.since = None;
-        server.silence.refused = false;
+        server.contact.last_response = Some(now);
+        server.contact.failing_since = None;
+        server.contact.refused = false;
         self.record_witness_answer(id, listing.incarnation, sent, now);
         self.plan_requested |= !listing.completions.is_empty();
         for end in &listing.completions {
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -81,15 +81,15 @@
 
 /// What tells a backend server that has left from one that is out of reach.
 #[derive(Debug, Default)]
-pub(crate) struct Silence {
+pub(crate) struct Contact {
     /// When this scheduler last had an answer of it.
-    pub(crate) heard: Option<Moment>,
+    pub(crate) last_response: Option<Moment>,
     /// When the first of the calls without an answer failed; `None` while it answers.
-    pub(crate) since: Option<Moment>,
+    pub(crate) failing_since: Option<Moment>,
     /// Nothing listened at its address in that time.
     pub(crate) refused: bool,
     /// When the platform ceased to list it; `None` while it does.
-    pub(crate) unlisted: Option<Moment>,
+    pub(crate) unlisted_at: Option<Moment>,
 }
 
 /// A backend server.
@@ -110,7 +110,7 @@
     pub(crate) has_reported: bool,
     /// Calls that it left without answer since it last answered one.
     pub(crate) failed_calls: u32,
-    pub(crate) silence: Silence,
+    pub(crate) contact: Contact,
     /// Every lease that it was given is over by then.
     pub(crate) lease_over: Moment,
     /// When this scheduler last gave it a whole lease.
@@ -146,7 +146,7 @@
             orphaned_runs: BTreeMap::new(),
             has_reported: false,
             failed_calls: 0,
-            silence: Silence::default(),
+            contact: Contact::default(),
             lease_over,
             renewed_to: None,
             pending_completions: VecDeque::new(),
@@ -199,7 +199,7 @@
         *self = Server {
             listed: self.listed,
             leaves: false,
-            silence: Silence { unlisted: self.silence.unlisted, ..Silence::default() },
+            contact: Contact { unlisted_at: self.contact.unlisted_at, ..Contact::default() },
             closed_for_maintenance: self.closed_for_maintenance,
             evacuated: self.evacuated,
             is_stale: self.is_stale,
@@ -220,7 +220,7 @@
         }
         self.info = Some(info);
         self.listed = true;
-        self.silence.unlisted = None;
+        self.contact.unlisted_at = None;
     }
 
     /// Whether the life that answers is the one that the platform lists: another one may have other room and other labels.
@@ -240,7 +240,12 @@
     /// heartbeats, long after the first call that it left unanswered, also if what cuts it refuses connections. A
     /// scheduler that has not heard it lately, since it is new or has stood still, cannot tell the two apart.
     pub(crate) fn has_departed(&self) -> bool {
-        let Silence { heard: Some(heard), since: Some(silent), refused: true, unlisted: Some(unlisted) } = self.silence
+        let Contact {
+            last_response: Some(heard),
+            failing_since: Some(silent),
+            refused: true,
+            unlisted_at: Some(unlisted),
+        } = self.contact
         else {
             return false;
         };
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -76,7 +76,7 @@
         now: Moment,
     ) {
         let Some(server) = self.servers.get(id) else { return };
-        let heard = server.silence.heard;
+        let heard = server.contact.last_response;
         let members: Vec<(TaskId, RunNumber)> = server.members.iter().map(|(task, run)| (*task, *run)).collect();
         for (task, run) in members {
             let Some(name) = self.group_of(task) else { continue };
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -138,7 +138,7 @@
     fn unreachable_leases(&self, now: Moment) -> BTreeMap<BackendServerId, u64> {
         let left = |id: &BackendServerId| {
             let server = self.servers.get(id)?;
-            let lost_just_now = server.silence.since.is_some_and(|since| now.since(since) < NOTED_AFTER);
+            let lost_just_now = server.contact.failing_since.is_some_and(|since| now.since(since) < NOTED_AFTER);
             let named = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
             named.then(|| (id.clone(), server.lease_over.since(now).millis()))
         };
