--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -198,7 +198,7 @@
     fn may_tell_of_crash(&self, id: &BackendServerId, now: Moment) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
         let silent = || now.since(server.contact.failing_since.unwrap_or(self.elected));
-        server.reached() || silent() < BACK_WITHIN
+        server.is_reachable() || silent() < BACK_WITHIN
     }
 
     /// Whether a suspect waits for an empty backend server before its last try: after two crashes it is likely that
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -27,7 +27,7 @@
             None => drop(self.lapsed.remove(id)),
         }
         let Some(server) = self.servers.get(id) else { return };
-        if !server.reached() {
+        if !server.is_reachable() {
             self.mark_stale(id);
             self.mark_changed_on(id);
         }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -258,8 +258,8 @@
     /// out of reach, counts as away whatever the cause.
     pub(crate) fn may_interrupt(&self, name: GroupId) -> bool {
         let Some(most) = self.step(name).max_absent else { return true };
-        let reached = |id: &BackendServerId| self.servers.get(id).is_some_and(|server| server.failed_calls == 0);
-        let at_work = |member: &Member| member.percent >= AT_WORK && reached(&member.server);
+        let reachable = |id: &BackendServerId| self.servers.get(id).is_some_and(|server| server.failed_calls == 0);
+        let at_work = |member: &Member| member.percent >= AT_WORK && reachable(&member.server);
         let away =
             |group: &&Group| group.members.is_empty() || group.stopping.is_some() || !group.members.iter().all(at_work);
         let absent = self.occurrence(name.occurrence).groups[name.step].iter().filter(away).count();
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -49,8 +49,8 @@
 
 impl Occurrence {
     fn note_idle(&mut self, servers: &BTreeMap<BackendServerId, Server>, now: Moment) {
-        let reached = |member: &&Member| servers.get(&member.server).is_some_and(Server::reached);
-        let placed = || self.groups.iter().flatten().flat_map(|group| &group.members).filter(reached);
+        let reachable = |member: &&Member| servers.get(&member.server).is_some_and(Server::is_reachable);
+        let placed = || self.groups.iter().flatten().flat_map(|group| &group.members).filter(reachable);
         let idle = !placed().any(Member::is_running);
         self.is_placed = placed().next().is_some();
         self.idle_since = idle.then(|| self.idle_since.unwrap_or(now));
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -162,7 +162,7 @@
     }
 
     /// Whether it answers this scheduler.
-    pub(crate) fn reached(&self) -> bool {
+    pub(crate) fn is_reachable(&self) -> bool {
         self.has_reported && self.failed_calls == 0
     }
 
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -27,7 +27,7 @@
     /// Taken by what stays: nothing of it is being stopped. More than there is where the capacity has shrunk.
     pub(crate) staying: Resources,
     /// Its backend server answers this scheduler.
-    pub(crate) reached: bool,
+    pub(crate) reachable: bool,
     /// New work may be placed there.
     pub(crate) open: bool,
     /// Free now.
@@ -85,7 +85,7 @@
     }
 
     fn used_accelerators(&self) -> u64 {
-        if self.reached { self.used.accelerators } else { 0 }
+        if self.reachable { self.used.accelerators } else { 0 }
     }
 
     fn free_accelerators(&self) -> u64 {
@@ -114,7 +114,7 @@
             capacity: info.capacity,
             used: server.used,
             staying: server.used,
-            reached: server.reached(),
+            reachable: server.is_reachable(),
             open,
             free,
             soon: free,
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -115,7 +115,7 @@
     }
 
     fn answers(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(Server::reached)
+        self.servers.get(id).is_some_and(Server::is_reachable)
     }
 
     fn waits_for(&self, id: OccurrenceId, now: Moment) -> Option<WaitsFor> {
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -15,7 +15,7 @@
 impl Server {
     /// Whether starts that were ordered may be sent to it.
     fn takes_starts(&self) -> bool {
-        self.reached() && !self.evacuated && !self.is_over_capacity()
+        self.is_reachable() && !self.evacuated && !self.is_over_capacity()
     }
 }
 
@@ -76,7 +76,7 @@
 
     /// A run is known to have begun: from its end on its job may stand anew. That may come before the next plan.
     pub(crate) fn record_run_started(&mut self, name: GroupId, server: &BackendServerId) {
-        if self.servers.get(server).is_some_and(Server::reached) {
+        if self.servers.get(server).is_some_and(Server::is_reachable) {
             self.occurrence_mut(name.occurrence).idle_since = None;
         }
     }
@@ -103,7 +103,7 @@
         }
         let reason = match self.servers.get(server) {
             Some(server) if server.evacuated => StopReason::ZoneEvacuated,
-            Some(server) if server.reached() => StopReason::ServerShrunk,
+            Some(server) if server.is_reachable() => StopReason::ServerShrunk,
             _ => StopReason::ServerSilent,
         };
         self.stop_group(name, reason, now);
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -215,5 +215,5 @@
 }
 
 fn may_witness(server: &Server) -> bool {
-    server.reached() && server.listed && !server.announced()
+    server.is_reachable() && server.listed && !server.announced()
 }
