--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -121,7 +121,7 @@
     /// Highest end that may be acknowledged.
     pub(crate) acknowledged_serial: u64,
     /// The life that was last heard has said that it leaves.
-    pub(crate) leaves: bool,
+    pub(crate) departing: bool,
     /// It is being emptied for upkeep.
     pub(crate) closed_for_maintenance: bool,
     /// Its availability zone is evacuated.
@@ -137,7 +137,7 @@
 impl Server {
     pub(crate) fn new(info: Option<ServerInfo>, lease_over: Moment) -> Server {
         Server {
-            leaves: info.as_ref().is_some_and(|info| info.draining),
+            departing: info.as_ref().is_some_and(|info| info.draining),
             listed: info.is_some(),
             incarnation: None,
             info,
@@ -198,7 +198,7 @@
         let info = self.info.take();
         *self = Server {
             listed: self.listed,
-            leaves: false,
+            departing: false,
             contact: Contact { unlisted_at: self.contact.unlisted_at, ..Contact::default() },
             closed_for_maintenance: self.closed_for_maintenance,
             evacuated: self.evacuated,
@@ -210,13 +210,13 @@
     /// A life is heard for the first time.
     pub(crate) fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = Some(incarnation);
-        self.leaves = self.info.as_ref().is_some_and(|info| info.draining) && self.is_as_listed();
+        self.departing = self.info.as_ref().is_some_and(|info| info.draining) && self.is_as_listed();
     }
 
     /// Takes in what the platform lists of it. What another life than the one that was last heard says of leaving is no word of that one.
     pub(crate) fn update_info(&mut self, info: ServerInfo) {
         if may_be_same_incarnation(info.incarnation, self.incarnation) {
-            self.leaves = info.draining;
+            self.departing = info.draining;
         }
         self.info = Some(info);
         self.listed = true;
@@ -230,7 +230,7 @@
 
     /// Whether the life that was last heard has said that it leaves.
     pub(crate) fn announced(&self) -> bool {
-        self.leaves
+        self.departing
     }
 
     /// Whether its process has ended as it had announced, and everything on it with that.
