--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -15,7 +15,7 @@
 
 impl Server {
     /// Whether new work may be placed here.
-    pub(crate) fn open(&self, now: Moment) -> bool {
+    pub(crate) fn accepts_work(&self, now: Moment) -> bool {
         let steady = self.info.as_ref().is_some_and(|info| !info.draining);
         let stays = steady && !self.closed_for_maintenance && !self.evacuated && self.is_as_listed();
         stays && self.listed && self.is_reachable() && now >= self.not_before
--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -74,7 +74,7 @@
     }
 
     fn open_room(&self, slot: Slot) -> Option<&Room> {
-        self.rooms[slot.0].as_ref().filter(|room| room.open)
+        self.rooms[slot.0].as_ref().filter(|room| room.accepts_work)
     }
 
     pub(crate) fn id(&self, slot: Slot) -> &BackendServerId {
@@ -109,7 +109,7 @@
             let room = self.rooms[slot.0].as_mut().expect("places are chosen among the rooms");
             let totals = self.totals.entry(room.service.clone()).or_default();
             totals.remove(room);
-            room.open = false;
+            room.accepts_work = false;
             totals.add(room);
         }
     }
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -29,7 +29,7 @@
     /// Its backend server answers this scheduler.
     pub(crate) reachable: bool,
     /// New work may be placed there.
-    pub(crate) open: bool,
+    pub(crate) accepts_work: bool,
     /// Free now.
     pub(crate) free: Resources,
     /// Free once everything that is being stopped has ended.
@@ -89,7 +89,7 @@
     }
 
     fn free_accelerators(&self) -> u64 {
-        if self.open && !self.set_aside && !self.has_isolated_retry { self.free.accelerators } else { 0 }
+        if self.accepts_work && !self.set_aside && !self.has_isolated_retry { self.free.accelerators } else { 0 }
     }
 }
 
@@ -103,7 +103,8 @@
 
     fn room_of(&self, id: &BackendServerId, server: &Server, info: &ServerInfo, now: Moment) -> Room {
         let isolated_retry = self.isolated_retries.get(id);
-        let open = server.open(now) && isolated_retry != Some(&IsolatedRetry::Started) && self.may_renew(id);
+        let accepts_work =
+            server.accepts_work(now) && isolated_retry != Some(&IsolatedRetry::Started) && self.may_renew(id);
         let free = server.free();
         let mut room = Room {
             id: id.clone(),
@@ -115,7 +116,7 @@
             used: server.used,
             staying: server.used,
             reachable: server.is_reachable(),
-            open,
+            accepts_work,
             free,
             soon: free,
             tasks: server.members.len() + server.orphaned_runs.len(),
