--- a/crates/scheduler/src/archive.rs
+++ b/crates/scheduler/src/archive.rs
@@ -31,7 +31,7 @@
 impl Scheduler {
     /// Jobs that can leave the intake, at most `most`: nothing of them runs, and the store holds how they ended.
     pub fn archivable(&self, most: usize) -> Vec<Archival> {
-        let entries = self.over.iter().filter_map(|id| Some((*id, self.jobs.get(id)?)));
+        let entries = self.finished_jobs.iter().filter_map(|id| Some((*id, self.jobs.get(id)?)));
         let stored = entries.filter(|(_, entry)| is_stored(entry));
         stored.take(most).map(|(id, entry)| archival(id, entry)).collect()
     }
@@ -39,7 +39,7 @@
     /// The store holds the record of a job in place of the job. `rest` is progress that it still holds.
     pub fn archived(&mut self, archival: Archival, rest: &[OccurrenceId], now: Moment) {
         let Archival { job: id, record, .. } = archival;
-        self.over.remove(&id);
+        self.finished_jobs.remove(&id);
         self.orphans.extend(rest);
         let Some(entry) = self.jobs.remove(&id) else { return };
         for occurrence in entry.occurrence_ids() {
@@ -48,12 +48,12 @@
             self.changed.remove(&occurrence);
             self.unsent_starts.remove(&occurrence);
         }
-        self.ended.insert(id, Archived { record, since: entry.ended.unwrap_or(now) });
+        self.archived.insert(id, Archived { record, since: entry.ended_at.unwrap_or(now) });
     }
 
     /// A record that the store holds, read by a new scheduler, for which its job ends now at the latest.
     pub fn restore_ended(&mut self, id: JobId, record: EndedJob, now: Moment) {
-        self.ended.entry(id).or_insert(Archived { record, since: now });
+        self.archived.entry(id).or_insert(Archived { record, since: now });
     }
 
     /// Progress in the store that belongs to no job any more, at most `most`.
--- a/crates/scheduler/src/guarantee.rs
+++ b/crates/scheduler/src/guarantee.rs
@@ -18,7 +18,7 @@
 impl Guarantees {
     pub(crate) fn new(scheduler: &Scheduler) -> Guarantees {
         let mut held: BTreeMap<&CustomerId, u64> = BTreeMap::new();
-        for id in &scheduler.open {
+        for id in &scheduler.open_jobs {
             let entry = &scheduler.jobs[id];
             if let Some(customer) = entry.job.customer.as_ref().filter(|_| entry.priority == 0) {
                 *held.entry(customer).or_insert(0) += accelerators_held(entry);
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -147,10 +147,10 @@
     /// Notes the end of a job once its last occurrence is over.
     fn note_end(&mut self, job: JobId, now: Moment) {
         let entry = self.jobs.get_mut(&job).expect("its group was just changed");
-        if entry.ended.is_some() || !entry.occurrences.iter().all(Occurrence::over) {
+        if entry.ended_at.is_some() || !entry.occurrences.iter().all(Occurrence::over) {
             return;
         }
-        entry.ended = Some(now);
+        entry.ended_at = Some(now);
         let failed = entry.occurrences.iter().any(|occurrence| occurrence.progress.failed);
         let state = if failed { JobState::Failed } else { JobState::Succeeded };
         self.observe_end(job, state, now);
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -142,7 +142,7 @@
         );
         self.permits.asking = None;
         self.plan_requested = true;
-        if !self.open.contains(&job) {
+        if !self.open_jobs.contains(&job) {
             return;
         }
         let until = sent + Duration::from_millis(request.valid.millis().saturating_sub(TICKET_MARGIN.millis()));
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -39,8 +39,8 @@
                 self.ready.insert(id, steps);
             }
             if entry.over() {
-                self.open.remove(&id.job);
-                self.over.insert(id.job);
+                self.open_jobs.remove(&id.job);
+                self.finished_jobs.insert(id.job);
                 self.permits.remove_occurrence(id);
             }
         }
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -31,7 +31,7 @@
         occurrence.progress = progress;
         self.changed.insert(id);
         if entry.occurrences.iter().all(Occurrence::over) {
-            entry.ended.get_or_insert(self.elected);
+            entry.ended_at.get_or_insert(self.elected);
         }
         for name in self.restore_members(id, &job) {
             self.begin_isolated_retry(name);
@@ -40,7 +40,7 @@
 
     /// Where backend servers with restored runs were reached as the runs were placed there: those that the platform no longer lists may answer there still.
     pub fn restored_addresses(&self) -> BTreeMap<BackendServerId, ServerAddress> {
-        let occurrences = self.open.iter().flat_map(|id| &self.jobs[id].occurrences);
+        let occurrences = self.open_jobs.iter().flat_map(|id| &self.jobs[id].occurrences);
         let placed = occurrences.flat_map(|o| o.progress.groups.iter().flatten()).flat_map(|group| &group.placed);
         let known = placed.filter(|placed| !placed.address.is_empty());
         known.map(|placed| (placed.server.clone(), ServerAddress::from(&*placed.address))).collect()
--- a/crates/scheduler/src/retention.rs
+++ b/crates/scheduler/src/retention.rs
@@ -10,7 +10,7 @@
     /// those that were cancelled before they came.
     pub fn expired_records(&self, now: Moment, most: usize) -> Vec<JobId> {
         let old = |since: Moment| now.since(since) > self.timing.keep_ended;
-        let records = self.ended.iter().filter(|(_, ended)| old(ended.since)).map(|(id, _)| *id);
+        let records = self.archived.iter().filter(|(_, ended)| old(ended.since)).map(|(id, _)| *id);
         let marks = self.cancelled_before_submission.iter().filter(|(_, since)| old(**since)).map(|(id, _)| *id);
         records.chain(marks).take(most).collect()
     }
@@ -18,7 +18,7 @@
     /// The store holds nothing of these jobs any more.
     pub fn remove_records(&mut self, forgotten: &[JobId]) {
         for id in forgotten {
-            self.ended.remove(id);
+            self.archived.remove(id);
             self.cancelled_before_submission.remove(id);
         }
     }
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -223,7 +223,7 @@
     pub(crate) cancelled: bool,
     pub(crate) occurrences: Vec<Occurrence>,
     /// When its last task ended or it was cancelled, as far as known.
-    pub(crate) ended: Option<Moment>,
+    pub(crate) ended_at: Option<Moment>,
 }
 
 impl JobEntry {
@@ -235,7 +235,7 @@
             priority,
             cancelled: false,
             occurrences,
-            ended: None,
+            ended_at: None,
         }
     }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -61,11 +61,11 @@
     pub(crate) jobs: BTreeMap<JobId, JobEntry>,
     pub(crate) servers: BTreeMap<BackendServerId, Server>,
     /// Jobs of which something runs or may run.
-    pub(crate) open: BTreeSet<JobId>,
+    pub(crate) open_jobs: BTreeSet<JobId>,
     /// Jobs that are over and stand in the intake still.
-    pub(crate) over: BTreeSet<JobId>,
+    pub(crate) finished_jobs: BTreeSet<JobId>,
     /// Jobs that are over and have left the intake.
-    pub(crate) ended: BTreeMap<JobId, Archived>,
+    pub(crate) archived: BTreeMap<JobId, Archived>,
     /// Progress in the store that belongs to no job any more.
     pub(crate) orphans: BTreeSet<OccurrenceId>,
     /// Jobs that were cancelled before they came; the store holds a mark that keeps them from coming.
@@ -129,9 +129,9 @@
             timing,
             policy,
             jobs: BTreeMap::new(),
-            open: BTreeSet::new(),
-            over: BTreeSet::new(),
-            ended: BTreeMap::new(),
+            open_jobs: BTreeSet::new(),
+            finished_jobs: BTreeSet::new(),
+            archived: BTreeMap::new(),
             orphans: BTreeSet::new(),
             cancelled_before_submission: BTreeMap::new(),
             changed: BTreeSet::new(),
@@ -195,19 +195,19 @@
     pub fn add_job(&mut self, job: Job) {
         let id = job.id;
         let priority = self.policy.priority(&job.queue);
-        if self.jobs.contains_key(&id) || self.ended.contains_key(&id) {
+        if self.jobs.contains_key(&id) || self.archived.contains_key(&id) {
             return;
         }
         let entry = JobEntry::new(job, priority);
         self.changed.extend(entry.occurrence_ids());
         self.jobs.insert(id, entry);
-        self.open.insert(id);
+        self.open_jobs.insert(id);
         self.plan_requested = true;
     }
 
     /// The caller does not want the job any more; the store holds that.
     pub fn cancel(&mut self, id: JobId, now: Moment) {
-        if self.ended.contains_key(&id) {
+        if self.archived.contains_key(&id) {
             return;
         }
         let Some(entry) = self.jobs.get_mut(&id) else {
@@ -217,7 +217,7 @@
         if std::mem::replace(&mut entry.cancelled, true) {
             return;
         }
-        let over_before = entry.ended.replace(now).is_some();
+        let over_before = entry.ended_at.replace(now).is_some();
         self.changed.extend(entry.occurrence_ids());
         self.plan_requested = true;
         log::info!("job={id} event=cancelled fence={}", self.fence);
@@ -234,20 +234,20 @@
         if let Some(entry) = self.jobs.get(&id) {
             return Some((entry.state(), entry.job.customer.as_ref()));
         }
-        let record = &self.ended.get(&id)?.record;
+        let record = &self.archived.get(&id)?.record;
         Some((record.state, record.customer.as_ref()))
     }
 
     /// How many accepted jobs of a queue have not begun.
     pub fn waiting(&self, queue: &QueueId) -> usize {
         let waits = |entry: &&JobEntry| entry.job.queue == *queue && entry.state() == JobState::Queued;
-        self.open.iter().map(|id| &self.jobs[id]).filter(waits).count()
+        self.open_jobs.iter().map(|id| &self.jobs[id]).filter(waits).count()
     }
 
     /// Sizes, for metrics.
     pub fn counts(&self) -> Counts {
         Counts {
-            open_jobs: self.open.len(),
+            open_jobs: self.open_jobs.len(),
             servers: self.servers.len(),
             unheard_servers: self.servers.values().filter(|server| !server.has_reported).count(),
             waiting: self.ready.len(),
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -99,7 +99,7 @@
     }
 
     fn open_occurrences(&self) -> impl Iterator<Item = OccurrenceId> {
-        self.open.iter().flat_map(|id| self.jobs[id].occurrence_ids())
+        self.open_jobs.iter().flat_map(|id| self.jobs[id].occurrence_ids())
     }
 
     /// Whether nothing of an occurrence is known to run, and something of it is placed or could be.
