--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -165,7 +165,7 @@
         let job = name.occurrence.job;
         let known = |other: &Crash| other.index == index && other.run == run;
         let progress = self.progress_of(name);
-        let over = progress.done || self.occurrence(name.occurrence).over() || self.jobs[&job].cancelled;
+        let over = progress.done || self.occurrence(name.occurrence).is_finished() || self.jobs[&job].cancelled;
         if over || progress.crashes.iter().any(known) {
             return;
         }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -147,7 +147,7 @@
     /// Notes the end of a job once its last occurrence is over.
     fn note_end(&mut self, job: JobId, now: Moment) {
         let entry = self.jobs.get_mut(&job).expect("its group was just changed");
-        if entry.ended_at.is_some() || !entry.occurrences.iter().all(Occurrence::over) {
+        if entry.ended_at.is_some() || !entry.occurrences.iter().all(Occurrence::is_finished) {
             return;
         }
         entry.ended_at = Some(now);
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -38,7 +38,7 @@
             } else {
                 self.ready.insert(id, steps);
             }
-            if entry.over() {
+            if entry.is_finished() {
                 self.open_jobs.remove(&id.job);
                 self.finished_jobs.insert(id.job);
                 self.permits.remove_occurrence(id);
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -30,7 +30,7 @@
         occurrence.stored_progress = progress.clone();
         occurrence.progress = progress;
         self.changed.insert(id);
-        if entry.occurrences.iter().all(Occurrence::over) {
+        if entry.occurrences.iter().all(Occurrence::is_finished) {
             entry.ended_at.get_or_insert(self.elected);
         }
         for name in self.restore_members(id, &job) {
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -207,7 +207,7 @@
     }
 
     /// Whether it has failed or is done.
-    pub(crate) fn over(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         self.progress.failed || self.progress.done()
     }
 }
@@ -250,9 +250,9 @@
     }
 
     /// Whether nothing of it runs or will run.
-    pub(crate) fn over(&self) -> bool {
+    pub(crate) fn is_finished(&self) -> bool {
         let idle = |o: &Occurrence| o.groups.iter().flatten().all(|group| group.members.is_empty());
-        let ended = |o: &Occurrence| self.cancelled || o.over();
+        let ended = |o: &Occurrence| self.cancelled || o.is_finished();
         self.occurrences.iter().all(|occurrence| ended(occurrence) && idle(occurrence))
     }
 }
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -106,7 +106,7 @@
     fn is_stalled(&self, id: OccurrenceId, now: Moment) -> bool {
         let entry = &self.jobs[&id.job];
         let occurrence = self.occurrence(id);
-        if entry.cancelled || occurrence.over() || self.wall_ms(now) < entry.job.due_ms(id.number) {
+        if entry.cancelled || occurrence.is_finished() || self.wall_ms(now) < entry.job.due_ms(id.number) {
             return false;
         }
         let members = || occurrence.groups.iter().flatten().flat_map(|group| &group.members);
