--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -6,7 +6,7 @@
 /// A backend server is set aside once tasks of this many jobs failed on it with nothing done between.
 const FAILED_JOBS: usize = 2;
 /// How long it is set aside before one task is tried on it.
-const SET_ASIDE: Duration = Duration::from_secs(8);
+const QUARANTINE: Duration = Duration::from_secs(8);
 /// How long a failure makes a backend server doubtful, unless something is done there before.
 const DOUBT: Duration = Duration::from_secs(6);
 
@@ -16,13 +16,13 @@
     /// Jobs that failed here since something was last done here.
     failed: Vec<JobId>,
     last_failure: Option<Moment>,
-    set_aside_until: Option<Moment>,
+    quarantined_until: Option<Moment>,
 }
 
 impl Health {
     pub(crate) fn done(&mut self) {
         self.failed.clear();
-        self.set_aside_until = None;
+        self.quarantined_until = None;
     }
 
     /// Returns whether this sets the backend server aside.
@@ -33,7 +33,7 @@
         self.last_failure = Some(now);
         let aside = self.failed.len() >= FAILED_JOBS;
         if aside {
-            self.set_aside_until = Some(now + SET_ASIDE);
+            self.quarantined_until = Some(now + QUARANTINE);
         }
         aside
     }
@@ -46,10 +46,10 @@
 
     /// Whether time alone can change whether it is trusted.
     pub(crate) fn changes_with_time(&self, now: Moment) -> bool {
-        self.doubtful(now) || self.set_aside(now)
+        self.doubtful(now) || self.is_quarantined(now)
     }
 
-    pub(crate) fn set_aside(&self, now: Moment) -> bool {
-        self.set_aside_until.is_some_and(|until| now < until)
+    pub(crate) fn is_quarantined(&self, now: Moment) -> bool {
+        self.quarantined_until.is_some_and(|until| now < until)
     }
 }
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -41,7 +41,7 @@
     /// Tasks with a latency target there.
     pub(crate) serving: u64,
     /// Tasks of several jobs failed there lately: it takes work only of jobs that stand.
-    pub(crate) set_aside: bool,
+    pub(crate) quarantined: bool,
     /// A suspect is on trial there: it takes work only of jobs that stand, one task or gang of each.
     pub(crate) has_isolated_retry: bool,
     /// A task failed there lately and none has been done since, or something is on trial there.
@@ -89,7 +89,7 @@
     }
 
     fn free_accelerators(&self) -> u64 {
-        if self.accepts_work && !self.set_aside && !self.has_isolated_retry { self.free.accelerators } else { 0 }
+        if self.accepts_work && !self.quarantined && !self.has_isolated_retry { self.free.accelerators } else { 0 }
     }
 }
 
@@ -122,7 +122,7 @@
             tasks: server.members.len() + server.orphaned_runs.len(),
             best_effort: 0,
             serving: 0,
-            set_aside: self.timing.tuning.set_aside && server.health.set_aside(now),
+            quarantined: self.timing.tuning.set_aside && server.health.is_quarantined(now),
             has_isolated_retry: isolated_retry.is_some(),
             doubtful: self.timing.tuning.doubt && server.health.doubtful(now) || isolated_retry.is_some(),
             speed: if self.timing.tuning.speed { server.speed.class(&self.fleet_speed) } else { SpeedClass::default() },
