--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -100,8 +100,7 @@
     /// The same, whatever the adviser says.
     pub(crate) fn could_run(&self, room: &Room) -> bool {
         let labelled = self.step.label.as_ref().is_none_or(|label| room.labels.contains(label));
-        let trusted =
-            self.is_stalled || !(room.quarantined || room.has_isolated_retry || self.careful && room.doubtful);
+        let trusted = self.is_stalled || !(room.quarantined || room.has_isolated_retry || self.careful && room.suspect);
         let trusted = trusted && !(room.has_isolated_retry && self.last_attempt);
         *self.service == room.service && trusted && labelled && room.capacity.contains(&self.need)
     }
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -39,14 +39,14 @@
     }
 
     /// Whether a task failed here lately and none has been done since.
-    pub(crate) fn doubtful(&self, now: Moment) -> bool {
+    pub(crate) fn is_suspect(&self, now: Moment) -> bool {
         let lately = self.last_failure.is_some_and(|at| now.since(at) < DOUBT);
         lately && !self.failed.is_empty()
     }
 
     /// Whether time alone can change whether it is trusted.
     pub(crate) fn changes_with_time(&self, now: Moment) -> bool {
-        self.doubtful(now) || self.is_quarantined(now)
+        self.is_suspect(now) || self.is_quarantined(now)
     }
 
     pub(crate) fn is_quarantined(&self, now: Moment) -> bool {
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -61,7 +61,7 @@
             return filling.places;
         }
         let remote_is_worthwhile = self.remote_is_worthwhile(candidate, wanted.step, rooms, now);
-        for (near, doubtful, speed) in tiers(wanted, rooms) {
+        for (near, suspect, speed) in tiers(wanted, rooms) {
             // One task away from its data keeps a job from standing; the others wait for room near it.
             let only_one = !near && !remote_is_worthwhile;
             let nothing_near = wanted.is_stalled && filling.places.is_empty();
@@ -74,7 +74,7 @@
                     return filling.places;
                 }
                 let mut order = fitting_rooms(wanted, rooms, rack, &part);
-                order.retain(|(_, room, _)| room.doubtful == doubtful && speed.is_none_or(|speed| room.speed == speed));
+                order.retain(|(_, room, _)| room.suspect == suspect && speed.is_none_or(|speed| room.speed == speed));
                 order.sort_by(|a, b| fullest_first(&part, a.1, b.1));
                 if only_one {
                     order.truncate(1);
@@ -225,7 +225,7 @@
         for rack in racks {
             let mut order: Vec<(Slot, &Room)> = self.rooms_for_gang(name, wanted, rooms, rack, now).collect();
             order.sort_by(|a, b| {
-                let trusted = (beside(a.1), a.1.doubtful).cmp(&(beside(b.1), b.1.doubtful));
+                let trusted = (beside(a.1), a.1.suspect).cmp(&(beside(b.1), b.1.suspect));
                 trusted.then(fullest_first(&part, a.1, b.1))
             });
             for (slot, room) in order {
@@ -270,8 +270,8 @@
         _ => vec![None],
     };
     let mut tiers = Vec::new();
-    for (near, doubtful) in [(true, false), (true, true), (false, false), (false, true)] {
-        tiers.extend(speeds.iter().map(|&speed| (near, doubtful, speed)));
+    for (near, suspect) in [(true, false), (true, true), (false, false), (false, true)] {
+        tiers.extend(speeds.iter().map(|&speed| (near, suspect, speed)));
     }
     tiers
 }
@@ -310,7 +310,7 @@
     let near_enough = |rack: &Arc<str>| far || is_near(wanted.step, rack);
     let racks = rooms.racks().filter(|(name, rack)| rack.may_hold(&wanted.need) && near_enough(name));
     let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(wanted, rooms, rack, &part)).collect();
-    order.sort_by_key(|(_, room, _)| (!is_near(wanted.step, &room.rack), room.tasks, room.doubtful));
+    order.sort_by_key(|(_, room, _)| (!is_near(wanted.step, &room.rack), room.tasks, room.suspect));
     order
 }
 
@@ -330,7 +330,7 @@
         let free = part(room);
         let near = is_near(wanted.step, &room.rack);
         let disturbance = if best_effort { room.serving + room.best_effort } else { room.best_effort };
-        (!near, room.doubtful, disturbance, &room.rack, free.accelerators, free.cpu_milli)
+        (!near, room.suspect, disturbance, &room.rack, free.accelerators, free.cpu_milli)
     });
     let most = if best_effort { count.div_ceil(order.len().max(1)) as u64 } else { u64::MAX };
     for (_, _, fitting) in &mut order {
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -45,7 +45,7 @@
     /// A suspect is on trial there: it takes work only of jobs that stand, one task or gang of each.
     pub(crate) has_isolated_retry: bool,
     /// A task failed there lately and none has been done since, or something is on trial there.
-    pub(crate) doubtful: bool,
+    pub(crate) suspect: bool,
     /// How fast it works.
     pub(crate) speed: SpeedClass,
 }
@@ -124,7 +124,7 @@
             serving: 0,
             quarantined: self.timing.tuning.set_aside && server.health.is_quarantined(now),
             has_isolated_retry: isolated_retry.is_some(),
-            doubtful: self.timing.tuning.doubt && server.health.doubtful(now) || isolated_retry.is_some(),
+            suspect: self.timing.tuning.doubt && server.health.is_suspect(now) || isolated_retry.is_some(),
             speed: if self.timing.tuning.speed { server.speed.class(&self.fleet_speed) } else { SpeedClass::default() },
         };
         for task in server.members.keys() {
