--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -93,7 +93,7 @@
             let totals = self.totals.entry(room.service.clone()).or_default();
             totals.remove(room);
             room.free.remove(need);
-            room.change_staying(|staying| staying.add(need));
+            room.update_used_after_stops(|used_after_stops| used_after_stops.add(need));
             room.used.add(need);
             room.tasks += 1;
             room.best_effort += u64::from(step.best_effort);
@@ -115,12 +115,12 @@
     }
 
     /// Counts what is being stopped on a backend server as free soon.
-    pub(crate) fn free_soon(&mut self, id: &BackendServerId, need: &Resources) {
+    pub(crate) fn release_after_stops(&mut self, id: &BackendServerId, need: &Resources) {
         let Some(&slot) = self.slots.get(id) else { return };
         let Some(room) = self.rooms[slot.0].as_mut() else { return };
-        room.change_staying(|staying| staying.remove(need));
+        room.update_used_after_stops(|used_after_stops| used_after_stops.remove(need));
         if let Some(rack) = self.racks.get_mut(&room.rack) {
-            rack.bound = rack.bound.max(&room.soon);
+            rack.bound = rack.bound.max(&room.free_after_stops);
         }
         self.claimed.push(slot);
     }
@@ -186,8 +186,10 @@
     fn bound_rack(&mut self, name: &Arc<str>) {
         let rooms = &self.rooms;
         let Some(rack) = self.racks.get_mut(name) else { return };
-        let soon = rack.slots.iter().filter_map(|slot| rooms[slot.0].as_ref()).map(|room| room.soon);
-        rack.bound = soon.fold(Resources::default(), |bound, soon| bound.max(&soon));
+        let free_after_stops =
+            rack.slots.iter().filter_map(|slot| rooms[slot.0].as_ref()).map(|room| room.free_after_stops);
+        rack.bound =
+            free_after_stops.fold(Resources::default(), |bound, free_after_stops| bound.max(&free_after_stops));
     }
 }
 
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -184,14 +184,19 @@
         let could = |room: &Room| wanted.could_run(room) && !self.permits.is_refused(step, &room.id);
         let mut free_in_rack: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
         for (_, room) in rooms.iter().filter(|(_, room)| could(room)) {
-            *free_in_rack.entry(&room.rack).or_default() += wanted.fitting(&room.id, &room.soon);
+            *free_in_rack.entry(&room.rack).or_default() += wanted.fitting(&room.id, &room.free_after_stops);
         }
         let unknown = |room: &&Room| could(room) && !wanted.allows(room);
         let mut order: Vec<&Room> = rooms.iter().map(|(_, room)| room).filter(unknown).collect();
         order.sort_by_key(|room| {
             let in_rack = if wanted.step.same_rack { free_in_rack[&room.rack] } else { 0 };
             let near = wanted.step.data_rack.as_ref().is_none_or(|rack| *rack == room.rack);
-            (!near, std::cmp::Reverse(in_rack), std::cmp::Reverse(wanted.fitting(&room.id, &room.soon)), &room.id)
+            (
+                !near,
+                std::cmp::Reverse(in_rack),
+                std::cmp::Reverse(wanted.fitting(&room.id, &room.free_after_stops)),
+                &room.id,
+            )
         });
         order.into_iter().take(MOST_ASKED).map(|room| room.id.clone()).collect()
     }
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -54,9 +54,9 @@
             return;
         }
         let free = self.place_gang(name, &wanted, rooms, self.free_for(candidate, now), now);
-        let soon = if wanted.urgent && free.is_none() {
+        let free_after_stops = if wanted.urgent && free.is_none() {
             // Room that is being made counts as taken, so that nothing slips in and no more is stopped for it.
-            self.place_gang(name, &wanted, rooms, |room| room.soon, now)
+            self.place_gang(name, &wanted, rooms, |room| room.free_after_stops, now)
         } else {
             None
         };
@@ -67,12 +67,12 @@
                 rooms.close(&places);
             }
             self.place(name, &named(&places, rooms), now);
-        } else if let Some(places) = soon {
+        } else if let Some(places) = free_after_stops {
             rooms.claim(&step, &places);
         } else if urgent {
             self.preempt_for(candidate, &candidate.groups, rooms, guarantees, now);
             let Some(wanted) = self.wanted(candidate, now) else { return };
-            if let Some(places) = self.place_gang(name, &wanted, rooms, |room| room.soon, now) {
+            if let Some(places) = self.place_gang(name, &wanted, rooms, |room| room.free_after_stops, now) {
                 rooms.claim(&step, &places);
             }
         }
@@ -86,7 +86,7 @@
         let mut left = candidate.groups.clone();
         let placed = self.place_tasks(candidate, &wanted, rooms, self.free_for(candidate, now), &mut left, now);
         let waiting = if urgent && !left.is_empty() {
-            self.place_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now)
+            self.place_tasks(candidate, &wanted, rooms, |room| room.free_after_stops, &mut left, now)
         } else {
             Places::new()
         };
@@ -101,7 +101,7 @@
         if urgent && !left.is_empty() {
             self.preempt_for(candidate, &left, rooms, guarantees, now);
             let Some(wanted) = self.wanted(candidate, now) else { return };
-            let coming = self.place_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now);
+            let coming = self.place_tasks(candidate, &wanted, rooms, |room| room.free_after_stops, &mut left, now);
             rooms.claim(&step, &coming);
         }
     }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -114,16 +114,16 @@
         );
         for victim in victims {
             // First, since a run that was not ordered yet is gone once it is stopped, and with it where it was placed.
-            self.free_soon(victim, rooms);
+            self.release_after_stops(victim, rooms);
             self.stop_group(victim, StopReason::Preempted, now);
         }
     }
 
     /// Counts what a victim holds as room that is being made.
-    fn free_soon(&self, victim: GroupId, rooms: &mut Rooms) {
+    fn release_after_stops(&self, victim: GroupId, rooms: &mut Rooms) {
         let need = self.step(victim).counted_resources();
         for member in &self.group(victim).members {
-            rooms.free_soon(&member.server, &need);
+            rooms.release_after_stops(&member.server, &need);
         }
     }
 
@@ -192,19 +192,19 @@
             }
         }
         victims.sort_by(|a, b| a.waste.total_cmp(&b.waste));
-        let mut staying = room.staying;
-        let free_beside = |staying: &Resources| {
+        let mut used_after_stops = room.used_after_stops;
+        let free_beside = |used_after_stops: &Resources| {
             let mut free = room.capacity;
-            free.remove(staying);
+            free.remove(used_after_stops);
             free
         };
-        let mut offer = Offer::of(wanted.fitting(&room.id, &free_beside(&staying)), 0.0, count);
+        let mut offer = Offer::of(wanted.fitting(&room.id, &free_beside(&used_after_stops)), 0.0, count);
         let mut stopped = 0;
         let mut waste = 0.0;
         for (i, victim) in victims.iter().enumerate() {
-            staying.remove(&victim.freed);
+            used_after_stops.remove(&victim.freed);
             waste += victim.waste;
-            let more = Offer::of(wanted.fitting(&room.id, &free_beside(&staying)), waste, count);
+            let more = Offer::of(wanted.fitting(&room.id, &free_beside(&used_after_stops)), waste, count);
             if more.rate < offer.rate {
                 offer = more;
                 stopped = i + 1;
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -25,7 +25,7 @@
     /// Taken by what is placed there.
     pub(crate) used: Resources,
     /// Taken by what stays: nothing of it is being stopped. More than there is where the capacity has shrunk.
-    pub(crate) staying: Resources,
+    pub(crate) used_after_stops: Resources,
     /// Its backend server answers this scheduler.
     pub(crate) reachable: bool,
     /// New work may be placed there.
@@ -33,7 +33,7 @@
     /// Free now.
     pub(crate) free: Resources,
     /// Free once everything that is being stopped has ended.
-    pub(crate) soon: Resources,
+    pub(crate) free_after_stops: Resources,
     /// Tasks there, those among them that nobody wants.
     pub(crate) tasks: usize,
     /// Best-effort tasks there.
@@ -78,10 +78,10 @@
 
 impl Room {
     /// Takes more, or gives back what is being stopped.
-    pub(crate) fn change_staying(&mut self, change: impl FnOnce(&mut Resources)) {
-        change(&mut self.staying);
-        self.soon = self.capacity;
-        self.soon.remove(&self.staying);
+    pub(crate) fn update_used_after_stops(&mut self, change: impl FnOnce(&mut Resources)) {
+        change(&mut self.used_after_stops);
+        self.free_after_stops = self.capacity;
+        self.free_after_stops.remove(&self.used_after_stops);
     }
 
     fn used_accelerators(&self) -> u64 {
@@ -114,11 +114,11 @@
             labels: info.labels.clone(),
             capacity: info.capacity,
             used: server.used,
-            staying: server.used,
+            used_after_stops: server.used,
             reachable: server.is_reachable(),
             accepts_work,
             free,
-            soon: free,
+            free_after_stops: free,
             tasks: server.members.len() + server.orphaned_runs.len(),
             best_effort: 0,
             serving: 0,
@@ -133,10 +133,10 @@
             room.best_effort += u64::from(step.best_effort);
             room.serving += u64::from(step.target.is_some());
             if self.group(name).stopping.is_some() {
-                room.staying.remove(&step.counted_resources());
+                room.used_after_stops.remove(&step.counted_resources());
             }
         }
-        room.change_staying(|_| ());
+        room.update_used_after_stops(|_| ());
         room
     }
 }
