--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -39,7 +39,7 @@
     /// Wall-clock milliseconds by which its job should end.
     deadline_ms: u64,
     /// Wall-clock milliseconds at which half of the time is gone that it can wait without being late.
-    pressed_ms: u64,
+    half_slack_ms: u64,
 }
 
 impl Candidate {
@@ -60,7 +60,7 @@
             is_stalled: false,
             hopeless: false,
             deadline_ms: u64::MAX,
-            pressed_ms: u64::MAX,
+            half_slack_ms: u64::MAX,
         }
     }
 
@@ -77,7 +77,7 @@
     /// It may take the place of others.
     pub(crate) urgent: bool,
     /// It has waited for half of the time that it can without being late.
-    pub(crate) pressed: bool,
+    pub(crate) slack_half_used: bool,
     /// Nothing of its occurrence has run for long: it goes wherever it can.
     pub(crate) is_stalled: bool,
     /// It has failed before: one more failure costs much.
@@ -156,7 +156,7 @@
             guaranteed: false,
             long_running: entry.job.steps[step].long_running,
             hopeless: wall_ms > from + objective.scaled(HOPELESSLY_LATE).millis(),
-            pressed_ms: from + spare / 2,
+            half_slack_ms: from + spare / 2,
             deadline_ms: if self.timing.tuning.deadline_order { from + objective.millis() } else { from },
         };
         let mut candidates = Vec::new();
@@ -197,14 +197,14 @@
         let need = step.counted_resources();
         let urgent = queue.priority == 0 || step.long_running;
         let allowed = queue.permits.map(|_| self.permits.allowed(candidate.step_id(), now));
-        let pressed = self.wall_ms(now) >= candidate.pressed_ms;
+        let slack_half_used = self.wall_ms(now) >= candidate.half_slack_ms;
         let is_stalled = candidate.is_stalled;
         Some(Wanted {
             step,
             need,
             service: &queue.service,
             urgent,
-            pressed,
+            slack_half_used,
             is_stalled,
             careful,
             last_attempt,
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -58,8 +58,8 @@
 impl Scheduler {
     /// Share of a service's accelerators that is to stay free when work that can wait starts; `pressed` tells that it
     /// has waited for half of the time that it can.
-    fn headroom(&self, pressed: bool) -> f64 {
-        let most = if pressed { AT_MOST_IF_PRESSED } else { AT_MOST };
+    fn headroom(&self, slack_half_used: bool) -> f64 {
+        let most = if slack_half_used { AT_MOST_IF_PRESSED } else { AT_MOST };
         let learned = AT_LEAST + PER_SECOND * self.stop_durations.mean_s;
         self.timing.tuning.headroom.unwrap_or(learned.min(most))
     }
@@ -93,6 +93,6 @@
 
     /// Accelerators of a service that are to stay free.
     fn kept_free(&self, wanted: &Wanted<'_>, rooms: &Rooms) -> f64 {
-        rooms.totals(wanted.service).all as f64 * self.headroom(wanted.pressed)
+        rooms.totals(wanted.service).all as f64 * self.headroom(wanted.slack_half_used)
     }
 }
