--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -35,7 +35,7 @@
     /// Nothing of its occurrence has run for long, though it could.
     pub(crate) is_stalled: bool,
     /// So late that it no longer counts: it goes behind the others of its priority.
-    hopeless: bool,
+    too_late: bool,
     /// Wall-clock milliseconds by which its job should end.
     deadline_ms: u64,
     /// Wall-clock milliseconds at which half of the time is gone that it can wait without being late.
@@ -58,7 +58,7 @@
             long_running: false,
             suspect: false,
             is_stalled: false,
-            hopeless: false,
+            too_late: false,
             deadline_ms: u64::MAX,
             half_slack_ms: u64::MAX,
         }
@@ -122,7 +122,7 @@
     pub(crate) fn candidates(&self, wall_ms: u64, guarantees: &mut Guarantees) -> Vec<Candidate> {
         let mut found: Vec<Candidate> =
             self.ready.iter().flat_map(|(&id, steps)| self.candidates_of(id, steps, wall_ms)).collect();
-        found.sort_by_key(|c| (c.priority, c.hopeless, c.deadline_ms, c.occurrence, c.step));
+        found.sort_by_key(|c| (c.priority, c.too_late, c.deadline_ms, c.occurrence, c.step));
         // Guarantees are given out in this order, and what they cover then goes before the rest of its priority.
         for candidate in found.iter_mut().filter(|candidate| candidate.priority == 0) {
             candidate.guaranteed = self.take_guarantee(candidate, guarantees);
@@ -155,7 +155,7 @@
             priority: queue.priority,
             guaranteed: false,
             long_running: entry.job.steps[step].long_running,
-            hopeless: wall_ms > from + objective.scaled(HOPELESSLY_LATE).millis(),
+            too_late: wall_ms > from + objective.scaled(HOPELESSLY_LATE).millis(),
             half_slack_ms: from + spare / 2,
             deadline_ms: if self.timing.tuning.deadline_order { from + objective.millis() } else { from },
         };
