--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -70,7 +70,7 @@
 }
 
 /// What a step's tasks ask of the place that they run at.
-pub(crate) struct Wanted<'a> {
+pub(crate) struct Requirements<'a> {
     pub(crate) step: &'a Step,
     pub(crate) need: Resources,
     pub(crate) service: &'a ServiceId,
@@ -90,7 +90,7 @@
     allowed: Option<BTreeSet<&'a BackendServerId>>,
 }
 
-impl Wanted<'_> {
+impl Requirements<'_> {
     /// Whether a task of the step may run there at all.
     pub(crate) fn allows(&self, room: &Room) -> bool {
         let advised = self.allowed.as_ref().is_none_or(|allowed| allowed.contains(&room.id));
@@ -179,7 +179,7 @@
     }
 
     /// What a candidate asks of a place; `None` if no configuration has named the job's queue.
-    pub(crate) fn wanted(&self, candidate: &Candidate, now: Moment) -> Option<Wanted<'_>> {
+    pub(crate) fn requirements(&self, candidate: &Candidate, now: Moment) -> Option<Requirements<'_>> {
         let entry = &self.jobs[&candidate.occurrence.job];
         let queue = self.policy.queues.get(&entry.job.queue)?;
         let step = &entry.job.steps[candidate.step];
@@ -199,7 +199,7 @@
         let allowed = queue.permits.map(|_| self.permits.allowed(candidate.step_id(), now));
         let slack_half_used = self.wall_ms(now) >= candidate.half_slack_ms;
         let is_stalled = candidate.is_stalled;
-        Some(Wanted {
+        Some(Requirements {
             step,
             need,
             service: &queue.service,
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Scheduler,
-    candidate::{Candidate, Wanted},
+    candidate::{Candidate, Requirements},
     fleet_capacity::Rooms,
 };
 
@@ -69,30 +69,36 @@
     pub(crate) fn headroom_allows(
         &self,
         candidate: &Candidate,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         taken: u64,
         count: u64,
         rooms: &Rooms,
     ) -> bool {
         let is_stalled = || {
-            let free = rooms.totals(wanted.service).free;
-            candidate.is_stalled && taken == 0 && free >= ROOM_BESIDE * count * wanted.need.accelerators
+            let free = rooms.totals(requirements.service).free;
+            candidate.is_stalled && taken == 0 && free >= ROOM_BESIDE * count * requirements.need.accelerators
         };
-        wanted.urgent || self.leaves_headroom(wanted, taken, count, rooms) || is_stalled()
+        requirements.urgent || self.leaves_headroom(requirements, taken, count, rooms) || is_stalled()
     }
 
     /// Whether enough accelerators stay free for urgent jobs if `count` tasks start beside `taken` that are
     /// about to. While the service is used little, work is never held back for that.
-    pub(crate) fn leaves_headroom(&self, wanted: &Wanted<'_>, taken: u64, count: u64, rooms: &Rooms) -> bool {
-        let totals = rooms.totals(wanted.service);
-        let each = wanted.need.accelerators;
-        let asked = (each * (taken + count)) as f64 + self.kept_free(wanted, rooms);
+    pub(crate) fn leaves_headroom(
+        &self,
+        requirements: &Requirements<'_>,
+        taken: u64,
+        count: u64,
+        rooms: &Rooms,
+    ) -> bool {
+        let totals = rooms.totals(requirements.service);
+        let each = requirements.need.accelerators;
+        let asked = (each * (taken + count)) as f64 + self.kept_free(requirements, rooms);
         let used = totals.used + each * taken;
         totals.free as f64 >= asked || (used as f64) < totals.all as f64 * LITTLE_USED
     }
 
     /// Accelerators of a service that are to stay free.
-    fn kept_free(&self, wanted: &Wanted<'_>, rooms: &Rooms) -> f64 {
-        rooms.totals(wanted.service).all as f64 * self.headroom(wanted.slack_half_used)
+    fn kept_free(&self, requirements: &Requirements<'_>, rooms: &Rooms) -> f64 {
+        rooms.totals(requirements.service).all as f64 * self.headroom(requirements.slack_half_used)
     }
 }
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     Scheduler,
-    candidate::{Candidate, Wanted},
+    candidate::{Candidate, Requirements},
     fleet_capacity::Rooms,
     server_capacity::Room,
 };
@@ -171,30 +171,35 @@
         }
         let queue = &self.jobs[&candidate.occurrence.job].job.queue;
         let permits = self.policy.queues.get(queue)?.permits?;
-        let wanted = self.wanted(candidate, now)?;
-        let servers = self.to_be_asked(candidate, &wanted, rooms);
+        let requirements = self.requirements(candidate, now)?;
+        let servers = self.to_be_asked(candidate, &requirements, rooms);
         let takes = permits.base + permits.each.scaled(servers.len() as f64);
         Some(PermitRequest { step: candidate.step_id(), servers, takes, valid: permits.valid })
     }
 
     /// Backend servers without a ticket that holds, the most promising first: those of racks with most room, if the
     /// step has to stay in one, then those with most room themselves.
-    fn to_be_asked(&self, candidate: &Candidate, wanted: &Wanted<'_>, rooms: &Rooms) -> Vec<BackendServerId> {
+    fn to_be_asked(
+        &self,
+        candidate: &Candidate,
+        requirements: &Requirements<'_>,
+        rooms: &Rooms,
+    ) -> Vec<BackendServerId> {
         let step = candidate.step_id();
-        let could = |room: &Room| wanted.could_run(room) && !self.permits.is_refused(step, &room.id);
+        let could = |room: &Room| requirements.could_run(room) && !self.permits.is_refused(step, &room.id);
         let mut free_in_rack: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
         for (_, room) in rooms.iter().filter(|(_, room)| could(room)) {
-            *free_in_rack.entry(&room.rack).or_default() += wanted.fitting(&room.id, &room.free_after_stops);
+            *free_in_rack.entry(&room.rack).or_default() += requirements.fitting(&room.id, &room.free_after_stops);
         }
-        let unknown = |room: &&Room| could(room) && !wanted.allows(room);
+        let unknown = |room: &&Room| could(room) && !requirements.allows(room);
         let mut order: Vec<&Room> = rooms.iter().map(|(_, room)| room).filter(unknown).collect();
         order.sort_by_key(|room| {
-            let in_rack = if wanted.step.same_rack { free_in_rack[&room.rack] } else { 0 };
-            let near = wanted.step.data_rack.as_ref().is_none_or(|rack| *rack == room.rack);
+            let in_rack = if requirements.step.same_rack { free_in_rack[&room.rack] } else { 0 };
+            let near = requirements.step.data_rack.as_ref().is_none_or(|rack| *rack == room.rack);
             (
                 !near,
                 std::cmp::Reverse(in_rack),
-                std::cmp::Reverse(wanted.fitting(&room.id, &room.free_after_stops)),
+                std::cmp::Reverse(requirements.fitting(&room.id, &room.free_after_stops)),
                 &room.id,
             )
         });
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     Scheduler,
-    candidate::{Candidate, Wanted},
+    candidate::{Candidate, Requirements},
     crashes::{has_crashed_at, is_suspect},
     fleet_capacity::{Rack, Rooms, Slot},
     run_state::GroupId,
@@ -39,48 +39,48 @@
     pub(crate) fn place_tasks(
         &self,
         candidate: &Candidate,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         rooms: &Rooms,
         part: impl Fn(&Room) -> Resources,
         left: &mut Vec<usize>,
         now: Moment,
     ) -> Places {
         let mut filling = Filling { left, places: Places::new() };
-        if !self.headroom_allows(candidate, wanted, 0, 1, rooms) {
+        if !self.headroom_allows(candidate, requirements, 0, 1, rooms) {
             return filling.places;
         }
         if candidate.suspect {
-            let far = self.remote_is_worthwhile(candidate, wanted.step, rooms, now);
-            let order = fewest_tasks_first(wanted, rooms, &part, far);
-            self.fill_with_tasks(candidate, wanted, rooms, order, &mut filling, now);
+            let far = self.remote_is_worthwhile(candidate, requirements.step, rooms, now);
+            let order = fewest_tasks_first(requirements, rooms, &part, far);
+            self.fill_with_tasks(candidate, requirements, rooms, order, &mut filling, now);
             return filling.places;
         }
-        if wanted.step.best_effort || wanted.step.target.is_some() {
-            let order = least_disturbed_first(wanted, rooms, &part, filling.left.len());
-            self.fill_with_tasks(candidate, wanted, rooms, order, &mut filling, now);
+        if requirements.step.best_effort || requirements.step.target.is_some() {
+            let order = least_disturbed_first(requirements, rooms, &part, filling.left.len());
+            self.fill_with_tasks(candidate, requirements, rooms, order, &mut filling, now);
             return filling.places;
         }
-        let remote_is_worthwhile = self.remote_is_worthwhile(candidate, wanted.step, rooms, now);
-        for (near, suspect, speed) in tiers(wanted, rooms) {
+        let remote_is_worthwhile = self.remote_is_worthwhile(candidate, requirements.step, rooms, now);
+        for (near, suspect, speed) in tiers(requirements, rooms) {
             // One task away from its data keeps a job from standing; the others wait for room near it.
             let only_one = !near && !remote_is_worthwhile;
-            let nothing_near = wanted.is_stalled && filling.places.is_empty();
-            if !near && wanted.step.data_rack.is_none() || only_one && !nothing_near {
+            let nothing_near = requirements.is_stalled && filling.places.is_empty();
+            if !near && requirements.step.data_rack.is_none() || only_one && !nothing_near {
                 continue;
             }
-            let racks = rooms.racks().filter(|(name, _)| is_near(wanted.step, name) == near);
-            for (_, rack) in racks.filter(|(_, rack)| rack.may_hold(&wanted.need)) {
+            let racks = rooms.racks().filter(|(name, _)| is_near(requirements.step, name) == near);
+            for (_, rack) in racks.filter(|(_, rack)| rack.may_hold(&requirements.need)) {
                 if filling.left.is_empty() {
                     return filling.places;
                 }
-                let mut order = fitting_rooms(wanted, rooms, rack, &part);
+                let mut order = fitting_rooms(requirements, rooms, rack, &part);
                 order.retain(|(_, room, _)| room.suspect == suspect && speed.is_none_or(|speed| room.speed == speed));
                 order.sort_by(|a, b| fullest_first(&part, a.1, b.1));
                 if only_one {
                     order.truncate(1);
                     order.iter_mut().for_each(|(_, _, fitting)| *fitting = 1);
                 }
-                self.fill_with_tasks(candidate, wanted, rooms, order, &mut filling, now);
+                self.fill_with_tasks(candidate, requirements, rooms, order, &mut filling, now);
                 if only_one && !filling.places.is_empty() {
                     return filling.places;
                 }
@@ -93,7 +93,7 @@
     fn fill_with_tasks(
         &self,
         candidate: &Candidate,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         rooms: &Rooms,
         order: Order<'_>,
         filling: &mut Filling<'_>,
@@ -104,14 +104,14 @@
             let mut looked_at = 0;
             for &group in filling.left.iter() {
                 let placed = filling.places.len() as u64;
-                let enough = self.headroom_allows(candidate, wanted, placed, 1, rooms);
+                let enough = self.headroom_allows(candidate, requirements, placed, 1, rooms);
                 // One task keeps a job from standing; the others wait until nothing is on trial there.
                 let enough = enough && !(room.has_isolated_retry && placed > 0);
                 if fitting == 0 || !enough {
                     break;
                 }
                 looked_at += 1;
-                if !wanted.is_stalled && self.avoids(candidate.group(group), room, now) {
+                if !requirements.is_stalled && self.avoids(candidate.group(group), room, now) {
                     kept.push(group);
                     continue;
                 }
@@ -130,44 +130,44 @@
     pub(crate) fn place_gang(
         &self,
         name: GroupId,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         rooms: &Rooms,
         part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Option<Places> {
         let slowest = rooms.slowest();
-        let classes = SpeedClass::ALL.iter().filter(|class| wanted.urgent && **class < slowest);
+        let classes = SpeedClass::ALL.iter().filter(|class| requirements.urgent && **class < slowest);
         let mut faster = classes.filter_map(|class| {
             let part = |room: &Room| if room.speed <= *class { part(room) } else { Resources::default() };
-            self.place_gang_among(name, wanted, rooms, part, now)
+            self.place_gang_among(name, requirements, rooms, part, now)
         });
-        faster.next().or_else(|| self.place_gang_among(name, wanted, rooms, &part, now))
+        faster.next().or_else(|| self.place_gang_among(name, requirements, rooms, &part, now))
     }
 
     /// Places a gang: in one rack if it fits there; else over several, if it may be. `None` if it must wait.
     fn place_gang_among(
         &self,
         name: GroupId,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         rooms: &Rooms,
         part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Option<Places> {
-        let count = u64::from(wanted.step.count);
-        let slots = self.slots_by_rack(name, wanted, rooms, &part, now);
+        let count = u64::from(requirements.step.count);
+        let slots = self.slots_by_rack(name, requirements, rooms, &part, now);
         // Work that can wait fills the racks from the first, so that whole racks stay free for what cannot.
         let filling = self.timing.tuning.rack_filling;
-        let first = wanted.urgent || !filling;
+        let first = requirements.urgent || !filling;
         let fits = slots.iter().filter(|(_, n)| *n >= count).min_by_key(|(_, n)| if first { *n } else { 0 });
         if let Some((rack, _)) = fits {
-            return self.fill_with_gang(name, wanted, rooms, &[*rack], part, now);
+            return self.fill_with_gang(name, requirements, rooms, &[*rack], part, now);
         }
         let one_rack_could = || {
-            let whole = self.slots_by_rack(name, wanted, rooms, |room| room.capacity, now);
+            let whole = self.slots_by_rack(name, requirements, rooms, |room| room.capacity, now);
             whole.iter().any(|(_, n)| *n >= count)
         };
         if slots.iter().map(|(_, n)| n).sum::<u64>() < count
-            || wanted.step.same_rack && !wanted.is_stalled && one_rack_could()
+            || requirements.step.same_rack && !requirements.is_stalled && one_rack_could()
         {
             return None;
         }
@@ -175,21 +175,21 @@
         let mut by_room = slots;
         by_room.sort_by_key(|(_, n)| *n);
         let racks: Vec<&Rack> = by_room.into_iter().map(|(rack, _)| rack).collect();
-        self.fill_with_gang(name, wanted, rooms, &racks, part, now)
+        self.fill_with_gang(name, requirements, rooms, &racks, part, now)
     }
 
     /// How many tasks of the step fit into each rack, by the racks' names.
     fn slots_by_rack<'r>(
         &self,
         name: GroupId,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         rooms: &'r Rooms,
         part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Vec<(&'r Rack, u64)> {
         let count = |rack| {
-            let rooms = self.rooms_for_gang(name, wanted, rooms, rack, now);
-            rooms.map(|(_, room)| wanted.fitting(&room.id, &part(room))).sum::<u64>()
+            let rooms = self.rooms_for_gang(name, requirements, rooms, rack, now);
+            rooms.map(|(_, room)| requirements.fitting(&room.id, &part(room))).sum::<u64>()
         };
         rooms.racks().map(|(_, rack)| (rack, count(rack))).collect()
     }
@@ -197,14 +197,14 @@
     fn rooms_for_gang<'r>(
         &self,
         name: GroupId,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         rooms: &'r Rooms,
         rack: &'r Rack,
         now: Moment,
     ) -> impl Iterator<Item = (Slot, &'r Room)> {
-        rooms
-            .in_rack(rack)
-            .filter(move |(_, room)| wanted.allows(room) && (wanted.is_stalled || !self.avoids(name, room, now)))
+        rooms.in_rack(rack).filter(move |(_, room)| {
+            requirements.allows(room) && (requirements.is_stalled || !self.avoids(name, room, now))
+        })
     }
 
     /// Fills racks in their order, in each trusted backend servers first, then the fullest; a suspect takes those with the
@@ -212,28 +212,28 @@
     fn fill_with_gang(
         &self,
         name: GroupId,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         rooms: &Rooms,
         racks: &[&Rack],
         part: impl Fn(&Room) -> Resources,
         now: Moment,
     ) -> Option<Places> {
         let mut places = Places::new();
-        let mut indices = 0..wanted.step.count;
+        let mut indices = 0..requirements.step.count;
         let suspect = is_suspect(self.progress_of(name));
         let beside = |room: &Room| if suspect { room.tasks } else { 0 };
         for rack in racks {
-            let mut order: Vec<(Slot, &Room)> = self.rooms_for_gang(name, wanted, rooms, rack, now).collect();
+            let mut order: Vec<(Slot, &Room)> = self.rooms_for_gang(name, requirements, rooms, rack, now).collect();
             order.sort_by(|a, b| {
                 let trusted = (beside(a.1), a.1.suspect).cmp(&(beside(b.1), b.1.suspect));
                 trusted.then(fullest_first(&part, a.1, b.1))
             });
             for (slot, room) in order {
-                let n = wanted.fitting(&room.id, &part(room));
+                let n = requirements.fitting(&room.id, &part(room));
                 places.extend(indices.by_ref().take(n as usize).map(|index| (index, slot)));
             }
         }
-        (places.len() == wanted.step.count as usize).then_some(places)
+        (places.len() == requirements.step.count as usize).then_some(places)
     }
 
     /// A task runs longer away from its data: it waits as long as that would cost before it goes there.
@@ -264,9 +264,9 @@
 }
 
 /// In which order rooms are taken: near, trusted and, by urgent tasks, fast ones first.
-fn tiers(wanted: &Wanted<'_>, rooms: &Rooms) -> Vec<(bool, bool, Option<SpeedClass>)> {
+fn tiers(requirements: &Requirements<'_>, rooms: &Rooms) -> Vec<(bool, bool, Option<SpeedClass>)> {
     let speeds = match rooms.slowest() {
-        slowest if wanted.urgent && slowest > SpeedClass::Usual => SpeedClass::ALL.map(Some).to_vec(),
+        slowest if requirements.urgent && slowest > SpeedClass::Usual => SpeedClass::ALL.map(Some).to_vec(),
         _ => vec![None],
     };
     let mut tiers = Vec::new();
@@ -282,14 +282,14 @@
 
 /// Rooms of a rack that one more task of the step fits into.
 fn fitting_rooms<'r>(
-    wanted: &Wanted<'_>,
+    requirements: &Requirements<'_>,
     rooms: &'r Rooms,
     rack: &'r Rack,
     part: impl Fn(&Room) -> Resources,
 ) -> Order<'r> {
-    let fits = |room: &Room| part(room).contains(&wanted.need) && wanted.allows(room);
+    let fits = |room: &Room| part(room).contains(&requirements.need) && requirements.allows(room);
     let fitting = rooms.in_rack(rack).filter(|(_, room)| fits(room));
-    fitting.map(|(slot, room)| (slot, room, wanted.fitting(&room.id, &part(room)))).collect()
+    fitting.map(|(slot, room)| (slot, room, requirements.fitting(&room.id, &part(room)))).collect()
 }
 
 fn fullest_first(part: impl Fn(&Room) -> Resources, a: &Room, b: &Room) -> Ordering {
@@ -302,15 +302,15 @@
 
 /// For a task that may crash its backend server: the fewer tasks run there the better, and best on one that is empty.
 fn fewest_tasks_first<'r>(
-    wanted: &Wanted<'_>,
+    requirements: &Requirements<'_>,
     rooms: &'r Rooms,
     part: impl Fn(&Room) -> Resources,
     far: bool,
 ) -> Order<'r> {
-    let near_enough = |rack: &Arc<str>| far || is_near(wanted.step, rack);
-    let racks = rooms.racks().filter(|(name, rack)| rack.may_hold(&wanted.need) && near_enough(name));
-    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(wanted, rooms, rack, &part)).collect();
-    order.sort_by_key(|(_, room, _)| (!is_near(wanted.step, &room.rack), room.tasks, room.suspect));
+    let near_enough = |rack: &Arc<str>| far || is_near(requirements.step, rack);
+    let racks = rooms.racks().filter(|(name, rack)| rack.may_hold(&requirements.need) && near_enough(name));
+    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(requirements, rooms, rack, &part)).collect();
+    order.sort_by_key(|(_, room, _)| (!is_near(requirements.step, &room.rack), room.tasks, room.suspect));
     order
 }
 
@@ -318,17 +318,17 @@
 /// others leave; beyond that as any other task. Best-effort tasks take no processors by their count, so room alone would heap
 /// `count` of them on one backend server.
 fn least_disturbed_first<'r>(
-    wanted: &Wanted<'_>,
+    requirements: &Requirements<'_>,
     rooms: &'r Rooms,
     part: impl Fn(&Room) -> Resources,
     count: usize,
 ) -> Order<'r> {
-    let best_effort = wanted.step.best_effort;
-    let racks = rooms.racks().filter(|(_, rack)| rack.may_hold(&wanted.need));
-    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(wanted, rooms, rack, &part)).collect();
+    let best_effort = requirements.step.best_effort;
+    let racks = rooms.racks().filter(|(_, rack)| rack.may_hold(&requirements.need));
+    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(requirements, rooms, rack, &part)).collect();
     order.sort_by_key(|(_, room, _)| {
         let free = part(room);
-        let near = is_near(wanted.step, &room.rack);
+        let near = is_near(requirements.step, &room.rack);
         let disturbance = if best_effort { room.serving + room.best_effort } else { room.best_effort };
         (!near, room.suspect, disturbance, &room.rack, free.accelerators, free.cpu_milli)
     });
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -48,19 +48,19 @@
     /// Starts a gang where it fits. If it is urgent, room is made or kept for it meanwhile.
     fn plan_gang(&mut self, candidate: &Candidate, rooms: &mut Rooms, guarantees: &Guarantees, now: Moment) {
         let name = candidate.group(0);
-        let Some(wanted) = self.wanted(candidate, now) else { return };
-        let count = u64::from(wanted.step.count);
-        if !self.headroom_allows(candidate, &wanted, 0, count, rooms) {
+        let Some(requirements) = self.requirements(candidate, now) else { return };
+        let count = u64::from(requirements.step.count);
+        if !self.headroom_allows(candidate, &requirements, 0, count, rooms) {
             return;
         }
-        let free = self.place_gang(name, &wanted, rooms, self.free_for(candidate, now), now);
-        let free_after_stops = if wanted.urgent && free.is_none() {
+        let free = self.place_gang(name, &requirements, rooms, self.free_for(candidate, now), now);
+        let free_after_stops = if requirements.urgent && free.is_none() {
             // Room that is being made counts as taken, so that nothing slips in and no more is stopped for it.
-            self.place_gang(name, &wanted, rooms, |room| room.free_after_stops, now)
+            self.place_gang(name, &requirements, rooms, |room| room.free_after_stops, now)
         } else {
             None
         };
-        let (step, urgent) = (wanted.step.clone(), wanted.urgent);
+        let (step, urgent) = (requirements.step.clone(), requirements.urgent);
         if let Some(places) = free {
             rooms.claim(&step, &places);
             if candidate.suspect {
@@ -71,8 +71,8 @@
             rooms.claim(&step, &places);
         } else if urgent {
             self.preempt_for(candidate, &candidate.groups, rooms, guarantees, now);
-            let Some(wanted) = self.wanted(candidate, now) else { return };
-            if let Some(places) = self.place_gang(name, &wanted, rooms, |room| room.free_after_stops, now) {
+            let Some(requirements) = self.requirements(candidate, now) else { return };
+            if let Some(places) = self.place_gang(name, &requirements, rooms, |room| room.free_after_stops, now) {
                 rooms.claim(&step, &places);
             }
         }
@@ -81,12 +81,12 @@
     /// Starts tasks that each run by themselves where they fit. If they are urgent, room is made or kept for the
     /// rest.
     fn plan_tasks(&mut self, candidate: &Candidate, rooms: &mut Rooms, guarantees: &Guarantees, now: Moment) {
-        let Some(wanted) = self.wanted(candidate, now) else { return };
-        let (step, urgent) = (wanted.step.clone(), wanted.urgent);
+        let Some(requirements) = self.requirements(candidate, now) else { return };
+        let (step, urgent) = (requirements.step.clone(), requirements.urgent);
         let mut left = candidate.groups.clone();
-        let placed = self.place_tasks(candidate, &wanted, rooms, self.free_for(candidate, now), &mut left, now);
+        let placed = self.place_tasks(candidate, &requirements, rooms, self.free_for(candidate, now), &mut left, now);
         let waiting = if urgent && !left.is_empty() {
-            self.place_tasks(candidate, &wanted, rooms, |room| room.free_after_stops, &mut left, now)
+            self.place_tasks(candidate, &requirements, rooms, |room| room.free_after_stops, &mut left, now)
         } else {
             Places::new()
         };
@@ -100,8 +100,9 @@
         }
         if urgent && !left.is_empty() {
             self.preempt_for(candidate, &left, rooms, guarantees, now);
-            let Some(wanted) = self.wanted(candidate, now) else { return };
-            let coming = self.place_tasks(candidate, &wanted, rooms, |room| room.free_after_stops, &mut left, now);
+            let Some(requirements) = self.requirements(candidate, now) else { return };
+            let coming =
+                self.place_tasks(candidate, &requirements, rooms, |room| room.free_after_stops, &mut left, now);
             rooms.claim(&step, &coming);
         }
     }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Scheduler,
-    candidate::{Candidate, Wanted},
+    candidate::{Candidate, Requirements},
     fleet_capacity::Rooms,
     guarantee::Guarantees,
     placement::is_near,
@@ -46,8 +46,8 @@
 }
 
 impl Offer {
-    fn of(tasks: u64, waste: f64, wanted: u64) -> Offer {
-        let rate = if tasks == 0 { f64::INFINITY } else { waste / tasks.min(wanted) as f64 };
+    fn of(tasks: u64, waste: f64, requested: u64) -> Offer {
+        let rate = if tasks == 0 { f64::INFINITY } else { waste / tasks.min(requested) as f64 };
         Offer { tasks, waste, rate, victims: Vec::new() }
     }
 
@@ -136,23 +136,23 @@
         guarantees: &Guarantees,
         now: Moment,
     ) -> (f64, Vec<GroupId>) {
-        let Some(wanted) = self.wanted(candidate, now) else { return (0.0, Vec::new()) };
+        let Some(requirements) = self.requirements(candidate, now) else { return (0.0, Vec::new()) };
         // Nothing is stopped where no task of the step goes.
-        let far = wanted.step.gang || self.remote_is_worthwhile(candidate, wanted.step, rooms, now);
-        let goes_there = |room: &Room| far || is_near(wanted.step, &room.rack);
-        let takers = self.takers(candidate, &wanted, groups, now);
+        let far = requirements.step.gang || self.remote_is_worthwhile(candidate, requirements.step, rooms, now);
+        let goes_there = |room: &Room| far || is_near(requirements.step, &room.rack);
+        let takers = self.takers(candidate, &requirements, groups, now);
         let mut by_rack: BTreeMap<Option<&Arc<str>>, Vec<Offer>> = BTreeMap::new();
         // A run on trial is not stopped: its trial would begin anew.
-        let may_give = |room: &&Room| !room.has_isolated_retry && wanted.allows(room) && goes_there(room);
+        let may_give = |room: &&Room| !room.has_isolated_retry && requirements.allows(room) && goes_there(room);
         let giving: Vec<&Room> = rooms.iter().map(|(_, room)| room).filter(may_give).collect();
         let count = takers.of_any(&giving);
         for room in giving {
-            let rack = wanted.step.same_rack.then_some(&room.rack);
+            let rack = requirements.step.same_rack.then_some(&room.rack);
             let takers = takers.of(room).min(count);
             if takers == 0 {
                 continue;
             }
-            let offer = self.best_offer(candidate, takers, &wanted, room, guarantees, now);
+            let offer = self.best_offer(candidate, takers, &requirements, room, guarantees, now);
             by_rack.entry(rack).or_default().extend(offer.map(|offer| offer.for_at_most(takers)));
         }
         let cheapest = by_rack.into_values().filter_map(|offers| cheapest(offers, count));
@@ -163,12 +163,12 @@
     fn takers<'a>(
         &'a self,
         candidate: &'a Candidate,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         groups: &'a [usize],
         now: Moment,
     ) -> Takers<'a> {
-        let each = if wanted.step.gang { u64::from(wanted.step.count) } else { 1 };
-        let picks = |group: &&usize| !wanted.is_stalled && self.may_avoid(candidate.group(**group), now);
+        let each = if requirements.step.gang { u64::from(requirements.step.count) } else { 1 };
+        let picks = |group: &&usize| !requirements.is_stalled && self.may_avoid(candidate.group(**group), now);
         let choosy: Vec<GroupId> = groups.iter().filter(picks).map(|&group| candidate.group(group)).collect();
         Takers { scheduler: self, each, easy: (groups.len() - choosy.len()) as u64, choosy, now }
     }
@@ -178,7 +178,7 @@
         &self,
         candidate: &Candidate,
         count: u64,
-        wanted: &Wanted<'_>,
+        requirements: &Requirements<'_>,
         room: &Room,
         guarantees: &Guarantees,
         now: Moment,
@@ -198,13 +198,13 @@
             free.remove(used_after_stops);
             free
         };
-        let mut offer = Offer::of(wanted.fitting(&room.id, &free_beside(&used_after_stops)), 0.0, count);
+        let mut offer = Offer::of(requirements.fitting(&room.id, &free_beside(&used_after_stops)), 0.0, count);
         let mut stopped = 0;
         let mut waste = 0.0;
         for (i, victim) in victims.iter().enumerate() {
             used_after_stops.remove(&victim.freed);
             waste += victim.waste;
-            let more = Offer::of(wanted.fitting(&room.id, &free_beside(&used_after_stops)), waste, count);
+            let more = Offer::of(requirements.fitting(&room.id, &free_beside(&used_after_stops)), waste, count);
             if more.rate < offer.rate {
                 offer = more;
                 stopped = i + 1;
