--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -21,7 +21,7 @@
 impl Scheduler {
     /// The platform lists a backend server, or its account of itself has changed.
     pub fn server_listed(&mut self, id: BackendServerId, info: ServerInfo, now: Moment) {
-        let earlier = self.earlier_leases_over(&id);
+        let earlier = self.earlier_lease_expiry(&id);
         let draining = info.draining;
         self.evacuations.record_zone(&info.availability_zone);
         let evacuated = self.evacuations.is_evacuated(&info.availability_zone);
@@ -95,9 +95,9 @@
 
     /// A renewal is about to be sent; from here on its lease counts, whatever comes of the call.
     pub fn lease_sent(&mut self, id: &BackendServerId, lease: Duration, now: Moment) {
-        let over = self.timing.lease_over(now);
+        let over = self.timing.lease_expiry(now);
         if let Some(server) = self.servers.get_mut(id) {
-            server.lease_over = server.lease_over.max(over);
+            server.lease_expiry = server.lease_expiry.max(over);
             server.renewed_to = server.renewed_to.max(Some(now + lease));
         }
     }
@@ -123,7 +123,7 @@
         let busy = !server.members.is_empty();
         if server.failed_calls == 1 {
             server.contact.failing_since = Some(now);
-            log::warn!("server={id} event=unreachable lease_over_at={}", server.lease_over.millis());
+            log::warn!("server={id} event=unreachable lease_over_at={}", server.lease_expiry.millis());
             self.mark_changed_on(id);
         }
         if busy {
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -40,7 +40,7 @@
             self.plan_requested = true;
             // From here on it obeys no earlier scheduler, which can have renewed its lease up to now.
             server.has_reported = true;
-            server.lease_over = self.timing.lease_over(now);
+            server.lease_expiry = self.timing.lease_expiry(now);
         }
         self.unreachable.remove_pending(id);
         server.failed_calls = 0;
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -49,7 +49,7 @@
     /// What was placed may run on, for as long as an earlier scheduler's leases keep it. Returns the groups that may run.
     fn restore_members(&mut self, id: OccurrenceId, job: &Job) -> Vec<GroupId> {
         let mut placed_groups = Vec::new();
-        let by_election = self.earlier_leases;
+        let by_election = self.earlier_lease_expiry;
         let occurrence = &mut self.jobs.get_mut(&id.job).expect("it was just restored").occurrences[id.number as usize];
         for (s, step) in occurrence.progress.groups.iter().enumerate() {
             for (g, group) in step.iter().enumerate() {
@@ -60,7 +60,7 @@
                     placed_groups.push(name);
                 }
                 for placed in &group.placed {
-                    let earlier = self.unreachable.leases_over(&placed.server, by_election);
+                    let earlier = self.unreachable.lease_expiry_of(&placed.server, by_election);
                     let server =
                         self.servers.entry(placed.server.clone()).or_insert_with(|| Server::new(None, earlier));
                     self.unreachable.add_pending(&placed.server);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -55,7 +55,7 @@
     pub(crate) fence: Fence,
     pub(crate) elected: Moment,
     /// When every lease that an earlier scheduler can have given is over, if nothing more is known of a backend server.
-    pub(crate) earlier_leases: Moment,
+    pub(crate) earlier_lease_expiry: Moment,
     pub(crate) timing: Timing,
     pub(crate) policy: Policy,
     pub(crate) jobs: BTreeMap<JobId, JobEntry>,
@@ -125,7 +125,7 @@
         Scheduler {
             fence,
             elected,
-            earlier_leases: timing.earlier_leases_over(elected),
+            earlier_lease_expiry: timing.earlier_lease_expiry(elected),
             timing,
             policy,
             jobs: BTreeMap::new(),
@@ -271,7 +271,7 @@
         let over: Vec<BackendServerId> = self
             .servers
             .iter()
-            .filter(|(_, server)| (server.failed_calls > 0 || !server.has_reported) && now >= server.lease_over)
+            .filter(|(_, server)| (server.failed_calls > 0 || !server.has_reported) && now >= server.lease_expiry)
             .map(|(id, _)| id.clone())
             .collect();
         self.lapsed.remove_expired(now);
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -112,7 +112,7 @@
     pub(crate) failed_calls: u32,
     pub(crate) contact: Contact,
     /// Every lease that it was given is over by then.
-    pub(crate) lease_over: Moment,
+    pub(crate) lease_expiry: Moment,
     /// When this scheduler last gave it a whole lease.
     pub(crate) renewed_to: Option<Moment>,
     pub(crate) pending_completions: VecDeque<PendingCompletion>,
@@ -135,7 +135,7 @@
 }
 
 impl Server {
-    pub(crate) fn new(info: Option<ServerInfo>, lease_over: Moment) -> Server {
+    pub(crate) fn new(info: Option<ServerInfo>, lease_expiry: Moment) -> Server {
         Server {
             departing: info.as_ref().is_some_and(|info| info.draining),
             listed: info.is_some(),
@@ -147,7 +147,7 @@
             has_reported: false,
             failed_calls: 0,
             contact: Contact::default(),
-            lease_over,
+            lease_expiry,
             renewed_to: None,
             pending_completions: VecDeque::new(),
             highest_completion: 0,
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -129,7 +129,7 @@
         let member: &Member = lost.or_else(|| group.members.first())?;
         let server = member.server.clone();
         if lost.is_some() {
-            let left = self.servers.get(&server).map_or(Duration::ZERO, |server| server.lease_over.since(now));
+            let left = self.servers.get(&server).map_or(Duration::ZERO, |server| server.lease_expiry.since(now));
             return Some(WaitsFor::Lease { server, left });
         }
         if group.stopping.is_some() {
--- a/crates/scheduler/src/timing.rs
+++ b/crates/scheduler/src/timing.rs
@@ -57,7 +57,7 @@
 
 impl Timing {
     /// When a lease that was last renewed by a call sent at `sent` is over on any backend server's clock.
-    pub fn lease_over(&self, sent: Moment) -> Moment {
+    pub fn lease_expiry(&self, sent: Moment) -> Moment {
         self.over(self.lease, sent)
     }
 
@@ -66,14 +66,14 @@
     }
 
     /// When every lease that an earlier scheduler can have granted is over, for one elected at `elected`.
-    pub fn earlier_leases_over(&self, elected: Moment) -> Moment {
-        self.lease_over(elected + self.unconfirmed_renewal)
+    pub fn earlier_lease_expiry(&self, elected: Moment) -> Moment {
+        self.lease_expiry(elected + self.unconfirmed_renewal)
     }
 
     /// The same if so many witnesses had answered the new scheduler at `heard` that no earlier one can count most of
     /// them by later calls. Until the election an earlier one may have given whole leases.
-    pub fn outvoted_leases_over(&self, elected: Moment, heard: Moment) -> Moment {
+    pub fn outvoted_lease_expiry(&self, elected: Moment, heard: Moment) -> Moment {
         let unconfirmed = self.lease.min(self.unconfirmed_lease);
-        self.lease_over(elected).max(self.over(unconfirmed, heard + self.witness_window))
+        self.lease_expiry(elected).max(self.over(unconfirmed, heard + self.witness_window))
     }
 }
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -57,7 +57,7 @@
 
 impl Unreachable {
     /// When every lease that earlier schedulers can have given is over, if it is `by_election` without a note.
-    pub(crate) fn leases_over(&self, id: &BackendServerId, by_election: Moment) -> Moment {
+    pub(crate) fn lease_expiry_of(&self, id: &BackendServerId, by_election: Moment) -> Moment {
         self.noted_over.get(id).map_or(by_election, |noted| by_election.min(*noted))
     }
 
@@ -93,22 +93,22 @@
     }
 
     /// When every lease that earlier schedulers can have given a backend server is over.
-    pub(crate) fn earlier_leases_over(&self, id: &BackendServerId) -> Moment {
-        self.unreachable.leases_over(id, self.earlier_leases)
+    pub(crate) fn earlier_lease_expiry(&self, id: &BackendServerId) -> Moment {
+        self.unreachable.lease_expiry_of(id, self.earlier_lease_expiry)
     }
 
     /// Every earlier scheduler has said that it renews no lease any more, or is known to have begun anew since: the
     /// latest of them at `ended`.
     pub fn earlier_terms_ended(&mut self, ended: Moment) {
         self.resolve_witnesses();
-        self.limit_earlier_leases(self.timing.lease_over(ended));
+        self.limit_earlier_leases(self.timing.lease_expiry(ended));
     }
 
     /// Every lease that an earlier scheduler can have given is over by then, and may be over sooner.
     pub(crate) fn limit_earlier_leases(&mut self, over: Moment) {
-        self.earlier_leases = self.earlier_leases.min(over);
+        self.earlier_lease_expiry = self.earlier_lease_expiry.min(over);
         for server in self.servers.values_mut().filter(|server| !server.has_reported) {
-            server.lease_over = server.lease_over.min(over);
+            server.lease_expiry = server.lease_expiry.min(over);
         }
     }
 
@@ -140,7 +140,7 @@
             let server = self.servers.get(id)?;
             let lost_just_now = server.contact.failing_since.is_some_and(|since| now.since(since) < NOTED_AFTER);
             let named = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
-            named.then(|| (id.clone(), server.lease_over.since(now).millis()))
+            named.then(|| (id.clone(), server.lease_expiry.since(now).millis()))
         };
         self.unreachable.waiting.iter().filter_map(left).collect()
     }
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -99,7 +99,7 @@
         self.witnesses.settled = revision == Revision(0);
         if binding && revision == Revision(0) {
             // Without witnesses in the store nobody may go on.
-            self.limit_earlier_leases(self.timing.lease_over(self.elected));
+            self.limit_earlier_leases(self.timing.lease_expiry(self.elected));
         }
         self.witnesses.earlier = record.clone().filter(|_| binding);
         self.witnesses.held = record;
@@ -134,7 +134,7 @@
                 self.fence,
                 outvoted.since(self.elected).millis()
             );
-            self.limit_earlier_leases(self.timing.outvoted_leases_over(self.elected, outvoted));
+            self.limit_earlier_leases(self.timing.outvoted_lease_expiry(self.elected, outvoted));
         }
     }
 
--- a/crates/scheduler/tests/witnesses.rs
+++ b/crates/scheduler/tests/witnesses.rs
@@ -225,11 +225,11 @@
 #[test]
 fn renewals_are_reckoned_from_when_the_witnesses_have_answered() {
     let timing = Timing::default();
-    let at_once = timing.outvoted_leases_over(BEGUN, BEGUN);
-    assert_eq!(at_once, timing.lease_over(BEGUN), "whole leases were given up to the election");
-    let late = timing.outvoted_leases_over(BEGUN, after(4000));
+    let at_once = timing.outvoted_lease_expiry(BEGUN, BEGUN);
+    assert_eq!(at_once, timing.lease_expiry(BEGUN), "whole leases were given up to the election");
+    let late = timing.outvoted_lease_expiry(BEGUN, after(4000));
     assert!(late.since(after(4000)) >= timing.witness_window + timing.unconfirmed_lease);
-    assert!(late < timing.earlier_leases_over(BEGUN));
+    assert!(late < timing.earlier_lease_expiry(BEGUN));
 }
 
 /// An availability zone that is cut off with its scheduler holds no more witnesses than any other, however many backend servers it has.
