--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -13,7 +13,7 @@
     policy::ServiceId,
     ready::{ReadyStep, ReadySteps},
     run_state::GroupId,
-    server_capacity::Room,
+    server_capacity::ServerCapacity,
 };
 
 /// A job that is later than this many objectives counts for nothing any more and goes behind the others.
@@ -92,17 +92,18 @@
 
 impl Requirements<'_> {
     /// Whether a task of the step may run there at all.
-    pub(crate) fn allows(&self, room: &Room) -> bool {
-        let advised = self.allowed.as_ref().is_none_or(|allowed| allowed.contains(&room.id));
-        advised && self.could_run(room)
+    pub(crate) fn allows(&self, server: &ServerCapacity) -> bool {
+        let advised = self.allowed.as_ref().is_none_or(|allowed| allowed.contains(&server.id));
+        advised && self.could_run(server)
     }
 
     /// The same, whatever the adviser says.
-    pub(crate) fn could_run(&self, room: &Room) -> bool {
-        let labelled = self.step.label.as_ref().is_none_or(|label| room.labels.contains(label));
-        let trusted = self.is_stalled || !(room.quarantined || room.has_isolated_retry || self.careful && room.suspect);
-        let trusted = trusted && !(room.has_isolated_retry && self.last_attempt);
-        *self.service == room.service && trusted && labelled && room.capacity.contains(&self.need)
+    pub(crate) fn could_run(&self, server: &ServerCapacity) -> bool {
+        let labelled = self.step.label.as_ref().is_none_or(|label| server.labels.contains(label));
+        let trusted =
+            self.is_stalled || !(server.quarantined || server.has_isolated_retry || self.careful && server.suspect);
+        let trusted = trusted && !(server.has_isolated_retry && self.last_attempt);
+        *self.service == server.service && trusted && labelled && server.capacity.contains(&self.need)
     }
 
     /// How many more tasks of the step may go there by its spread limit.
@@ -112,8 +113,8 @@
     }
 
     /// How many more tasks of the step fit into `room`.
-    pub(crate) fn fitting(&self, id: &BackendServerId, room: &Resources) -> u64 {
-        room.count_of(&self.need).min(self.spread_left(id))
+    pub(crate) fn fitting(&self, id: &BackendServerId, free: &Resources) -> u64 {
+        free.count_of(&self.need).min(self.spread_left(id))
     }
 }
 
--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -2,12 +2,12 @@
 
 use model::Moment;
 
-use crate::{Scheduler, fleet_capacity::Rooms};
+use crate::{Scheduler, fleet_capacity::FleetCapacity};
 
 impl Scheduler {
     /// Tells of a difference, which is a fault of the scheduler.
     pub fn check_kept(&mut self, now: Moment) -> Result<(), String> {
-        self.check_rooms(now)?;
+        self.check_capacity(now)?;
         self.check_isolated_retries()?;
         self.check_acknowledged()
     }
@@ -23,13 +23,13 @@
         }
     }
 
-    fn check_rooms(&mut self, now: Moment) -> Result<(), String> {
-        self.refresh_rooms(now);
-        let mut anew = Rooms::default();
+    fn check_capacity(&mut self, now: Moment) -> Result<(), String> {
+        self.refresh_capacity(now);
+        let mut anew = FleetCapacity::default();
         for id in self.servers.keys() {
-            anew.set(id, self.room(id, now));
+            anew.set(id, self.server_capacity(id, now));
         }
-        self.rooms.check_same(&anew)
+        self.fleet.check_same(&anew)
     }
 
     /// Every end that waits is one that the store does not hold yet, or stands behind one.
--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -13,18 +13,18 @@
     placement::Places,
     policy::ServiceId,
     server::Server,
-    server_capacity::{Room, Totals},
+    server_capacity::{ServerCapacity, Totals},
     speed::SpeedClass,
 };
 
 /// Names a backend server's room while plans are made: an index that stays with it for as long as it is known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) struct Slot(usize);
+pub(crate) struct ServerIndex(usize);
 
 /// Rooms of one rack, by the names of their backend servers.
 #[derive(Debug, Default)]
 pub(crate) struct Rack {
-    slots: Vec<Slot>,
+    slots: Vec<ServerIndex>,
     /// At least what is free soon on any of them, in each part of a need.
     bound: Resources,
 }
@@ -33,22 +33,22 @@
 ///
 /// A plan touches what has moved since the one before.
 #[derive(Debug, Default)]
-pub(crate) struct Rooms {
+pub(crate) struct FleetCapacity {
     /// By slot; `None` where a backend server has gone.
-    rooms: Vec<Option<Room>>,
-    slots: HashMap<BackendServerId, Slot>,
-    unused: Vec<Slot>,
+    by_index: Vec<Option<ServerCapacity>>,
+    slots: HashMap<BackendServerId, ServerIndex>,
+    unused: Vec<ServerIndex>,
     racks: BTreeMap<Arc<str>, Rack>,
     totals: BTreeMap<ServiceId, Totals>,
     /// How many rooms there are of each class of speed.
     speeds: BTreeMap<SpeedClass, usize>,
     /// Rooms that the latest plan has claimed or promised parts of.
-    claimed: Vec<Slot>,
+    claimed: Vec<ServerIndex>,
 }
 
-impl Rooms {
+impl FleetCapacity {
     /// The rooms that take work, by rack and then by backend server.
-    pub(crate) fn iter(&self) -> impl Iterator<Item = (Slot, &Room)> {
+    pub(crate) fn iter(&self) -> impl Iterator<Item = (ServerIndex, &ServerCapacity)> {
         self.racks.values().flat_map(|rack| self.in_rack(rack))
     }
 
@@ -58,13 +58,13 @@
     }
 
     /// The rooms of a rack that take work, by backend server.
-    pub(crate) fn in_rack<'r>(&'r self, rack: &'r Rack) -> impl Iterator<Item = (Slot, &'r Room)> {
-        rack.slots.iter().filter_map(|&slot| self.open_room(slot).map(|room| (slot, room)))
+    pub(crate) fn in_rack<'r>(&'r self, rack: &'r Rack) -> impl Iterator<Item = (ServerIndex, &'r ServerCapacity)> {
+        rack.slots.iter().filter_map(|&slot| self.open_server(slot).map(|server| (slot, server)))
     }
 
     /// The slowest class that there is.
     pub(crate) fn slowest(&self) -> SpeedClass {
-        let there = self.speeds.iter().rev().find(|(_, rooms)| **rooms > 0);
+        let there = self.speeds.iter().rev().find(|(_, count)| **count > 0);
         there.map_or_else(SpeedClass::default, |(class, _)| *class)
     }
 
@@ -73,12 +73,12 @@
         self.racks.contains_key(name)
     }
 
-    fn open_room(&self, slot: Slot) -> Option<&Room> {
-        self.rooms[slot.0].as_ref().filter(|room| room.accepts_work)
+    fn open_server(&self, slot: ServerIndex) -> Option<&ServerCapacity> {
+        self.by_index[slot.0].as_ref().filter(|server| server.accepts_work)
     }
 
-    pub(crate) fn id(&self, slot: Slot) -> &BackendServerId {
-        &self.rooms[slot.0].as_ref().expect("a plan removes no rooms").id
+    pub(crate) fn id(&self, slot: ServerIndex) -> &BackendServerId {
+        &self.by_index[slot.0].as_ref().expect("a plan removes no rooms").id
     }
 
     pub(crate) fn totals(&self, service: &ServiceId) -> Totals {
@@ -89,16 +89,16 @@
     pub(crate) fn claim(&mut self, step: &Step, places: &Places) {
         let need = &step.counted_resources();
         for &(_, slot) in places {
-            let room = self.rooms[slot.0].as_mut().expect("places are chosen among the rooms");
-            let totals = self.totals.entry(room.service.clone()).or_default();
-            totals.remove(room);
-            room.free.remove(need);
-            room.update_used_after_stops(|used_after_stops| used_after_stops.add(need));
-            room.used.add(need);
-            room.tasks += 1;
-            room.best_effort += u64::from(step.best_effort);
-            room.serving += u64::from(step.target.is_some());
-            totals.add(room);
+            let server = self.by_index[slot.0].as_mut().expect("places are chosen among the rooms");
+            let totals = self.totals.entry(server.service.clone()).or_default();
+            totals.remove(server);
+            server.free.remove(need);
+            server.update_used_after_stops(|used_after_stops| used_after_stops.add(need));
+            server.used.add(need);
+            server.tasks += 1;
+            server.best_effort += u64::from(step.best_effort);
+            server.serving += u64::from(step.target.is_some());
+            totals.add(server);
             self.claimed.push(slot);
         }
     }
@@ -106,21 +106,21 @@
     /// Nothing else is placed there for now.
     pub(crate) fn close(&mut self, places: &Places) {
         for &(_, slot) in places {
-            let room = self.rooms[slot.0].as_mut().expect("places are chosen among the rooms");
-            let totals = self.totals.entry(room.service.clone()).or_default();
-            totals.remove(room);
-            room.accepts_work = false;
-            totals.add(room);
+            let server = self.by_index[slot.0].as_mut().expect("places are chosen among the rooms");
+            let totals = self.totals.entry(server.service.clone()).or_default();
+            totals.remove(server);
+            server.accepts_work = false;
+            totals.add(server);
         }
     }
 
     /// Counts what is being stopped on a backend server as free soon.
     pub(crate) fn release_after_stops(&mut self, id: &BackendServerId, need: &Resources) {
         let Some(&slot) = self.slots.get(id) else { return };
-        let Some(room) = self.rooms[slot.0].as_mut() else { return };
-        room.update_used_after_stops(|used_after_stops| used_after_stops.remove(need));
-        if let Some(rack) = self.racks.get_mut(&room.rack) {
-            rack.bound = rack.bound.max(&room.free_after_stops);
+        let Some(server) = self.by_index[slot.0].as_mut() else { return };
+        server.update_used_after_stops(|used_after_stops| used_after_stops.remove(need));
+        if let Some(rack) = self.racks.get_mut(&server.rack) {
+            rack.bound = rack.bound.max(&server.free_after_stops);
         }
         self.claimed.push(slot);
     }
@@ -128,30 +128,30 @@
     /// Backend servers whose rooms a plan has changed; they are to be refreshed before the next.
     fn take_claimed(&mut self) -> Vec<BackendServerId> {
         let claimed = std::mem::take(&mut self.claimed);
-        claimed.into_iter().filter_map(|slot| Some(self.rooms[slot.0].as_ref()?.id.clone())).collect()
+        claimed.into_iter().filter_map(|slot| Some(self.by_index[slot.0].as_ref()?.id.clone())).collect()
     }
 
     /// Sets or removes the room of a backend server.
-    pub(crate) fn set(&mut self, id: &BackendServerId, room: Option<Room>) {
+    pub(crate) fn set(&mut self, id: &BackendServerId, server: Option<ServerCapacity>) {
         if let Some(&slot) = self.slots.get(id) {
-            self.replace(slot, room);
-        } else if let Some(room) = room {
-            let slot = self.unused.pop().unwrap_or(Slot(self.rooms.len()));
-            self.rooms.resize_with(self.rooms.len().max(slot.0 + 1), || None);
+            self.replace(slot, server);
+        } else if let Some(server) = server {
+            let slot = self.unused.pop().unwrap_or(ServerIndex(self.by_index.len()));
+            self.by_index.resize_with(self.by_index.len().max(slot.0 + 1), || None);
             self.slots.insert(id.clone(), slot);
-            self.insert(slot, room);
+            self.insert(slot, server);
         }
     }
 
-    fn replace(&mut self, slot: Slot, room: Option<Room>) {
-        let Some(old) = self.rooms[slot.0].take() else { return };
+    fn replace(&mut self, slot: ServerIndex, server: Option<ServerCapacity>) {
+        let Some(old) = self.by_index[slot.0].take() else { return };
         self.totals.entry(old.service.clone()).or_default().remove(&old);
         *self.speeds.entry(old.speed).or_default() -= 1;
-        match room {
-            Some(room) if room.rack == old.rack => self.put(slot, room),
-            Some(room) => {
+        match server {
+            Some(server) if server.rack == old.rack => self.put(slot, server),
+            Some(server) => {
                 self.leave_rack(slot, &old);
-                self.insert(slot, room);
+                self.insert(slot, server);
             }
             None => {
                 self.leave_rack(slot, &old);
@@ -161,33 +161,34 @@
         }
     }
 
-    fn insert(&mut self, slot: Slot, room: Room) {
-        let rooms = &self.rooms;
-        let rack = self.racks.entry(Arc::clone(&room.rack)).or_default();
-        let at = rack.slots.partition_point(|other| rooms[other.0].as_ref().is_some_and(|other| other.id < room.id));
+    fn insert(&mut self, slot: ServerIndex, server: ServerCapacity) {
+        let by_index = &self.by_index;
+        let rack = self.racks.entry(Arc::clone(&server.rack)).or_default();
+        let at =
+            rack.slots.partition_point(|other| by_index[other.0].as_ref().is_some_and(|other| other.id < server.id));
         rack.slots.insert(at, slot);
-        self.put(slot, room);
+        self.put(slot, server);
     }
 
-    fn put(&mut self, slot: Slot, room: Room) {
-        self.totals.entry(room.service.clone()).or_default().add(&room);
-        *self.speeds.entry(room.speed).or_default() += 1;
-        self.rooms[slot.0] = Some(room);
+    fn put(&mut self, slot: ServerIndex, server: ServerCapacity) {
+        self.totals.entry(server.service.clone()).or_default().add(&server);
+        *self.speeds.entry(server.speed).or_default() += 1;
+        self.by_index[slot.0] = Some(server);
     }
 
-    fn leave_rack(&mut self, slot: Slot, room: &Room) {
-        let Some(rack) = self.racks.get_mut(&room.rack) else { return };
+    fn leave_rack(&mut self, slot: ServerIndex, server: &ServerCapacity) {
+        let Some(rack) = self.racks.get_mut(&server.rack) else { return };
         rack.slots.retain(|&other| other != slot);
         if rack.slots.is_empty() {
-            self.racks.remove(&room.rack);
+            self.racks.remove(&server.rack);
         }
     }
 
     fn bound_rack(&mut self, name: &Arc<str>) {
-        let rooms = &self.rooms;
+        let by_index = &self.by_index;
         let Some(rack) = self.racks.get_mut(name) else { return };
         let free_after_stops =
-            rack.slots.iter().filter_map(|slot| rooms[slot.0].as_ref()).map(|room| room.free_after_stops);
+            rack.slots.iter().filter_map(|slot| by_index[slot.0].as_ref()).map(|server| server.free_after_stops);
         rack.bound =
             free_after_stops.fold(Resources::default(), |bound, free_after_stops| bound.max(&free_after_stops));
     }
@@ -216,11 +217,11 @@
     }
 
     /// Brings the rooms up to date: of what has changed, what the plan before has claimed, and what time changes.
-    pub(crate) fn refresh_rooms(&mut self, now: Moment) {
-        let mut rooms = std::mem::take(&mut self.rooms);
+    pub(crate) fn refresh_capacity(&mut self, now: Moment) {
+        let mut fleet = std::mem::take(&mut self.fleet);
         let mut stale = std::mem::take(&mut self.stale_servers);
         stale.extend(std::mem::take(&mut self.time_dependent));
-        stale.extend(rooms.take_claimed());
+        stale.extend(fleet.take_claimed());
         stale.sort();
         stale.dedup();
         let mut racks = Vec::new();
@@ -231,31 +232,33 @@
                     self.time_dependent.push(id.clone());
                 }
             }
-            let room = self.room(id, now);
-            racks.extend(room.as_ref().map(|room| Arc::clone(&room.rack)));
-            rooms.set(id, room);
+            let server = self.server_capacity(id, now);
+            racks.extend(server.as_ref().map(|server| Arc::clone(&server.rack)));
+            fleet.set(id, server);
         }
         racks.sort();
         racks.dedup();
         for rack in &racks {
-            rooms.bound_rack(rack);
+            fleet.bound_rack(rack);
         }
-        self.rooms = rooms;
+        self.fleet = fleet;
     }
 }
 
-impl Rooms {
+impl FleetCapacity {
     /// Tells how these rooms differ from others.
-    pub(crate) fn check_same(&self, other: &Rooms) -> Result<(), String> {
-        let room = |rooms: &Rooms, id| rooms.slots.get(id).and_then(|slot: &Slot| rooms.rooms[slot.0].clone());
+    pub(crate) fn check_same(&self, other: &FleetCapacity) -> Result<(), String> {
+        let server = |fleet: &FleetCapacity, id| {
+            fleet.slots.get(id).and_then(|slot: &ServerIndex| fleet.by_index[slot.0].clone())
+        };
         for id in self.slots.keys().chain(other.slots.keys()) {
-            let (kept, anew) = (room(self, id), room(other, id));
+            let (kept, anew) = (server(self, id), server(other, id));
             if kept != anew {
                 return Err(format!("{id}: kept {kept:?}, anew {anew:?}"));
             }
         }
         let (kept, anew) = (self.totals_in_use(), other.totals_in_use());
-        let order = |rooms: &Rooms| rooms.iter().map(|(_, room)| room.id.clone()).collect::<Vec<_>>();
+        let order = |fleet: &FleetCapacity| fleet.iter().map(|(_, server)| server.id.clone()).collect::<Vec<_>>();
         if kept != anew || order(self) != order(other) {
             return Err(format!("totals or order: kept {kept:?}, anew {anew:?}"));
         }
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -8,7 +8,7 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Requirements},
-    fleet_capacity::Rooms,
+    fleet_capacity::FleetCapacity,
 };
 
 /// Share of a service's accelerators that is kept free where stops take no time: it spares work that is thrown away
@@ -72,13 +72,13 @@
         requirements: &Requirements<'_>,
         taken: u64,
         count: u64,
-        rooms: &Rooms,
+        fleet: &FleetCapacity,
     ) -> bool {
         let is_stalled = || {
-            let free = rooms.totals(requirements.service).free;
+            let free = fleet.totals(requirements.service).free;
             candidate.is_stalled && taken == 0 && free >= ROOM_BESIDE * count * requirements.need.accelerators
         };
-        requirements.urgent || self.leaves_headroom(requirements, taken, count, rooms) || is_stalled()
+        requirements.urgent || self.leaves_headroom(requirements, taken, count, fleet) || is_stalled()
     }
 
     /// Whether enough accelerators stay free for urgent jobs if `count` tasks start beside `taken` that are
@@ -88,17 +88,17 @@
         requirements: &Requirements<'_>,
         taken: u64,
         count: u64,
-        rooms: &Rooms,
+        fleet: &FleetCapacity,
     ) -> bool {
-        let totals = rooms.totals(requirements.service);
+        let totals = fleet.totals(requirements.service);
         let each = requirements.need.accelerators;
-        let asked = (each * (taken + count)) as f64 + self.kept_free(requirements, rooms);
+        let asked = (each * (taken + count)) as f64 + self.kept_free(requirements, fleet);
         let used = totals.used + each * taken;
         totals.free as f64 >= asked || (used as f64) < totals.all as f64 * LITTLE_USED
     }
 
     /// Accelerators of a service that are to stay free.
-    fn kept_free(&self, requirements: &Requirements<'_>, rooms: &Rooms) -> f64 {
-        rooms.totals(requirements.service).all as f64 * self.headroom(requirements.slack_half_used)
+    fn kept_free(&self, requirements: &Requirements<'_>, fleet: &FleetCapacity) -> f64 {
+        fleet.totals(requirements.service).all as f64 * self.headroom(requirements.slack_half_used)
     }
 }
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -14,8 +14,8 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Requirements},
-    fleet_capacity::Rooms,
-    server_capacity::Room,
+    fleet_capacity::FleetCapacity,
+    server_capacity::ServerCapacity,
 };
 
 /// The adviser's leave for a step on a backend server, opaque to the scheduler.
@@ -157,14 +157,14 @@
     }
 
     /// Asks about more backend servers for a candidate that has not been placed whole.
-    pub(crate) fn request_permits(&mut self, candidate: &Candidate, rooms: &Rooms, now: Moment) {
-        let Some(request) = self.request(candidate, rooms, now) else { return };
+    pub(crate) fn request_permits(&mut self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) {
+        let Some(request) = self.request(candidate, fleet, now) else { return };
         if !request.servers.is_empty() {
             self.permits.requests.push(request);
         }
     }
 
-    fn request(&self, candidate: &Candidate, rooms: &Rooms, now: Moment) -> Option<PermitRequest> {
+    fn request(&self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) -> Option<PermitRequest> {
         let waits = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
         if self.permits.asking == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
             return None;
@@ -172,7 +172,7 @@
         let queue = &self.jobs[&candidate.occurrence.job].job.queue;
         let permits = self.policy.queues.get(queue)?.permits?;
         let requirements = self.requirements(candidate, now)?;
-        let servers = self.to_be_asked(candidate, &requirements, rooms);
+        let servers = self.to_be_asked(candidate, &requirements, fleet);
         let takes = permits.base + permits.each.scaled(servers.len() as f64);
         Some(PermitRequest { step: candidate.step_id(), servers, takes, valid: permits.valid })
     }
@@ -183,26 +183,28 @@
         &self,
         candidate: &Candidate,
         requirements: &Requirements<'_>,
-        rooms: &Rooms,
+        fleet: &FleetCapacity,
     ) -> Vec<BackendServerId> {
         let step = candidate.step_id();
-        let could = |room: &Room| requirements.could_run(room) && !self.permits.is_refused(step, &room.id);
+        let could =
+            |server: &ServerCapacity| requirements.could_run(server) && !self.permits.is_refused(step, &server.id);
         let mut free_in_rack: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
-        for (_, room) in rooms.iter().filter(|(_, room)| could(room)) {
-            *free_in_rack.entry(&room.rack).or_default() += requirements.fitting(&room.id, &room.free_after_stops);
+        for (_, server) in fleet.iter().filter(|(_, server)| could(server)) {
+            *free_in_rack.entry(&server.rack).or_default() +=
+                requirements.fitting(&server.id, &server.free_after_stops);
         }
-        let unknown = |room: &&Room| could(room) && !requirements.allows(room);
-        let mut order: Vec<&Room> = rooms.iter().map(|(_, room)| room).filter(unknown).collect();
-        order.sort_by_key(|room| {
-            let in_rack = if requirements.step.same_rack { free_in_rack[&room.rack] } else { 0 };
-            let near = requirements.step.data_rack.as_ref().is_none_or(|rack| *rack == room.rack);
+        let unknown = |server: &&ServerCapacity| could(server) && !requirements.allows(server);
+        let mut order: Vec<&ServerCapacity> = fleet.iter().map(|(_, server)| server).filter(unknown).collect();
+        order.sort_by_key(|server| {
+            let in_rack = if requirements.step.same_rack { free_in_rack[&server.rack] } else { 0 };
+            let near = requirements.step.data_rack.as_ref().is_none_or(|rack| *rack == server.rack);
             (
                 !near,
                 std::cmp::Reverse(in_rack),
-                std::cmp::Reverse(requirements.fitting(&room.id, &room.free_after_stops)),
-                &room.id,
+                std::cmp::Reverse(requirements.fitting(&server.id, &server.free_after_stops)),
+                &server.id,
             )
         });
-        order.into_iter().take(MOST_ASKED).map(|room| room.id.clone()).collect()
+        order.into_iter().take(MOST_ASKED).map(|server| server.id.clone()).collect()
     }
 }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -11,9 +11,9 @@
     Scheduler,
     candidate::{Candidate, Requirements},
     crashes::{has_crashed_at, is_suspect},
-    fleet_capacity::{Rack, Rooms, Slot},
+    fleet_capacity::{FleetCapacity, Rack, ServerIndex},
     run_state::GroupId,
-    server_capacity::Room,
+    server_capacity::ServerCapacity,
     speed::SpeedClass,
 };
 
@@ -21,10 +21,10 @@
 const AVOID: Duration = Duration::from_secs(3);
 
 /// Where each task of a group goes.
-pub(crate) type Places = Vec<(u32, Slot)>;
+pub(crate) type Places = Vec<(u32, ServerIndex)>;
 
 /// Rooms in the order in which they are to be filled, each with the number of tasks that it may take.
-type Order<'r> = Vec<(Slot, &'r Room, u64)>;
+type Order<'r> = Vec<(ServerIndex, &'r ServerCapacity, u64)>;
 
 /// Tasks that are being placed.
 struct Filling<'l> {
@@ -40,47 +40,49 @@
         &self,
         candidate: &Candidate,
         requirements: &Requirements<'_>,
-        rooms: &Rooms,
-        part: impl Fn(&Room) -> Resources,
+        fleet: &FleetCapacity,
+        part: impl Fn(&ServerCapacity) -> Resources,
         left: &mut Vec<usize>,
         now: Moment,
     ) -> Places {
         let mut filling = Filling { left, places: Places::new() };
-        if !self.headroom_allows(candidate, requirements, 0, 1, rooms) {
+        if !self.headroom_allows(candidate, requirements, 0, 1, fleet) {
             return filling.places;
         }
         if candidate.suspect {
-            let far = self.remote_is_worthwhile(candidate, requirements.step, rooms, now);
-            let order = fewest_tasks_first(requirements, rooms, &part, far);
-            self.fill_with_tasks(candidate, requirements, rooms, order, &mut filling, now);
+            let far = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
+            let order = fewest_tasks_first(requirements, fleet, &part, far);
+            self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
             return filling.places;
         }
         if requirements.step.best_effort || requirements.step.target.is_some() {
-            let order = least_disturbed_first(requirements, rooms, &part, filling.left.len());
-            self.fill_with_tasks(candidate, requirements, rooms, order, &mut filling, now);
+            let order = least_disturbed_first(requirements, fleet, &part, filling.left.len());
+            self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
             return filling.places;
         }
-        let remote_is_worthwhile = self.remote_is_worthwhile(candidate, requirements.step, rooms, now);
-        for (near, suspect, speed) in tiers(requirements, rooms) {
+        let remote_is_worthwhile = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
+        for (near, suspect, speed) in tiers(requirements, fleet) {
             // One task away from its data keeps a job from standing; the others wait for room near it.
             let only_one = !near && !remote_is_worthwhile;
             let nothing_near = requirements.is_stalled && filling.places.is_empty();
             if !near && requirements.step.data_rack.is_none() || only_one && !nothing_near {
                 continue;
             }
-            let racks = rooms.racks().filter(|(name, _)| is_near(requirements.step, name) == near);
+            let racks = fleet.racks().filter(|(name, _)| is_near(requirements.step, name) == near);
             for (_, rack) in racks.filter(|(_, rack)| rack.may_hold(&requirements.need)) {
                 if filling.left.is_empty() {
                     return filling.places;
                 }
-                let mut order = fitting_rooms(requirements, rooms, rack, &part);
-                order.retain(|(_, room, _)| room.suspect == suspect && speed.is_none_or(|speed| room.speed == speed));
+                let mut order = fitting_servers(requirements, fleet, rack, &part);
+                order.retain(|(_, server, _)| {
+                    server.suspect == suspect && speed.is_none_or(|speed| server.speed == speed)
+                });
                 order.sort_by(|a, b| fullest_first(&part, a.1, b.1));
                 if only_one {
                     order.truncate(1);
                     order.iter_mut().for_each(|(_, _, fitting)| *fitting = 1);
                 }
-                self.fill_with_tasks(candidate, requirements, rooms, order, &mut filling, now);
+                self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
                 if only_one && !filling.places.is_empty() {
                     return filling.places;
                 }
@@ -94,24 +96,24 @@
         &self,
         candidate: &Candidate,
         requirements: &Requirements<'_>,
-        rooms: &Rooms,
+        fleet: &FleetCapacity,
         order: Order<'_>,
         filling: &mut Filling<'_>,
         now: Moment,
     ) {
-        for (slot, room, mut fitting) in order {
+        for (slot, server, mut fitting) in order {
             let mut kept = Vec::new();
             let mut looked_at = 0;
             for &group in filling.left.iter() {
                 let placed = filling.places.len() as u64;
-                let enough = self.headroom_allows(candidate, requirements, placed, 1, rooms);
+                let enough = self.headroom_allows(candidate, requirements, placed, 1, fleet);
                 // One task keeps a job from standing; the others wait until nothing is on trial there.
-                let enough = enough && !(room.has_isolated_retry && placed > 0);
+                let enough = enough && !(server.has_isolated_retry && placed > 0);
                 if fitting == 0 || !enough {
                     break;
                 }
                 looked_at += 1;
-                if !requirements.is_stalled && self.avoids(candidate.group(group), room, now) {
+                if !requirements.is_stalled && self.avoids(candidate.group(group), server, now) {
                     kept.push(group);
                     continue;
                 }
@@ -131,17 +133,18 @@
         &self,
         name: GroupId,
         requirements: &Requirements<'_>,
-        rooms: &Rooms,
-        part: impl Fn(&Room) -> Resources,
+        fleet: &FleetCapacity,
+        part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
     ) -> Option<Places> {
-        let slowest = rooms.slowest();
+        let slowest = fleet.slowest();
         let classes = SpeedClass::ALL.iter().filter(|class| requirements.urgent && **class < slowest);
         let mut faster = classes.filter_map(|class| {
-            let part = |room: &Room| if room.speed <= *class { part(room) } else { Resources::default() };
-            self.place_gang_among(name, requirements, rooms, part, now)
+            let part =
+                |server: &ServerCapacity| if server.speed <= *class { part(server) } else { Resources::default() };
+            self.place_gang_among(name, requirements, fleet, part, now)
         });
-        faster.next().or_else(|| self.place_gang_among(name, requirements, rooms, &part, now))
+        faster.next().or_else(|| self.place_gang_among(name, requirements, fleet, &part, now))
     }
 
     /// Places a gang: in one rack if it fits there; else over several, if it may be. `None` if it must wait.
@@ -149,21 +152,21 @@
         &self,
         name: GroupId,
         requirements: &Requirements<'_>,
-        rooms: &Rooms,
-        part: impl Fn(&Room) -> Resources,
+        fleet: &FleetCapacity,
+        part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
     ) -> Option<Places> {
         let count = u64::from(requirements.step.count);
-        let slots = self.slots_by_rack(name, requirements, rooms, &part, now);
+        let slots = self.slots_by_rack(name, requirements, fleet, &part, now);
         // Work that can wait fills the racks from the first, so that whole racks stay free for what cannot.
         let filling = self.timing.tuning.rack_filling;
         let first = requirements.urgent || !filling;
         let fits = slots.iter().filter(|(_, n)| *n >= count).min_by_key(|(_, n)| if first { *n } else { 0 });
         if let Some((rack, _)) = fits {
-            return self.fill_with_gang(name, requirements, rooms, &[*rack], part, now);
+            return self.fill_with_gang(name, requirements, fleet, &[*rack], part, now);
         }
         let one_rack_could = || {
-            let whole = self.slots_by_rack(name, requirements, rooms, |room| room.capacity, now);
+            let whole = self.slots_by_rack(name, requirements, fleet, |server| server.capacity, now);
             whole.iter().any(|(_, n)| *n >= count)
         };
         if slots.iter().map(|(_, n)| n).sum::<u64>() < count
@@ -175,7 +178,7 @@
         let mut by_room = slots;
         by_room.sort_by_key(|(_, n)| *n);
         let racks: Vec<&Rack> = by_room.into_iter().map(|(rack, _)| rack).collect();
-        self.fill_with_gang(name, requirements, rooms, &racks, part, now)
+        self.fill_with_gang(name, requirements, fleet, &racks, part, now)
     }
 
     /// How many tasks of the step fit into each rack, by the racks' names.
@@ -183,27 +186,27 @@
         &self,
         name: GroupId,
         requirements: &Requirements<'_>,
-        rooms: &'r Rooms,
-        part: impl Fn(&Room) -> Resources,
+        fleet: &'r FleetCapacity,
+        part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
     ) -> Vec<(&'r Rack, u64)> {
         let count = |rack| {
-            let rooms = self.rooms_for_gang(name, requirements, rooms, rack, now);
-            rooms.map(|(_, room)| requirements.fitting(&room.id, &part(room))).sum::<u64>()
+            let servers = self.servers_for_gang(name, requirements, fleet, rack, now);
+            servers.map(|(_, server)| requirements.fitting(&server.id, &part(server))).sum::<u64>()
         };
-        rooms.racks().map(|(_, rack)| (rack, count(rack))).collect()
+        fleet.racks().map(|(_, rack)| (rack, count(rack))).collect()
     }
 
-    fn rooms_for_gang<'r>(
+    fn servers_for_gang<'r>(
         &self,
         name: GroupId,
         requirements: &Requirements<'_>,
-        rooms: &'r Rooms,
+        fleet: &'r FleetCapacity,
         rack: &'r Rack,
         now: Moment,
-    ) -> impl Iterator<Item = (Slot, &'r Room)> {
-        rooms.in_rack(rack).filter(move |(_, room)| {
-            requirements.allows(room) && (requirements.is_stalled || !self.avoids(name, room, now))
+    ) -> impl Iterator<Item = (ServerIndex, &'r ServerCapacity)> {
+        fleet.in_rack(rack).filter(move |(_, server)| {
+            requirements.allows(server) && (requirements.is_stalled || !self.avoids(name, server, now))
         })
     }
 
@@ -213,23 +216,24 @@
         &self,
         name: GroupId,
         requirements: &Requirements<'_>,
-        rooms: &Rooms,
+        fleet: &FleetCapacity,
         racks: &[&Rack],
-        part: impl Fn(&Room) -> Resources,
+        part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
     ) -> Option<Places> {
         let mut places = Places::new();
         let mut indices = 0..requirements.step.count;
         let suspect = is_suspect(self.progress_of(name));
-        let beside = |room: &Room| if suspect { room.tasks } else { 0 };
+        let beside = |server: &ServerCapacity| if suspect { server.tasks } else { 0 };
         for rack in racks {
-            let mut order: Vec<(Slot, &Room)> = self.rooms_for_gang(name, requirements, rooms, rack, now).collect();
+            let mut order: Vec<(ServerIndex, &ServerCapacity)> =
+                self.servers_for_gang(name, requirements, fleet, rack, now).collect();
             order.sort_by(|a, b| {
                 let trusted = (beside(a.1), a.1.suspect).cmp(&(beside(b.1), b.1.suspect));
                 trusted.then(fullest_first(&part, a.1, b.1))
             });
-            for (slot, room) in order {
-                let n = requirements.fitting(&room.id, &part(room));
+            for (slot, server) in order {
+                let n = requirements.fitting(&server.id, &part(server));
                 places.extend(indices.by_ref().take(n as usize).map(|index| (index, slot)));
             }
         }
@@ -237,20 +241,26 @@
     }
 
     /// A task runs longer away from its data: it waits as long as that would cost before it goes there.
-    pub(crate) fn remote_is_worthwhile(&self, candidate: &Candidate, step: &Step, rooms: &Rooms, now: Moment) -> bool {
+    pub(crate) fn remote_is_worthwhile(
+        &self,
+        candidate: &Candidate,
+        step: &Step,
+        fleet: &FleetCapacity,
+        now: Moment,
+    ) -> bool {
         let Some(rack) = step.data_rack.as_ref().filter(|_| self.timing.tuning.data_rack) else { return true };
         let since = candidate.groups.iter().filter_map(|&group| self.group(candidate.group(group)).ready_since).min();
         let waited = since.map_or(Duration::ZERO, |since| now.since(since));
-        !rooms.has_rack(rack) || waited > step.estimate.scaled(self.timing.far_factor - 1.0)
+        !fleet.has_rack(rack) || waited > step.estimate.scaled(self.timing.far_factor - 1.0)
     }
 
     /// A group keeps off backend servers where it failed, and off places where one crashed under it, unless it has waited for
     /// another.
-    pub(crate) fn avoids(&self, name: GroupId, room: &Room, now: Moment) -> bool {
+    pub(crate) fn avoids(&self, name: GroupId, server: &ServerCapacity, now: Moment) -> bool {
         let occurrence = self.occurrence(name.occurrence);
         let group = &occurrence.groups[name.step][name.group];
         let progress = &occurrence.progress.groups[name.step][name.group];
-        let was_bad = group.avoid.contains(&room.id) || has_crashed_at(progress, &room.address);
+        let was_bad = group.avoid.contains(&server.id) || has_crashed_at(progress, &server.address);
         was_bad && self.may_avoid(name, now)
     }
 
@@ -264,8 +274,8 @@
 }
 
 /// In which order rooms are taken: near, trusted and, by urgent tasks, fast ones first.
-fn tiers(requirements: &Requirements<'_>, rooms: &Rooms) -> Vec<(bool, bool, Option<SpeedClass>)> {
-    let speeds = match rooms.slowest() {
+fn tiers(requirements: &Requirements<'_>, fleet: &FleetCapacity) -> Vec<(bool, bool, Option<SpeedClass>)> {
+    let speeds = match fleet.slowest() {
         slowest if requirements.urgent && slowest > SpeedClass::Usual => SpeedClass::ALL.map(Some).to_vec(),
         _ => vec![None],
     };
@@ -281,20 +291,20 @@
 }
 
 /// Rooms of a rack that one more task of the step fits into.
-fn fitting_rooms<'r>(
+fn fitting_servers<'r>(
     requirements: &Requirements<'_>,
-    rooms: &'r Rooms,
+    fleet: &'r FleetCapacity,
     rack: &'r Rack,
-    part: impl Fn(&Room) -> Resources,
+    part: impl Fn(&ServerCapacity) -> Resources,
 ) -> Order<'r> {
-    let fits = |room: &Room| part(room).contains(&requirements.need) && requirements.allows(room);
-    let fitting = rooms.in_rack(rack).filter(|(_, room)| fits(room));
-    fitting.map(|(slot, room)| (slot, room, requirements.fitting(&room.id, &part(room)))).collect()
+    let fits = |server: &ServerCapacity| part(server).contains(&requirements.need) && requirements.allows(server);
+    let fitting = fleet.in_rack(rack).filter(|(_, server)| fits(server));
+    fitting.map(|(slot, server)| (slot, server, requirements.fitting(&server.id, &part(server)))).collect()
 }
 
-fn fullest_first(part: impl Fn(&Room) -> Resources, a: &Room, b: &Room) -> Ordering {
-    let free = |room: &Room| {
-        let free = part(room);
+fn fullest_first(part: impl Fn(&ServerCapacity) -> Resources, a: &ServerCapacity, b: &ServerCapacity) -> Ordering {
+    let free = |server: &ServerCapacity| {
+        let free = part(server);
         (free.accelerators, free.cpu_milli)
     };
     free(a).cmp(&free(b)).then_with(|| a.id.cmp(&b.id))
@@ -303,14 +313,14 @@
 /// For a task that may crash its backend server: the fewer tasks run there the better, and best on one that is empty.
 fn fewest_tasks_first<'r>(
     requirements: &Requirements<'_>,
-    rooms: &'r Rooms,
-    part: impl Fn(&Room) -> Resources,
+    fleet: &'r FleetCapacity,
+    part: impl Fn(&ServerCapacity) -> Resources,
     far: bool,
 ) -> Order<'r> {
     let near_enough = |rack: &Arc<str>| far || is_near(requirements.step, rack);
-    let racks = rooms.racks().filter(|(name, rack)| rack.may_hold(&requirements.need) && near_enough(name));
-    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(requirements, rooms, rack, &part)).collect();
-    order.sort_by_key(|(_, room, _)| (!is_near(requirements.step, &room.rack), room.tasks, room.suspect));
+    let racks = fleet.racks().filter(|(name, rack)| rack.may_hold(&requirements.need) && near_enough(name));
+    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_servers(requirements, fleet, rack, &part)).collect();
+    order.sort_by_key(|(_, server, _)| (!is_near(requirements.step, &server.rack), server.tasks, server.suspect));
     order
 }
 
@@ -319,18 +329,18 @@
 /// `count` of them on one backend server.
 fn least_disturbed_first<'r>(
     requirements: &Requirements<'_>,
-    rooms: &'r Rooms,
-    part: impl Fn(&Room) -> Resources,
+    fleet: &'r FleetCapacity,
+    part: impl Fn(&ServerCapacity) -> Resources,
     count: usize,
 ) -> Order<'r> {
     let best_effort = requirements.step.best_effort;
-    let racks = rooms.racks().filter(|(_, rack)| rack.may_hold(&requirements.need));
-    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_rooms(requirements, rooms, rack, &part)).collect();
-    order.sort_by_key(|(_, room, _)| {
-        let free = part(room);
-        let near = is_near(requirements.step, &room.rack);
-        let disturbance = if best_effort { room.serving + room.best_effort } else { room.best_effort };
-        (!near, room.suspect, disturbance, &room.rack, free.accelerators, free.cpu_milli)
+    let racks = fleet.racks().filter(|(_, rack)| rack.may_hold(&requirements.need));
+    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_servers(requirements, fleet, rack, &part)).collect();
+    order.sort_by_key(|(_, server, _)| {
+        let free = part(server);
+        let near = is_near(requirements.step, &server.rack);
+        let disturbance = if best_effort { server.serving + server.best_effort } else { server.best_effort };
+        (!near, server.suspect, disturbance, &server.rack, free.accelerators, free.cpu_milli)
     });
     let most = if best_effort { count.div_ceil(order.len().max(1)) as u64 } else { u64::MAX };
     for (_, _, fitting) in &mut order {
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -4,7 +4,8 @@
 use model::{BackendServerId, Moment};
 
 use crate::{
-    Scheduler, candidate::Candidate, choose::Places, guarantee::Guarantees, rooms::Rooms, server_capacity::Room,
+    Scheduler, candidate::Candidate, choose::Places, fleet::FleetCapacity, guarantee::Guarantees,
+    server_capacity::ServerCapacity,
 };
 
 impl Scheduler {
@@ -18,21 +19,21 @@
         if candidates.is_empty() {
             return;
         }
-        self.refresh_rooms(now);
+        self.refresh_capacity(now);
         // Planning changes jobs and backend servers besides: the rooms are put back when it is over.
-        let mut rooms = std::mem::take(&mut self.rooms);
+        let mut fleet = std::mem::take(&mut self.fleet);
         for candidate in &candidates {
             if candidate.suspect && self.awaits_isolated_retry(candidate.group(candidate.groups[0]), now) {
                 continue;
             }
             if self.step_of(candidate).gang {
-                self.plan_gang(candidate, &mut rooms, &guarantees, now);
+                self.plan_gang(candidate, &mut fleet, &guarantees, now);
             } else {
-                self.plan_tasks(candidate, &mut rooms, &guarantees, now);
+                self.plan_tasks(candidate, &mut fleet, &guarantees, now);
             }
-            self.request_permits(candidate, &rooms, now);
+            self.request_permits(candidate, &fleet, now);
         }
-        self.rooms = rooms;
+        self.fleet = fleet;
     }
 
     fn step_of(&self, candidate: &Candidate) -> &Step {
@@ -40,75 +41,75 @@
     }
 
     /// What of a room a candidate may take now.
-    fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&Room) -> Resources + use<> {
+    fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&ServerCapacity) -> Resources + use<> {
         let apart = self.awaits_empty_server(candidate, now);
-        move |room| if apart && room.tasks > 0 { Resources::default() } else { room.free }
+        move |server| if apart && server.tasks > 0 { Resources::default() } else { server.free }
     }
 
     /// Starts a gang where it fits. If it is urgent, room is made or kept for it meanwhile.
-    fn plan_gang(&mut self, candidate: &Candidate, rooms: &mut Rooms, guarantees: &Guarantees, now: Moment) {
+    fn plan_gang(&mut self, candidate: &Candidate, fleet: &mut FleetCapacity, guarantees: &Guarantees, now: Moment) {
         let name = candidate.group(0);
         let Some(requirements) = self.requirements(candidate, now) else { return };
         let count = u64::from(requirements.step.count);
-        if !self.headroom_allows(candidate, &requirements, 0, count, rooms) {
+        if !self.headroom_allows(candidate, &requirements, 0, count, fleet) {
             return;
         }
-        let free = self.place_gang(name, &requirements, rooms, self.free_for(candidate, now), now);
+        let free = self.place_gang(name, &requirements, fleet, self.free_for(candidate, now), now);
         let free_after_stops = if requirements.urgent && free.is_none() {
             // Room that is being made counts as taken, so that nothing slips in and no more is stopped for it.
-            self.place_gang(name, &requirements, rooms, |room| room.free_after_stops, now)
+            self.place_gang(name, &requirements, fleet, |server| server.free_after_stops, now)
         } else {
             None
         };
         let (step, urgent) = (requirements.step.clone(), requirements.urgent);
         if let Some(places) = free {
-            rooms.claim(&step, &places);
+            fleet.claim(&step, &places);
             if candidate.suspect {
-                rooms.close(&places);
+                fleet.close(&places);
             }
-            self.place(name, &named(&places, rooms), now);
+            self.place(name, &named(&places, fleet), now);
         } else if let Some(places) = free_after_stops {
-            rooms.claim(&step, &places);
+            fleet.claim(&step, &places);
         } else if urgent {
-            self.preempt_for(candidate, &candidate.groups, rooms, guarantees, now);
+            self.preempt_for(candidate, &candidate.groups, fleet, guarantees, now);
             let Some(requirements) = self.requirements(candidate, now) else { return };
-            if let Some(places) = self.place_gang(name, &requirements, rooms, |room| room.free_after_stops, now) {
-                rooms.claim(&step, &places);
+            if let Some(places) = self.place_gang(name, &requirements, fleet, |server| server.free_after_stops, now) {
+                fleet.claim(&step, &places);
             }
         }
     }
 
     /// Starts tasks that each run by themselves where they fit. If they are urgent, room is made or kept for the
     /// rest.
-    fn plan_tasks(&mut self, candidate: &Candidate, rooms: &mut Rooms, guarantees: &Guarantees, now: Moment) {
+    fn plan_tasks(&mut self, candidate: &Candidate, fleet: &mut FleetCapacity, guarantees: &Guarantees, now: Moment) {
         let Some(requirements) = self.requirements(candidate, now) else { return };
         let (step, urgent) = (requirements.step.clone(), requirements.urgent);
         let mut left = candidate.groups.clone();
-        let placed = self.place_tasks(candidate, &requirements, rooms, self.free_for(candidate, now), &mut left, now);
+        let placed = self.place_tasks(candidate, &requirements, fleet, self.free_for(candidate, now), &mut left, now);
         let waiting = if urgent && !left.is_empty() {
-            self.place_tasks(candidate, &requirements, rooms, |room| room.free_after_stops, &mut left, now)
+            self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut left, now)
         } else {
             Places::new()
         };
-        rooms.claim(&step, &placed);
+        fleet.claim(&step, &placed);
         if candidate.suspect {
-            rooms.close(&placed);
+            fleet.close(&placed);
         }
-        rooms.claim(&step, &waiting);
-        for (group, server) in named(&placed, rooms) {
+        fleet.claim(&step, &waiting);
+        for (group, server) in named(&placed, fleet) {
             self.place(candidate.group(group as usize), &[(group, server)], now);
         }
         if urgent && !left.is_empty() {
-            self.preempt_for(candidate, &left, rooms, guarantees, now);
+            self.preempt_for(candidate, &left, fleet, guarantees, now);
             let Some(requirements) = self.requirements(candidate, now) else { return };
             let coming =
-                self.place_tasks(candidate, &requirements, rooms, |room| room.free_after_stops, &mut left, now);
-            rooms.claim(&step, &coming);
+                self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut left, now);
+            fleet.claim(&step, &coming);
         }
     }
 }
 
 /// Where tasks go, by the names of the backend servers.
-fn named(places: &Places, rooms: &Rooms) -> Vec<(u32, BackendServerId)> {
-    places.iter().map(|&(index, slot)| (index, rooms.id(slot).clone())).collect()
+fn named(places: &Places, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
+    places.iter().map(|&(index, slot)| (index, fleet.id(slot).clone())).collect()
 }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -8,11 +8,11 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Requirements},
-    fleet_capacity::Rooms,
+    fleet_capacity::FleetCapacity,
     guarantee::Guarantees,
     placement::is_near,
     run_state::{Group, GroupId, Member, StopReason},
-    server_capacity::Room,
+    server_capacity::ServerCapacity,
 };
 
 /// Work that a run with checkpoints loses at most, in seconds: what it does between two (users: 0.5 s and 1 s).
@@ -70,17 +70,17 @@
 
 impl Takers<'_> {
     /// How many tasks would go to a room.
-    fn of(&self, room: &Room) -> u64 {
-        self.count(|name| self.goes(name, room))
+    fn of(&self, server: &ServerCapacity) -> u64 {
+        self.count(|name| self.goes(name, server))
     }
 
     /// How many would go to any of these.
-    fn of_any(&self, rooms: &[&Room]) -> u64 {
-        self.count(|name| rooms.iter().any(|room| self.goes(name, room)))
+    fn of_any(&self, fleet: &[&ServerCapacity]) -> u64 {
+        self.count(|name| fleet.iter().any(|server| self.goes(name, server)))
     }
 
-    fn goes(&self, name: GroupId, room: &Room) -> bool {
-        !self.scheduler.avoids(name, room, self.now)
+    fn goes(&self, name: GroupId, server: &ServerCapacity) -> bool {
+        !self.scheduler.avoids(name, server, self.now)
     }
 
     fn count(&self, goes: impl Fn(GroupId) -> bool) -> u64 {
@@ -95,14 +95,14 @@
         &mut self,
         candidate: &Candidate,
         groups: &[usize],
-        rooms: &mut Rooms,
+        fleet: &mut FleetCapacity,
         guarantees: &Guarantees,
         now: Moment,
     ) {
         if !self.timing.tuning.preemption {
             return;
         }
-        let (waste, victims) = self.victims(candidate, groups, rooms, guarantees, now);
+        let (waste, victims) = self.victims(candidate, groups, fleet, guarantees, now);
         if victims.is_empty() || !candidate.guaranteed && waste > self.most_waste(candidate, groups) {
             return;
         }
@@ -114,16 +114,16 @@
         );
         for victim in victims {
             // First, since a run that was not ordered yet is gone once it is stopped, and with it where it was placed.
-            self.release_after_stops(victim, rooms);
+            self.release_after_stops(victim, fleet);
             self.stop_group(victim, StopReason::Preempted, now);
         }
     }
 
     /// Counts what a victim holds as room that is being made.
-    fn release_after_stops(&self, victim: GroupId, rooms: &mut Rooms) {
+    fn release_after_stops(&self, victim: GroupId, fleet: &mut FleetCapacity) {
         let need = self.step(victim).counted_resources();
         for member in &self.group(victim).members {
-            rooms.release_after_stops(&member.server, &need);
+            fleet.release_after_stops(&member.server, &need);
         }
     }
 
@@ -132,27 +132,28 @@
         &self,
         candidate: &Candidate,
         groups: &[usize],
-        rooms: &Rooms,
+        fleet: &FleetCapacity,
         guarantees: &Guarantees,
         now: Moment,
     ) -> (f64, Vec<GroupId>) {
         let Some(requirements) = self.requirements(candidate, now) else { return (0.0, Vec::new()) };
         // Nothing is stopped where no task of the step goes.
-        let far = requirements.step.gang || self.remote_is_worthwhile(candidate, requirements.step, rooms, now);
-        let goes_there = |room: &Room| far || is_near(requirements.step, &room.rack);
+        let far = requirements.step.gang || self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
+        let goes_there = |server: &ServerCapacity| far || is_near(requirements.step, &server.rack);
         let takers = self.takers(candidate, &requirements, groups, now);
         let mut by_rack: BTreeMap<Option<&Arc<str>>, Vec<Offer>> = BTreeMap::new();
         // A run on trial is not stopped: its trial would begin anew.
-        let may_give = |room: &&Room| !room.has_isolated_retry && requirements.allows(room) && goes_there(room);
-        let giving: Vec<&Room> = rooms.iter().map(|(_, room)| room).filter(may_give).collect();
+        let may_give =
+            |server: &&ServerCapacity| !server.has_isolated_retry && requirements.allows(server) && goes_there(server);
+        let giving: Vec<&ServerCapacity> = fleet.iter().map(|(_, server)| server).filter(may_give).collect();
         let count = takers.of_any(&giving);
-        for room in giving {
-            let rack = requirements.step.same_rack.then_some(&room.rack);
-            let takers = takers.of(room).min(count);
+        for server in giving {
+            let rack = requirements.step.same_rack.then_some(&server.rack);
+            let takers = takers.of(server).min(count);
             if takers == 0 {
                 continue;
             }
-            let offer = self.best_offer(candidate, takers, &requirements, room, guarantees, now);
+            let offer = self.best_offer(candidate, takers, &requirements, server, guarantees, now);
             by_rack.entry(rack).or_default().extend(offer.map(|offer| offer.for_at_most(takers)));
         }
         let cheapest = by_rack.into_values().filter_map(|offers| cheapest(offers, count));
@@ -179,12 +180,12 @@
         candidate: &Candidate,
         count: u64,
         requirements: &Requirements<'_>,
-        room: &Room,
+        server: &ServerCapacity,
         guarantees: &Guarantees,
         now: Moment,
     ) -> Option<Offer> {
         let mut victims: Vec<Victim> = Vec::new();
-        for task in self.servers[&room.id].members.keys() {
+        for task in self.servers[&server.id].members.keys() {
             let Some(victim) = self.victim(candidate, *task, guarantees, now) else { continue };
             match victims.iter_mut().find(|known| known.group == victim.group) {
                 Some(known) => known.freed.add(&victim.freed),
@@ -192,19 +193,19 @@
             }
         }
         victims.sort_by(|a, b| a.waste.total_cmp(&b.waste));
-        let mut used_after_stops = room.used_after_stops;
+        let mut used_after_stops = server.used_after_stops;
         let free_beside = |used_after_stops: &Resources| {
-            let mut free = room.capacity;
+            let mut free = server.capacity;
             free.remove(used_after_stops);
             free
         };
-        let mut offer = Offer::of(requirements.fitting(&room.id, &free_beside(&used_after_stops)), 0.0, count);
+        let mut offer = Offer::of(requirements.fitting(&server.id, &free_beside(&used_after_stops)), 0.0, count);
         let mut stopped = 0;
         let mut waste = 0.0;
         for (i, victim) in victims.iter().enumerate() {
             used_after_stops.remove(&victim.freed);
             waste += victim.waste;
-            let more = Offer::of(requirements.fitting(&room.id, &free_beside(&used_after_stops)), waste, count);
+            let more = Offer::of(requirements.fitting(&server.id, &free_beside(&used_after_stops)), waste, count);
             if more.rate < offer.rate {
                 offer = more;
                 stopped = i + 1;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -9,7 +9,7 @@
     archive::Archived,
     crashes::LapsedLeases,
     evacuation::Evacuations,
-    fleet_capacity::Rooms,
+    fleet_capacity::FleetCapacity,
     headroom::StopDurations,
     maintenance::Maintenance,
     observations::Observation,
@@ -77,7 +77,7 @@
     /// How many occurrences plans have looked at anew.
     pub(crate) refreshed: u64,
     /// Room as of the latest plan.
-    pub(crate) rooms: Rooms,
+    pub(crate) fleet: FleetCapacity,
     /// Backend servers whose rooms may have changed since.
     pub(crate) stale_servers: Vec<BackendServerId>,
     /// Backend servers whose rooms change with time.
@@ -137,7 +137,7 @@
             changed: BTreeSet::new(),
             ready: BTreeMap::new(),
             refreshed: 0,
-            rooms: Rooms::default(),
+            fleet: FleetCapacity::default(),
             stale_servers: Vec::new(),
             time_dependent: Vec::new(),
             isolated_retries: BTreeMap::new(),
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -15,7 +15,7 @@
 
 /// Room of one backend server.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Room {
+pub(crate) struct ServerCapacity {
     pub(crate) id: BackendServerId,
     pub(crate) service: ServiceId,
     pub(crate) rack: Arc<str>,
@@ -63,20 +63,20 @@
 }
 
 impl Totals {
-    pub(crate) fn add(&mut self, room: &Room) {
-        self.free += room.free_accelerators();
-        self.used += room.used_accelerators();
-        self.all += room.capacity.accelerators;
+    pub(crate) fn add(&mut self, server_capacity: &ServerCapacity) {
+        self.free += server_capacity.free_accelerators();
+        self.used += server_capacity.used_accelerators();
+        self.all += server_capacity.capacity.accelerators;
     }
 
-    pub(crate) fn remove(&mut self, room: &Room) {
-        self.free -= room.free_accelerators();
-        self.used -= room.used_accelerators();
-        self.all -= room.capacity.accelerators;
+    pub(crate) fn remove(&mut self, server_capacity: &ServerCapacity) {
+        self.free -= server_capacity.free_accelerators();
+        self.used -= server_capacity.used_accelerators();
+        self.all -= server_capacity.capacity.accelerators;
     }
 }
 
-impl Room {
+impl ServerCapacity {
     /// Takes more, or gives back what is being stopped.
     pub(crate) fn update_used_after_stops(&mut self, change: impl FnOnce(&mut Resources)) {
         change(&mut self.used_after_stops);
@@ -95,18 +95,24 @@
 
 impl Scheduler {
     /// Room as it is now; `None` of a backend server of which only an earlier scheduler's placements tell.
-    pub(crate) fn room(&self, id: &BackendServerId, now: Moment) -> Option<Room> {
+    pub(crate) fn server_capacity(&self, id: &BackendServerId, now: Moment) -> Option<ServerCapacity> {
         let server = self.servers.get(id)?;
         let info = server.info.as_ref()?;
-        Some(self.room_of(id, server, info, now))
+        Some(self.server_capacity_of(id, server, info, now))
     }
 
-    fn room_of(&self, id: &BackendServerId, server: &Server, info: &ServerInfo, now: Moment) -> Room {
+    fn server_capacity_of(
+        &self,
+        id: &BackendServerId,
+        server: &Server,
+        info: &ServerInfo,
+        now: Moment,
+    ) -> ServerCapacity {
         let isolated_retry = self.isolated_retries.get(id);
         let accepts_work =
             server.accepts_work(now) && isolated_retry != Some(&IsolatedRetry::Started) && self.may_renew(id);
         let free = server.free();
-        let mut room = Room {
+        let mut server_capacity = ServerCapacity {
             id: id.clone(),
             service: info.service.clone(),
             rack: Arc::clone(&info.rack),
@@ -130,13 +136,13 @@
         for task in server.members.keys() {
             let Some(name) = self.group_of(*task) else { continue };
             let step = self.step(name);
-            room.best_effort += u64::from(step.best_effort);
-            room.serving += u64::from(step.target.is_some());
+            server_capacity.best_effort += u64::from(step.best_effort);
+            server_capacity.serving += u64::from(step.target.is_some());
             if self.group(name).stopping.is_some() {
-                room.used_after_stops.remove(&step.counted_resources());
+                server_capacity.used_after_stops.remove(&step.counted_resources());
             }
         }
-        room.update_used_after_stops(|_| ());
-        room
+        server_capacity.update_used_after_stops(|_| ());
+        server_capacity
     }
 }
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -144,11 +144,12 @@
         let name = GroupId { occurrence, step: ready.step, group };
         let requirements = self.requirements(&Candidate::for_diagnosis(name), now)?;
         let has_isolated_retry = ready.groups.is_empty() && self.awaits_isolated_retry(name, now);
-        let no_headroom = !requirements.urgent && !self.leaves_headroom(&requirements, 0, 1, &self.rooms);
+        let no_headroom = !requirements.urgent && !self.leaves_headroom(&requirements, 0, 1, &self.fleet);
         let held_back_by = if has_isolated_retry { Some("trial") } else { no_headroom.then_some("headroom") };
-        let with_room: Vec<_> = self.rooms.iter().filter(|(_, room)| room.free.contains(&requirements.need)).collect();
-        let allowed: Vec<_> = with_room.iter().filter(|(_, room)| requirements.allows(room)).collect();
-        let avoided = allowed.iter().filter(|(_, room)| self.avoids(name, room, now)).count();
+        let with_room: Vec<_> =
+            self.fleet.iter().filter(|(_, server)| server.free.contains(&requirements.need)).collect();
+        let allowed: Vec<_> = with_room.iter().filter(|(_, server)| requirements.allows(server)).collect();
+        let avoided = allowed.iter().filter(|(_, server)| self.avoids(name, server, now)).count();
         Some(WaitsFor::Place(Places { with_room: with_room.len(), allowed: allowed.len(), avoided, held_back_by }))
     }
 }
