--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     Scheduler,
-    placement::Places,
+    placement::Placements,
     policy::ServiceId,
     server::Server,
     server_capacity::{ServerCapacity, Totals},
@@ -86,7 +86,7 @@
     }
 
     /// Takes room for a task of a step at each place.
-    pub(crate) fn claim(&mut self, step: &Step, places: &Places) {
+    pub(crate) fn claim(&mut self, step: &Step, places: &Placements) {
         let need = &step.counted_resources();
         for &(_, slot) in places {
             let server = self.by_index[slot.0].as_mut().expect("places are chosen among the rooms");
@@ -104,7 +104,7 @@
     }
 
     /// Nothing else is placed there for now.
-    pub(crate) fn close(&mut self, places: &Places) {
+    pub(crate) fn close(&mut self, places: &Placements) {
         for &(_, slot) in places {
             let server = self.by_index[slot.0].as_mut().expect("places are chosen among the rooms");
             let totals = self.totals.entry(server.service.clone()).or_default();
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -21,7 +21,7 @@
 const AVOID: Duration = Duration::from_secs(3);
 
 /// Where each task of a group goes.
-pub(crate) type Places = Vec<(u32, ServerIndex)>;
+pub(crate) type Placements = Vec<(u32, ServerIndex)>;
 
 /// Rooms in the order in which they are to be filled, each with the number of tasks that it may take.
 type Order<'r> = Vec<(ServerIndex, &'r ServerCapacity, u64)>;
@@ -30,7 +30,7 @@
 struct Filling<'l> {
     /// Groups that have no place yet.
     left: &'l mut Vec<usize>,
-    places: Places,
+    places: Placements,
 }
 
 impl Scheduler {
@@ -44,8 +44,8 @@
         part: impl Fn(&ServerCapacity) -> Resources,
         left: &mut Vec<usize>,
         now: Moment,
-    ) -> Places {
-        let mut filling = Filling { left, places: Places::new() };
+    ) -> Placements {
+        let mut filling = Filling { left, places: Placements::new() };
         if !self.headroom_allows(candidate, requirements, 0, 1, fleet) {
             return filling.places;
         }
@@ -136,7 +136,7 @@
         fleet: &FleetCapacity,
         part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
-    ) -> Option<Places> {
+    ) -> Option<Placements> {
         let slowest = fleet.slowest();
         let classes = SpeedClass::ALL.iter().filter(|class| requirements.urgent && **class < slowest);
         let mut faster = classes.filter_map(|class| {
@@ -155,7 +155,7 @@
         fleet: &FleetCapacity,
         part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
-    ) -> Option<Places> {
+    ) -> Option<Placements> {
         let count = u64::from(requirements.step.count);
         let slots = self.slots_by_rack(name, requirements, fleet, &part, now);
         // Work that can wait fills the racks from the first, so that whole racks stay free for what cannot.
@@ -220,8 +220,8 @@
         racks: &[&Rack],
         part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
-    ) -> Option<Places> {
-        let mut places = Places::new();
+    ) -> Option<Placements> {
+        let mut places = Placements::new();
         let mut indices = 0..requirements.step.count;
         let suspect = is_suspect(self.progress_of(name));
         let beside = |server: &ServerCapacity| if suspect { server.tasks } else { 0 };
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -4,7 +4,7 @@
 use model::{BackendServerId, Moment};
 
 use crate::{
-    Scheduler, candidate::Candidate, choose::Places, fleet::FleetCapacity, guarantee::Guarantees,
+    Scheduler, candidate::Candidate, choose::Placements, fleet::FleetCapacity, guarantee::Guarantees,
     server_capacity::ServerCapacity,
 };
 
@@ -89,7 +89,7 @@
         let waiting = if urgent && !left.is_empty() {
             self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut left, now)
         } else {
-            Places::new()
+            Placements::new()
         };
         fleet.claim(&step, &placed);
         if candidate.suspect {
@@ -110,6 +110,6 @@
 }
 
 /// Where tasks go, by the names of the backend servers.
-fn named(places: &Places, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
+fn named(places: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
     places.iter().map(|&(index, slot)| (index, fleet.id(slot).clone())).collect()
 }
