--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -14,7 +14,7 @@
 use outside::{Clock, SystemClock};
 use runtime::{
     Beside, RunningBox,
-    border::{Adviser, Machines},
+    platform::{Adviser, Machines},
 };
 use smol::net::TcpListener;
 use users_platform::{
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -22,7 +22,7 @@
 use outside::{Clock, SystemClock};
 use runtime::{
     Beside, RunningBox,
-    border::{BackendServers, Hold, HoldReply, Machines, PaceOrder, Start, StopReply, Target},
+    platform::{BackendServers, Hold, HoldReply, Machines, PaceOrder, Start, StopReply, Target},
 };
 use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -14,9 +14,9 @@
 
 use crate::{
     active::Active,
-    border::{DecodeError, ListedServer},
     follow::{Seen, WatchPace, follow},
     parts::Parts,
+    platform::{DecodeError, ListedServer},
 };
 
 /// How backend servers are watched. Each writes its entry every second or two, so that without a rest a watch would bring one change at a
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -13,11 +13,11 @@
 
 use crate::{
     active::Active,
-    border::Decoder,
     evacuated::Evacuated,
     follow::{Seen, WatchPace, follow},
     keys, pages,
     parts::Parts,
+    platform::Decoder,
 };
 
 /// Longest wait of the watch on the platform's evacuations.
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -8,14 +8,13 @@
 
 use crate::{
     active::{Active, ActiveSlot},
-    advice,
-    border::Target,
-    box_list, cleaner, directory,
+    advice, box_list, cleaner, directory,
     evacuated::Evacuated,
     evacuation, intake,
     links::Links,
     measure,
     parts::Parts,
+    platform::Target,
     predecessors::{self, Earlier},
     settings::Settings,
     unreached, upkeep,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -3,13 +3,12 @@
 //!
 //! Every box can take every request, since a job is accepted once the store holds it. The elected
 //! scheduler finds new jobs in the store. All I/O to the outside goes through the traits of
-//! [`border`], so that this crate knows no platform's protocol.
+//! [`platform`], so that this crate knows no platform's protocol.
 
 mod active;
 pub mod addresses;
 mod advice;
 pub mod answer_time;
-pub mod border;
 mod box_list;
 pub mod carrying;
 mod cleaner;
@@ -29,6 +28,7 @@
 mod outcome;
 mod pages;
 mod parts;
+pub mod platform;
 mod predecessors;
 mod probe;
 mod relay;
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -13,9 +13,9 @@
 
 use crate::{
     active::Active,
-    border::{Hold, HoldReply, Lease, PaceOrder, Start, StopReply, Target},
     measure,
     parts::Parts,
+    platform::{Hold, HoldReply, Lease, PaceOrder, Start, StopReply, Target},
     wait::{Backoff, at_most},
 };
 
--- a/crates/runtime/src/links.rs
+++ b/crates/runtime/src/links.rs
@@ -13,9 +13,9 @@
 use crate::{
     active::Active,
     addresses::Addresses,
-    border::Target,
     link_worker::{Worker, hold_loop, order_loop},
     parts::Parts,
+    platform::Target,
 };
 
 /// Orders that wait for one backend server; it is refused more. The channel has no bound of its own, since one that has
--- a/crates/runtime/src/parts.rs
+++ b/crates/runtime/src/parts.rs
@@ -5,7 +5,7 @@
 use outside::CoordinationStore;
 
 use crate::{
-    border::{Adviser, BackendServers, Decoder, Machines},
+    platform::{Adviser, BackendServers, Decoder, Machines},
     relay::Peers,
     view::View,
 };
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -11,13 +11,13 @@
 
 use crate::{
     active::ActiveSlot,
-    border::{Adviser, BackendServers, Decoder, Machines},
     box_list,
     configuration_watch::{self, follow_configuration},
     election,
     evacuation::{self, EvacuationOutcome},
     measure::{self, MeasuredStore},
     parts::Parts,
+    platform::{Adviser, BackendServers, Decoder, Machines},
     probe,
     relay::Peers,
     relay_service::RelayService,
--- a/crates/runtime/src/upkeep.rs
+++ b/crates/runtime/src/upkeep.rs
@@ -8,10 +8,10 @@
 
 use crate::{
     active::Active,
-    border::Machines,
     follow::{Seen, WatchPace, follow},
     keys, measure,
     parts::Parts,
+    platform::Machines,
     wait::{Backoff, pause},
 };
 
