--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -22,7 +22,7 @@
 use outside::{Clock, SystemClock};
 use runtime::{
     Beside, RunningBox,
-    platform::{BackendServers, Hold, HoldReply, Machines, PaceOrder, Start, StopReply, Target},
+    platform::{BackendServers, Heartbeat, HeartbeatReply, Machines, PaceOrder, Start, StopReply, Target},
 };
 use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
@@ -60,11 +60,11 @@
 }
 
 impl BackendServers for Gated {
-    fn hold(&self, target: Target, hold: Hold) -> BoxFuture<'_, Result<HoldReply, NetError>> {
-        if hold.lease.is_some() && self.gate.is_closed() {
+    fn heartbeat(&self, target: Target, heartbeat: Heartbeat) -> BoxFuture<'_, Result<HeartbeatReply, NetError>> {
+        if heartbeat.lease.is_some() && self.gate.is_closed() {
             self.renewed.fetch_add(1, Ordering::SeqCst);
         }
-        self.servers.hold(target, hold)
+        self.servers.heartbeat(target, heartbeat)
     }
 
     fn start(&self, target: Target, start: Start) -> BoxFuture<'_, StartReply> {
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -15,7 +15,7 @@
     active::Active,
     measure,
     parts::Parts,
-    platform::{Hold, HoldReply, Lease, PaceOrder, Start, StopReply, Target},
+    platform::{Heartbeat, HeartbeatReply, Lease, PaceOrder, Start, StopReply, Target},
     wait::{Backoff, at_most},
 };
 
@@ -45,7 +45,7 @@
 }
 
 /// Renews leases, takes listings in and acknowledges ends, until the backend server or the scheduler is gone.
-pub(crate) async fn hold_loop(worker: Worker, stored: Receiver<()>) {
+pub(crate) async fn heartbeat_loop(worker: Worker, stored: Receiver<()>) {
     let mut backoff = Backoff::new();
     let (mut first, mut heard, mut answered) = (true, false, false);
     let id = worker.target.id.clone();
@@ -53,15 +53,15 @@
         if active.has_ended() {
             return;
         }
-        let Some((target, hold)) = worker.next_hold(&active, answered) else { break };
-        let renews = hold.lease.is_some();
+        let Some((target, heartbeat)) = worker.next_heartbeat(&active, answered) else { break };
+        let renews = heartbeat.lease.is_some();
         let _ = stored.try_recv();
         let sent = worker.now();
-        let call = worker.parts.servers.hold(target, hold);
+        let call = worker.parts.servers.heartbeat(target, heartbeat);
         let reply = if std::mem::take(&mut first) { worker.first_calls.take(call).await } else { call.await };
-        measure::server_call("hold", hold_outcome(&reply));
+        measure::server_call("hold", heartbeat_outcome(&reply));
         match reply {
-            Ok(HoldReply::Listing(listing)) => {
+            Ok(HeartbeatReply::Listing(listing)) => {
                 answered = true;
                 backoff.reset();
                 if !std::mem::replace(&mut heard, true) {
@@ -71,8 +71,8 @@
                 active.update(|scheduler| scheduler.listing(&id, &listing, sent, now));
                 wait_for_store(&active, &id, &stored).await;
             }
-            Ok(HoldReply::Fenced) => return worker.fenced(&active),
-            Ok(HoldReply::Gone) => {
+            Ok(HeartbeatReply::Fenced) => return worker.fenced(&active),
+            Ok(HeartbeatReply::Gone) => {
                 let now = worker.now();
                 active.update(|scheduler| scheduler.server_ended(&id, now));
                 break;
@@ -151,7 +151,7 @@
     }
 
     /// Whom the next renewal means and what it carries; `None` once the backend server is of no interest any more.
-    fn next_hold(&self, active: &Active, answered: bool) -> Option<(Target, Hold)> {
+    fn next_heartbeat(&self, active: &Active, answered: bool) -> Option<(Target, Heartbeat)> {
         let id = &self.target.id;
         let mut scheduler = active.lock();
         let (from, now) = (Instant::now(), self.now());
@@ -176,8 +176,9 @@
         let witnesses = now > self.parts.view.confirmed_until() && scheduler.is_witness(id);
         let wait = if witnesses { wait.min(UNCONFIRMED_WAIT) } else { wait };
         let lease = lease.map(|length| Lease { from, length });
-        let hold = Hold { fence: scheduler.fence(), acknowledged: scheduler.acknowledged_serial(id), lease, wait };
-        Some((self.target(&scheduler), hold))
+        let heartbeat =
+            Heartbeat { fence: scheduler.fence(), acknowledged: scheduler.acknowledged_serial(id), lease, wait };
+        Some((self.target(&scheduler), heartbeat))
     }
 
     /// The backend server obeys a later scheduler.
@@ -279,11 +280,11 @@
     }
 }
 
-fn hold_outcome(reply: &Result<HoldReply, NetError>) -> &'static str {
+fn heartbeat_outcome(reply: &Result<HeartbeatReply, NetError>) -> &'static str {
     match reply {
-        Ok(HoldReply::Listing(_)) => "answered",
-        Ok(HoldReply::Fenced) => "fenced",
-        Ok(HoldReply::Gone) => "gone",
+        Ok(HeartbeatReply::Listing(_)) => "answered",
+        Ok(HeartbeatReply::Fenced) => "fenced",
+        Ok(HeartbeatReply::Gone) => "gone",
         Err(_) => "lost",
     }
 }
--- a/crates/runtime/src/links.rs
+++ b/crates/runtime/src/links.rs
@@ -13,7 +13,7 @@
 use crate::{
     active::Active,
     addresses::Addresses,
-    link_worker::{Worker, hold_loop, order_loop},
+    link_worker::{Worker, heartbeat_loop, order_loop},
     parts::Parts,
     platform::Target,
 };
@@ -97,7 +97,7 @@
             active: Arc::downgrade(active),
             first_calls: Arc::clone(&self.first_calls),
         };
-        let tasks = [smol::spawn(hold_loop(worker.clone(), stored_rx)), smol::spawn(order_loop(worker, order_rx))];
+        let tasks = [smol::spawn(heartbeat_loop(worker.clone(), stored_rx)), smol::spawn(order_loop(worker, order_rx))];
         table.by_id.insert(target.id.clone(), Link { target: target.clone(), orders, stored, _tasks: tasks });
     }
 
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -33,7 +33,7 @@
 
 /// Renews the lease of everything that runs on a backend server, acknowledges ends, and asks for its listing.
 #[derive(Debug, Clone)]
-pub struct Hold {
+pub struct Heartbeat {
     /// The scheduler's fencing token.
     pub fence: Fence,
     /// Ends up to this serial number are acknowledged.
@@ -44,9 +44,9 @@
     pub wait: Duration,
 }
 
-/// What a backend server answers to a [`Hold`].
+/// What a backend server answers to a [`Heartbeat`].
 #[derive(Debug, Clone)]
-pub enum HoldReply {
+pub enum HeartbeatReply {
     /// What it runs and what ended.
     Listing(Listing),
     /// It obeys a later scheduler.
@@ -104,7 +104,7 @@
 pub trait BackendServers: Send + Sync + 'static {
     /// Renews, acknowledges and lists. A listing of another life than the one that is meant names it, and then nothing was renewed or
     /// acknowledged.
-    fn hold(&self, target: Target, hold: Hold) -> BoxFuture<'_, Result<HoldReply, NetError>>;
+    fn heartbeat(&self, target: Target, heartbeat: Heartbeat) -> BoxFuture<'_, Result<HeartbeatReply, NetError>>;
     /// Starts a run. The error is an answer that did not come.
     fn start(&self, target: Target, start: Start) -> BoxFuture<'_, StartReply>;
     /// Stops a run.
