--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -14,7 +14,7 @@
 use outside::{Clock, SystemClock};
 use runtime::{
     Beside, RunningBox,
-    platform::{Adviser, Machines},
+    platform::{Machines, PermitService},
 };
 use smol::net::TcpListener;
 use users_platform::{
@@ -81,9 +81,12 @@
 
 /// The platform's adviser and machines, if the settings name them.
 fn beside(settings: &DeploymentSettings) -> Beside {
-    let adviser = |addr| Arc::new(UsersAdviser::new(Client::default(), addr)) as Arc<dyn Adviser>;
+    let permit_service = |addr| Arc::new(UsersAdviser::new(Client::default(), addr)) as Arc<dyn PermitService>;
     let machines = |addr| Arc::new(UsersMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
-    Beside { adviser: settings.adviser_address.map(adviser), machines: settings.machines_address.map(machines) }
+    Beside {
+        permit_service: settings.adviser_address.map(permit_service),
+        machines: settings.machines_address.map(machines),
+    }
 }
 
 /// Takes no new work, lets what is under way end, and gives up the election at once.
--- a/crates/runtime/src/advice.rs
+++ b/crates/runtime/src/advice.rs
@@ -6,7 +6,7 @@
 
 /// Asks whatever the latest plan wants to know, until it is dropped.
 pub(crate) async fn ask(parts: Parts, active: Arc<Active>) {
-    let Some(adviser) = parts.adviser.clone() else { return no_adviser(&active).await };
+    let Some(permit_service) = parts.permit_service.clone() else { return no_permit_service(&active).await };
     let mut backoff = Backoff::new();
     loop {
         let next = active.lock().take_permit_request();
@@ -15,7 +15,7 @@
             continue;
         };
         let sent = parts.view.clock().now();
-        let answer = adviser.advise(question.step, question.servers.clone(), question.takes).await;
+        let answer = permit_service.request_permits(question.step, question.servers.clone(), question.takes).await;
         measure::server_answer("advise", &answer);
         match answer {
             Ok(allowed) => {
@@ -32,7 +32,7 @@
 }
 
 /// Jobs of queues that need advice wait where the settings name no adviser; that is said once.
-async fn no_adviser(active: &Active) {
+async fn no_permit_service(active: &Active) {
     active.advice_wanted().await;
     log::error!("event=adviser_missing outcome=jobs_wait field=deployment.adviser_address");
 }
--- a/crates/runtime/src/parts.rs
+++ b/crates/runtime/src/parts.rs
@@ -5,7 +5,7 @@
 use outside::CoordinationStore;
 
 use crate::{
-    platform::{Adviser, BackendServers, Decoder, Machines},
+    platform::{BackendServers, Decoder, Machines, PermitService},
     relay::Peers,
     view::View,
 };
@@ -17,7 +17,7 @@
     pub(crate) servers: Arc<dyn BackendServers>,
     pub(crate) decoder: Arc<dyn Decoder>,
     /// `None` on a platform without one.
-    pub(crate) adviser: Option<Arc<dyn Adviser>>,
+    pub(crate) permit_service: Option<Arc<dyn PermitService>>,
     /// `None` on a platform that has no upkeep.
     pub(crate) machines: Option<Arc<dyn Machines>>,
     pub(crate) view: Arc<View>,
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -122,10 +122,10 @@
 }
 
 /// Tells where steps of some queues may run.
-pub trait Adviser: Send + Sync + 'static {
+pub trait PermitService: Send + Sync + 'static {
     /// Asks about a step; the answer names the backend servers that are allowed, with their tickets. `takes` is what
     /// the adviser itself needs for it.
-    fn advise(
+    fn request_permits(
         &self,
         step: StepId,
         servers: Vec<BackendServerId>,
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -17,7 +17,7 @@
     evacuation::{self, EvacuationOutcome},
     measure::{self, MeasuredStore},
     parts::Parts,
-    platform::{Adviser, BackendServers, Decoder, Machines},
+    platform::{BackendServers, Decoder, Machines, PermitService},
     probe,
     relay::Peers,
     relay_service::RelayService,
@@ -76,7 +76,7 @@
 #[derive(Clone, Default)]
 pub struct Beside {
     /// Tells where steps of some queues may run.
-    pub adviser: Option<Arc<dyn Adviser>>,
+    pub permit_service: Option<Arc<dyn PermitService>>,
     /// Its machines, and the upkeep that it gives them.
     pub machines: Option<Arc<dyn Machines>>,
 }
@@ -126,7 +126,7 @@
             store: Arc::clone(&store),
             servers,
             decoder: Arc::clone(&decoder),
-            adviser: beside.adviser,
+            permit_service: beside.permit_service,
             machines: beside.machines,
             view: Arc::clone(&view),
             peers: Arc::clone(&peers),
