--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -22,7 +22,7 @@
 use outside::{Clock, SystemClock};
 use runtime::{
     Beside, RunningBox,
-    platform::{BackendServers, Heartbeat, HeartbeatReply, Machines, PaceOrder, Start, StopReply, Target},
+    platform::{BackendServers, Heartbeat, HeartbeatReply, Machines, Start, StopReply, Target, ThrottleOrder},
 };
 use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
@@ -86,8 +86,8 @@
         self.servers.stop(target, fence, task, run)
     }
 
-    fn pace(&self, target: Target, order: PaceOrder) -> BoxFuture<'_, Result<bool, NetError>> {
-        self.servers.pace(target, order)
+    fn throttle(&self, target: Target, order: ThrottleOrder) -> BoxFuture<'_, Result<bool, NetError>> {
+        self.servers.throttle(target, order)
     }
 
     fn forget(&self, target: &Target) {
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -15,7 +15,7 @@
     active::Active,
     measure,
     parts::Parts,
-    platform::{Heartbeat, HeartbeatReply, Lease, PaceOrder, Start, StopReply, Target},
+    platform::{Heartbeat, HeartbeatReply, Lease, Start, StopReply, Target, ThrottleOrder},
     wait::{Backoff, at_most},
 };
 
@@ -115,7 +115,7 @@
                 worker.start(&active, target, start).await;
             }
             Order::Stop { task, run, .. } => worker.stop(&active, task, run).await,
-            Order::Throttle { task, run, percent, .. } => worker.pace(&active, task, run, percent).await,
+            Order::Throttle { task, run, percent, .. } => worker.throttle(&active, task, run, percent).await,
         }
     }
 }
@@ -262,10 +262,10 @@
     }
 
     /// Tells how fast a run may work. The scheduler repeats it if there is no answer.
-    async fn pace(&self, active: &Active, task: TaskId, run: RunNumber, percent: u32) {
-        let order = PaceOrder { fence: active.fence, task, run, percent };
+    async fn throttle(&self, active: &Active, task: TaskId, run: RunNumber, percent: u32) {
+        let order = ThrottleOrder { fence: active.fence, task, run, percent };
         let target = self.target(&active.lock());
-        let reply = self.parts.servers.pace(target, order).await;
+        let reply = self.parts.servers.throttle(target, order).await;
         measure::server_answer("pace", &reply);
         if let Ok(true) = reply {
             active.update(|scheduler| scheduler.throttle_replied(&self.target.id, task, run, percent));
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -76,7 +76,7 @@
 
 /// How fast a run may work.
 #[derive(Debug, Clone, Copy)]
-pub struct PaceOrder {
+pub struct ThrottleOrder {
     /// The scheduler's fencing token.
     pub fence: Fence,
     /// What.
@@ -116,7 +116,7 @@
         run: RunNumber,
     ) -> BoxFuture<'_, Result<StopReply, NetError>>;
     /// Lets a run work at a share of its speed. `true` if it does, `false` if it is not there or was refused.
-    fn pace(&self, target: Target, order: PaceOrder) -> BoxFuture<'_, Result<bool, NetError>>;
+    fn throttle(&self, target: Target, order: ThrottleOrder) -> BoxFuture<'_, Result<bool, NetError>>;
     /// Forgets the connections to a backend server that has gone.
     fn forget(&self, target: &Target);
 }
