--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -112,7 +112,7 @@
         })
     }
 
-    fn begin_upkeep(
+    fn begin_maintenance(
         &self,
         machine: MachineId,
         wave: u64,
@@ -120,7 +120,7 @@
         fence: Fence,
     ) -> BoxFuture<'_, MaintenanceReply> {
         self.begun.fetch_add(1, Ordering::SeqCst);
-        self.machines.begin_upkeep(machine, wave, holder, fence)
+        self.machines.begin_maintenance(machine, wave, holder, fence)
     }
 }
 
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -138,7 +138,7 @@
     /// All machines.
     fn list(&self) -> BoxFuture<'_, Result<Vec<Machine>, NetError>>;
     /// Hands a machine over for the upkeep of a wave; everything there dies at once. Safe to send twice.
-    fn begin_upkeep(
+    fn begin_maintenance(
         &self,
         machine: MachineId,
         wave: u64,
--- a/crates/runtime/src/upkeep.rs
+++ b/crates/runtime/src/upkeep.rs
@@ -108,7 +108,7 @@
         if !parts.view.may_schedule() {
             return;
         }
-        let reply = machines.begin_upkeep(machine.clone(), wave, box_id.clone(), active.fence).await;
+        let reply = machines.begin_maintenance(machine.clone(), wave, box_id.clone(), active.fence).await;
         let now = parts.view.clock().now();
         active.update(|scheduler| scheduler.maintenance_replied(wave, &machine, reply, now));
     }
