--- a/crates/runtime/src/keys.rs
+++ b/crates/runtime/src/keys.rs
@@ -74,7 +74,7 @@
     key.strip_prefix(PROGRESS)?.parse().ok()
 }
 
-pub(crate) fn wave(number: u64) -> String {
+pub(crate) fn maintenance(number: u64) -> String {
     format!("{WAVES}{number}")
 }
 
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -87,7 +87,7 @@
         smol::spawn(witnesses::keep(parts.clone(), Arc::clone(&active))),
         smol::spawn(cleaner::run(parts.clone(), Arc::clone(&active))),
         smol::spawn(advice::ask(parts.clone(), Arc::clone(&active))),
-        smol::spawn(upkeep::follow_waves(parts.clone(), Arc::clone(&active))),
+        smol::spawn(upkeep::follow_requests(parts.clone(), Arc::clone(&active))),
         smol::spawn(upkeep::run(parts.clone(), Arc::clone(&active), settings.box_id.clone())),
         smol::spawn(plan(parts.clone(), Arc::clone(&active), configuration.version)),
         smol::spawn(measure::tell_traffic(fence)),
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -177,11 +177,11 @@
     /// Reads a backend server's item.
     fn server(&self, item: &Item) -> Result<ListedServer, DecodeError>;
     /// Every wave of upkeep has a key under this prefix.
-    fn waves_prefix(&self) -> String;
+    fn maintenance_prefix(&self) -> String;
     /// Reads a wave's item.
-    fn wave(&self, item: &Item) -> Result<MaintenanceRequest, DecodeError>;
+    fn maintenance_request(&self, item: &Item) -> Result<MaintenanceRequest, DecodeError>;
     /// What operators read of a wave: the key, and the value.
-    fn wave_status(&self, number: u64, succeeded: bool) -> (String, Vec<u8>);
+    fn maintenance_status(&self, number: u64, succeeded: bool) -> (String, Vec<u8>);
     /// While the platform's operators have an availability zone evacuated, it has a key under this prefix.
     fn evacuations_prefix(&self) -> String;
     /// That key.
--- a/crates/runtime/src/upkeep.rs
+++ b/crates/runtime/src/upkeep.rs
@@ -25,8 +25,8 @@
 const WRITE_LIMIT: Duration = Duration::from_millis(800);
 
 /// Follows the waves that operators ask for.
-pub(crate) async fn follow_waves(parts: Parts, active: Arc<Active>) {
-    let prefix = parts.decoder.waves_prefix();
+pub(crate) async fn follow_requests(parts: Parts, active: Arc<Active>) {
+    let prefix = parts.decoder.maintenance_prefix();
     let (tx, rx) = smol::channel::unbounded();
     let on = |seen: Seen| {
         for item in seen.written() {
@@ -35,15 +35,15 @@
     };
     let take = async {
         while let Ok(item) = rx.recv().await {
-            take_wave(&parts, &active, &item).await;
+            apply_request(&parts, &active, &item).await;
         }
     };
     let watch = follow(&*parts.store, &parts.view, &prefix, None, WatchPace::at_once(WATCH_WAIT), on);
     futures_lite::FutureExt::or(watch, take).await;
 }
 
-async fn take_wave(parts: &Parts, active: &Active, item: &Item) {
-    let request: MaintenanceRequest = match parts.decoder.wave(item) {
+async fn apply_request(parts: &Parts, active: &Active, item: &Item) {
+    let request: MaintenanceRequest = match parts.decoder.maintenance_request(item) {
         Ok(request) => request,
         Err(e) => return log::error!("event=wave_unreadable why={e}"),
     };
@@ -56,7 +56,7 @@
 async fn read_progress(parts: &Parts, number: u64) -> MaintenanceProgress {
     let mut backoff = Backoff::new();
     loop {
-        match parts.store.get(keys::wave(number)).await {
+        match parts.store.get(keys::maintenance(number)).await {
             Ok(None) => return MaintenanceProgress::default(),
             Ok(Some(item)) => match serde_json::from_slice(&item.value) {
                 Ok(progress) => return progress,
@@ -66,7 +66,7 @@
                 }
             },
             Err(e) => {
-                log::info!("event=read_failed key={} why={e}", keys::wave(number));
+                log::info!("event=read_failed key={} why={e}", keys::maintenance(number));
                 backoff.wait().await;
             }
         }
@@ -118,9 +118,9 @@
 async fn store_progress(parts: &Parts, active: &Active) {
     let unstored = active.lock().pending_maintenance_writes();
     for (number, progress) in unstored {
-        let (status_key, status) = parts.decoder.wave_status(number, progress.succeeded);
+        let (status_key, status) = parts.decoder.maintenance_status(number, progress.succeeded);
         let value = serde_json::to_vec(&progress).expect("our own types always serialize");
-        let puts = [(keys::wave(number), value), (status_key, status)];
+        let puts = [(keys::maintenance(number), value), (status_key, status)];
         let transaction = Transaction {
             expect: vec![(keys::SCHEDULER.to_owned(), Revision(active.fence.0))],
             put: puts.into_iter().map(|(key, value)| Put { key, value, lease: None }).collect(),
