--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -55,7 +55,7 @@
         settings.runtime.clone(),
         peers,
         Store::new(Client::new(Purpose::Store), settings.store_address),
-        Arc::new(Servers::with_order_connections(settings.runtime.carrying.order_connections)),
+        Arc::new(Servers::with_order_connections(settings.runtime.capacity.order_connections)),
         Arc::new(UsersDecoder),
         beside(&settings),
         Arc::clone(&clock),
--- a/crates/martend/src/deployment/settings.rs
+++ b/crates/martend/src/deployment/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use model::{AvailabilityZoneId, BoxId, CheckError, Duration, JsonPath};
-use runtime::carrying::Carrying;
+use runtime::box_capacity::BoxCapacity;
 use scheduler::{Timing, Tuning};
 use serde::{Deserialize, Serialize};
 
@@ -124,7 +124,7 @@
                 cpu_share: raw.cpu_share,
                 link_mbps: raw.link_mbps,
                 memory_mb: raw.memory_mb,
-                carrying: Carrying::of(raw.cpu_share, raw.memory_mb, raw.descriptors),
+                capacity: BoxCapacity::new(raw.cpu_share, raw.memory_mb, raw.descriptors),
                 election_ttl,
                 watch_wait: WATCH_WAIT,
                 store_silence: STORE_SILENCE,
--- a/crates/runtime/src/carrying.rs
+++ b/crates/runtime/src/box_capacity.rs
@@ -16,21 +16,21 @@
 
 /// What a box can carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Carrying {
+pub struct BoxCapacity {
     /// Backend servers.
     pub servers: usize,
     /// Connections for orders that are kept between orders.
     pub order_connections: usize,
 }
 
-impl Carrying {
+impl BoxCapacity {
     /// By the box's share of a core, and the memory and the descriptors that its process may take.
-    pub fn of(cpu_share: f64, memory_mb: f64, descriptors: usize) -> Carrying {
+    pub fn new(cpu_share: f64, memory_mb: f64, descriptors: usize) -> BoxCapacity {
         let by_processor = (cpu_share * EACH_CORE) as usize;
         let by_memory = ((memory_mb - MEMORY_BESIDE_MB) / MEMORY_EACH_MB).max(1.0) as usize;
         let descriptors = descriptors.saturating_sub(DESCRIPTORS_BESIDE).max(2);
         let by_descriptors = (descriptors as f64 / DESCRIPTORS_EACH) as usize;
         let servers = by_processor.min(by_memory).min(by_descriptors).max(1);
-        Carrying { servers, order_connections: descriptors - servers }
+        BoxCapacity { servers, order_connections: descriptors - servers }
     }
 }
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -68,7 +68,7 @@
     };
     let restored = futures_lite::FutureExt::or(restored, expired).await;
     let Some((evacuations_to, known_to)) = restored else { return Finished::NotRestored };
-    let links = Links::new(parts.clone(), settings.carrying.servers);
+    let links = Links::new(parts.clone(), settings.capacity.servers);
     let active = Arc::new(Active::new(scheduler, evacuations, links));
     log::info!("event=scheduling fence={fence} revision={known_to} {:?}", active.lock().counts());
     slot.set(Arc::clone(&active));
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -5,7 +5,7 @@
 use model::{AvailabilityZoneId, BoxId, Duration};
 use scheduler::Timing;
 
-use crate::carrying::Carrying;
+use crate::box_capacity::BoxCapacity;
 
 /// A box's settings, checked.
 #[derive(Debug, Clone)]
@@ -25,7 +25,7 @@
     /// Memory that the box's process may take, in MB: boxes with more of it stand for election earlier.
     pub memory_mb: f64,
     /// How many backend servers the box can carry as the scheduler.
-    pub carrying: Carrying,
+    pub capacity: BoxCapacity,
     /// Lease of the scheduler's key: how long after its death another is elected.
     pub election_ttl: Duration,
     /// Longest wait of a watch that also tells whether the store is reached.
--- a/crates/runtime/tests/carrying.rs
+++ b/crates/runtime/tests/box_capacity.rs
@@ -1,6 +1,6 @@
 //! What a box takes on as the scheduler, by what it has.
 
-use runtime::carrying::Carrying;
+use runtime::box_capacity::BoxCapacity;
 
 /// Share of a core, memory in MB and descriptors of boxes that are in use, and backend servers that each must carry, or at most may.
 #[test]
@@ -11,7 +11,7 @@
         (1.0, 160.0, 4100, 2500, 2700),
         (1.0, 1024.0, 16_384, 11_700, 12_000),
     ] {
-        let carrying = Carrying::of(cpu_share, memory_mb, descriptors);
+        let carrying = BoxCapacity::new(cpu_share, memory_mb, descriptors);
         assert!((least..=most).contains(&carrying.servers), "{memory_mb} MB, {descriptors}: {carrying:?}");
         assert!(carrying.servers + carrying.order_connections <= descriptors - 600, "{carrying:?}");
         assert!(carrying.order_connections * 8 >= carrying.servers, "{carrying:?}");
@@ -20,5 +20,5 @@
 
 #[test]
 fn the_least_box_carries_something() {
-    assert_eq!(Carrying::of(0.00001, 1.0, 10).servers, 1);
+    assert_eq!(BoxCapacity::new(0.00001, 1.0, 10).servers, 1);
 }
