--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -90,8 +90,8 @@
         self.servers.throttle(target, order)
     }
 
-    fn forget(&self, target: &Target) {
-        self.servers.forget(target);
+    fn remove(&self, target: &Target) {
+        self.servers.remove(target);
     }
 }
 
--- a/crates/runtime/src/links.rs
+++ b/crates/runtime/src/links.rs
@@ -85,7 +85,7 @@
             return;
         }
         if let Some(moved) = table.by_id.remove(&target.id) {
-            self.parts.servers.forget(&moved.target);
+            self.parts.servers.remove(&moved.target);
             table.addresses.leave(&target.id, moved.target.addr);
         }
         table.addresses.open(&target.id, target.addr);
@@ -110,7 +110,7 @@
     pub(crate) fn close(&self, id: &BackendServerId) {
         let mut table = self.lock();
         if let Some(link) = table.by_id.remove(id) {
-            self.parts.servers.forget(&link.target);
+            self.parts.servers.remove(&link.target);
             table.addresses.close(id, link.target.addr);
         }
     }
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -118,7 +118,7 @@
     /// Lets a run work at a share of its speed. `true` if it does, `false` if it is not there or was refused.
     fn throttle(&self, target: Target, order: ThrottleOrder) -> BoxFuture<'_, Result<bool, NetError>>;
     /// Forgets the connections to a backend server that has gone.
-    fn forget(&self, target: &Target);
+    fn remove(&self, target: &Target);
 }
 
 /// Tells where steps of some queues may run.
