--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -13,7 +13,7 @@
 };
 use outside::{Clock, SystemClock};
 use runtime::{
-    Beside, RunningBox,
+    OptionalServices, RunningBox,
     platform::{Machines, PermitService},
 };
 use smol::net::TcpListener;
@@ -57,14 +57,14 @@
         Store::new(Client::new(Purpose::Store), settings.store_address),
         Arc::new(Servers::with_order_connections(settings.runtime.capacity.order_connections)),
         Arc::new(UsersDecoder),
-        beside(&settings),
+        optional_services(&settings),
         Arc::clone(&clock),
     ));
     let front = Front { requests: Arc::clone(&this_box.requests), view: Arc::clone(&this_box.view), clock };
     let (taking, stop) = smol::channel::bounded::<()>(1);
     let limits = ServerLimits { connections: MOST_CONNECTIONS, ..ServerLimits::default() };
     let serving = smol::spawn(serve_until(callers, Arc::new(front), Purpose::Callers, limits, stop));
-    let _beside = [
+    let _handlers = [
         smol::spawn(serve(readiness, Arc::new(Readiness { view: Arc::clone(&this_box.view) }))),
         smol::spawn(serve(metrics, Arc::new(OperatorsPages { this_box: Arc::clone(&this_box) }))),
     ];
@@ -80,10 +80,10 @@
 }
 
 /// The platform's adviser and machines, if the settings name them.
-fn beside(settings: &DeploymentSettings) -> Beside {
+fn optional_services(settings: &DeploymentSettings) -> OptionalServices {
     let permit_service = |addr| Arc::new(UsersAdviser::new(Client::default(), addr)) as Arc<dyn PermitService>;
     let machines = |addr| Arc::new(UsersMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
-    Beside {
+    OptionalServices {
         permit_service: settings.adviser_address.map(permit_service),
         machines: settings.machines_address.map(machines),
     }
--- a/crates/martend/tests/own_election.rs
+++ b/crates/martend/tests/own_election.rs
@@ -16,7 +16,7 @@
 use model::{Duration, Revision};
 use net::{BoxFuture, http::Client};
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, SystemClock, Transaction, Watched};
-use runtime::{Beside, RunningBox};
+use runtime::{OptionalServices, RunningBox};
 use smol::net::TcpListener;
 use users_platform::{decode::UsersDecoder, servers::Servers, store::Store};
 use users_platform_standin::{BoxAddrs, Setup, Work, free_addrs};
@@ -81,7 +81,7 @@
     let listener = TcpListener::bind(settings.peers_address).await.expect("its address is free");
     let (servers, decoder) = (Arc::new(Servers::default()), Arc::new(UsersDecoder));
     let clock = Arc::new(SystemClock::default());
-    RunningBox::start(settings, listener, store, servers, decoder, Beside::default(), clock)
+    RunningBox::start(settings, listener, store, servers, decoder, OptionalServices::default(), clock)
 }
 
 fn earlier_are_known(world: &World) -> bool {
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -21,7 +21,7 @@
 use net::{BoxFuture, NetError, http::Client};
 use outside::{Clock, SystemClock};
 use runtime::{
-    Beside, RunningBox,
+    OptionalServices, RunningBox,
     platform::{BackendServers, Heartbeat, HeartbeatReply, Machines, Start, StopReply, Target, ThrottleOrder},
 };
 use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
@@ -140,7 +140,7 @@
 async fn start_in_this_process(
     world: &World,
     servers: Arc<dyn BackendServers>,
-    beside: Beside,
+    beside: OptionalServices,
     clock: Arc<JumpingClock>,
 ) -> RunningBox {
     let addrs = free_addrs();
@@ -165,7 +165,8 @@
             renewed: AtomicUsize::new(0),
         });
         let clock = Arc::new(JumpingClock::default());
-        let a_box = start_in_this_process(&world, servers.clone(), Beside::default(), Arc::clone(&clock)).await;
+        let a_box =
+            start_in_this_process(&world, servers.clone(), OptionalServices::default(), Arc::clone(&clock)).await;
         world.platform.restore_server(0).await.expect("its address is free");
         let sent = || servers.starts.load(Ordering::SeqCst);
         until("the first start is under way", || async { sent() == 1 }).await;
@@ -195,7 +196,7 @@
             begun: AtomicUsize::new(0),
         });
         let clock = Arc::new(JumpingClock::default());
-        let beside = Beside { machines: Some(machines.clone()), ..Beside::default() };
+        let beside = OptionalServices { machines: Some(machines.clone()), ..OptionalServices::default() };
         let a_box = start_in_this_process(&world, Arc::new(Servers::default()), beside, Arc::clone(&clock)).await;
         until("the machines are asked for", || async { machines.listed.load(Ordering::SeqCst) == 1 }).await;
         world.platform.set_store_down(true);
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -50,7 +50,7 @@
     evacuation::EvacuationOutcome,
     outcome::{CancelOutcome, StateOutcome, SubmitOutcome},
     requests::Requests,
-    running_box::{Beside, RunningBox, Status},
+    running_box::{OptionalServices, RunningBox, Status},
     settings::Settings,
     view::View,
 };
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -74,7 +74,7 @@
 
 /// What a platform may have beside its store and its backend servers.
 #[derive(Clone, Default)]
-pub struct Beside {
+pub struct OptionalServices {
     /// Tells where steps of some queues may run.
     pub permit_service: Option<Arc<dyn PermitService>>,
     /// Its machines, and the upkeep that it gives them.
@@ -101,7 +101,7 @@
         store: impl CoordinationStore,
         servers: Arc<dyn BackendServers>,
         decoder: Arc<dyn Decoder>,
-        beside: Beside,
+        optional_services: OptionalServices,
         clock: Arc<dyn Clock>,
     ) -> RunningBox {
         let store: Arc<dyn CoordinationStore> = Arc::new(MeasuredStore(store));
@@ -126,8 +126,8 @@
             store: Arc::clone(&store),
             servers,
             decoder: Arc::clone(&decoder),
-            permit_service: beside.permit_service,
-            machines: beside.machines,
+            permit_service: optional_services.permit_service,
+            machines: optional_services.machines,
             view: Arc::clone(&view),
             peers: Arc::clone(&peers),
         };
