--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -8,12 +8,13 @@
 
 use crate::{
     active::{Active, ActiveSlot},
-    advice, box_list, cleaner, directory,
+    box_list, cleaner, directory,
     evacuated::Evacuated,
     evacuation, intake,
     links::Links,
     measure,
     parts::Parts,
+    permits,
     platform::Target,
     predecessors::{self, Earlier},
     settings::Settings,
@@ -86,7 +87,7 @@
         smol::spawn(unreached::keep(parts.clone(), Arc::clone(&active))),
         smol::spawn(witnesses::keep(parts.clone(), Arc::clone(&active))),
         smol::spawn(cleaner::run(parts.clone(), Arc::clone(&active))),
-        smol::spawn(advice::ask(parts.clone(), Arc::clone(&active))),
+        smol::spawn(permits::run(parts.clone(), Arc::clone(&active))),
         smol::spawn(upkeep::follow_requests(parts.clone(), Arc::clone(&active))),
         smol::spawn(upkeep::run(parts.clone(), Arc::clone(&active), settings.box_id.clone())),
         smol::spawn(plan(parts.clone(), Arc::clone(&active), configuration.version)),
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -7,7 +7,6 @@
 
 mod active;
 pub mod addresses;
-mod advice;
 pub mod answer_time;
 pub mod box_capacity;
 mod box_list;
@@ -28,6 +27,7 @@
 mod outcome;
 mod pages;
 mod parts;
+mod permits;
 pub mod platform;
 mod predecessors;
 mod probe;
--- a/crates/runtime/src/advice.rs
+++ b/crates/runtime/src/permits.rs
@@ -5,7 +5,7 @@
 use crate::{active::Active, measure, parts::Parts, wait::Backoff};
 
 /// Asks whatever the latest plan wants to know, until it is dropped.
-pub(crate) async fn ask(parts: Parts, active: Arc<Active>) {
+pub(crate) async fn run(parts: Parts, active: Arc<Active>) {
     let Some(permit_service) = parts.permit_service.clone() else { return no_permit_service(&active).await };
     let mut backoff = Backoff::new();
     loop {
