--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -10,8 +10,8 @@
 
 use crate::{
     active::Active,
+    context::Context,
     keys, pages,
-    parts::Parts,
     relay_boxes::{ListedBox, RelayBoxes},
     settings::Settings,
     view::View,
@@ -28,7 +28,7 @@
 const ASK_LIMIT: Duration = Duration::from_millis(400);
 
 /// Writes where this box is, for as long as it takes.
-pub(crate) async fn list_this_box(settings: Settings, parts: Parts) {
+pub(crate) async fn list_this_box(settings: Settings, cx: Context) {
     let here = ListedBox {
         addr: settings.peers_address,
         availability_zone: settings.availability_zone.clone(),
@@ -39,7 +39,7 @@
     let mut backoff = Backoff::new();
     loop {
         let transaction = Transaction { put: vec![put.clone()], ..Transaction::default() };
-        match parts.store.commit(transaction, WRITE_LIMIT).await {
+        match cx.store.commit(transaction, WRITE_LIMIT).await {
             Ok(_) => return,
             Err(e) => log::debug!("event=box_not_listed why={e}"),
         }
@@ -56,15 +56,15 @@
 }
 
 /// Names boxes for as long as this one schedules.
-pub(crate) async fn name_relay_boxes(parts: Parts, active: Arc<Active>) {
+pub(crate) async fn name_relay_boxes(cx: Context, active: Arc<Active>) {
     let mut silent = BTreeSet::new();
     pause(FIRST_LOOK).await;
     loop {
-        if let Ok(listed) = pages::read_once(&*parts.store, keys::BOXES).await {
+        if let Ok(listed) = pages::read_once(&*cx.store, keys::BOXES).await {
             let boxes = boxes(&listed.items);
-            let choice = answering(&parts, &boxes, &mut silent).await;
-            if choice != *parts.view.relay_boxes() {
-                store(&parts, &active, choice).await;
+            let choice = answering(&cx, &boxes, &mut silent).await;
+            if choice != *cx.view.relay_boxes() {
+                store(&cx, &active, choice).await;
             }
         }
         pause(LOOK_EVERY).await;
@@ -72,7 +72,7 @@
 }
 
 /// Boxes that answer: the list also holds those that have gone. One that is silent now is tried again at the next look.
-async fn answering(parts: &Parts, boxes: &BTreeMap<BoxId, ListedBox>, silent: &mut BTreeSet<BoxId>) -> RelayBoxes {
+async fn answering(cx: &Context, boxes: &BTreeMap<BoxId, ListedBox>, silent: &mut BTreeSet<BoxId>) -> RelayBoxes {
     let left = |silent: &BTreeSet<BoxId>| {
         boxes.iter().filter(|(id, _)| !silent.contains(*id)).map(|(id, listed)| (id.clone(), listed.clone())).collect()
     };
@@ -80,7 +80,7 @@
     silent.clear();
     let mut asked = Vec::new();
     for (id, relay) in &choice.named {
-        let (peers, addr, id) = (Arc::clone(&parts.peers), relay.addr, id.clone());
+        let (peers, addr, id) = (Arc::clone(&cx.peers), relay.addr, id.clone());
         asked.push(smol::spawn(async move { (peers.answers(addr, ASK_LIMIT).await, id) }));
     }
     for question in asked {
@@ -92,17 +92,17 @@
     RelayBoxes { of: boxes.len(), ..RelayBoxes::choose(&left(silent)) }
 }
 
-async fn store(parts: &Parts, active: &Active, choice: RelayBoxes) {
+async fn store(cx: &Context, active: &Active, choice: RelayBoxes) {
     let value = serde_json::to_vec(&choice).expect("our own types always serialize");
     let transaction = Transaction {
         expect: vec![(keys::SCHEDULER.to_owned(), Revision(active.fence.0))],
         put: vec![Put { key: keys::RELAY_BOXES.to_owned(), value, lease: None }],
         remove: Vec::new(),
     };
-    match parts.store.commit(transaction, WRITE_LIMIT).await {
+    match cx.store.commit(transaction, WRITE_LIMIT).await {
         Ok(Committed::Done(_)) => {
             log::info!("event=relay_boxes named={} of={}", choice.named.len(), choice.of);
-            parts.view.set_relay_boxes(choice);
+            cx.view.set_relay_boxes(choice);
         }
         outcome => log::info!("event=relay_boxes_not_stored outcome={outcome:?}"),
     }
--- a/crates/runtime/src/cleaner.rs
+++ b/crates/runtime/src/cleaner.rs
@@ -7,7 +7,7 @@
 use outside::{Committed, Put, StoreError, Transaction};
 use scheduler::Archival;
 
-use crate::{active::Active, keys, parts::Parts, wait::pause};
+use crate::{active::Active, context::Context, keys, wait::pause};
 
 /// Most entries of a transaction that the users' store allows.
 const MOST_ENTRIES: usize = 32;
@@ -25,8 +25,8 @@
 
 /// Clears the store, until it is dropped. Its calls are beside the writer's, which they do not hold up: what they
 /// touch is over, and what is over is not written any more.
-pub(crate) async fn run(parts: Parts, active: Arc<Active>) {
-    let cleaner = Cleaner { parts, active };
+pub(crate) async fn run(cx: Context, active: Arc<Active>) {
+    let cleaner = Cleaner { cx, active };
     loop {
         pause(CLEAN_EVERY).await;
         if let Err(outcome) = cleaner.clean().await {
@@ -36,7 +36,7 @@
 }
 
 struct Cleaner {
-    parts: Parts,
+    cx: Context,
     active: Arc<Active>,
 }
 
@@ -46,7 +46,7 @@
 impl Cleaner {
     /// Clears all that can be cleared now.
     async fn clean(&self) -> Result<(), NotDone> {
-        let now = self.parts.view.clock().now();
+        let now = self.cx.view.clock().now();
         while self.archive(now).await? || self.remove_orphans().await? || self.forget(now).await? {}
         Ok(())
     }
@@ -100,7 +100,7 @@
     /// Makes a write that only the elected scheduler can make.
     async fn commit(&self, mut transaction: Transaction) -> Result<(), NotDone> {
         transaction.expect.push((keys::SCHEDULER.to_owned(), Revision(self.active.fence.0)));
-        match self.parts.store.commit(transaction, CALL_LIMIT).await {
+        match self.cx.store.commit(transaction, CALL_LIMIT).await {
             Ok(Committed::Done(_)) => Ok(()),
             outcome => Err(outcome),
         }
--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -13,8 +13,8 @@
 use model::Duration;
 
 use crate::{
+    context::Context,
     follow::{Follower, Seen, WatchPace},
-    parts::Parts,
     settings::Settings,
     view::View,
     wait::{Backoff, pause},
@@ -30,21 +30,21 @@
 const NO_WAIT: Duration = Duration::from_millis(1);
 
 /// Follows the configuration until it is dropped.
-pub(crate) async fn follow_configuration(settings: Settings, parts: Parts) {
-    let key = parts.decoder.configuration_key();
+pub(crate) async fn follow_configuration(settings: Settings, cx: Context) {
+    let key = cx.decoder.configuration_key();
     let mut source = Source::default();
     let mut follower = Follower { from: None, backoff: Backoff::new() };
     pause(FIRST_WAIT).await;
     loop {
-        let relay = source.relay(&settings, &parts.view);
+        let relay = source.relay(&settings, &cx.view);
         if let Some(addr) = relay {
-            source.take_reply(addr, ask_relay(&parts, addr).await);
+            source.take_reply(addr, ask_relay(&cx, addr).await);
             continue;
         }
         let pace = WatchPace::at_once(source.store_wait(settings.watch_wait));
-        let mut on = |seen: Seen| take(&parts, &key, seen);
-        if follower.step(&*parts.store, &parts.view, &key, pace, &mut on).await {
-            parts.view.confirm_configuration();
+        let mut on = |seen: Seen| take(&cx, &key, seen);
+        if follower.step(&*cx.store, &cx.view, &key, pace, &mut on).await {
+            cx.view.confirm_configuration();
         }
         source.ask_store = false;
     }
@@ -96,28 +96,28 @@
 }
 
 /// Waits at another box for a configuration above the known one. Returns whether that box vouches for what is known now.
-async fn ask_relay(parts: &Parts, addr: SocketAddr) -> bool {
-    let above = parts.view.configuration().map_or(0, |known| known.version);
-    let asked = parts.peers.configuration(addr, above, RELAY_WAIT, RELAY_WAIT + RELAY_SLACK).await;
+async fn ask_relay(cx: &Context, addr: SocketAddr) -> bool {
+    let above = cx.view.configuration().map_or(0, |known| known.version);
+    let asked = cx.peers.configuration(addr, above, RELAY_WAIT, RELAY_WAIT + RELAY_SLACK).await;
     let Some(document) = asked else { return false };
-    parts.view.peer_answered();
+    cx.view.peer_answered();
     if !document.is_empty() {
-        take_document(parts, &document);
+        take_document(cx, &document);
     }
-    parts.view.configuration().is_some()
+    cx.view.configuration().is_some()
 }
 
-fn take(parts: &Parts, key: &str, seen: Seen) {
+fn take(cx: &Context, key: &str, seen: Seen) {
     for item in seen.written().iter().filter(|item| item.key == key) {
-        take_document(parts, &item.value);
+        take_document(cx, &item.value);
     }
 }
 
 /// Takes in a document as the operators wrote it.
-pub(crate) fn take_document(parts: &Parts, document: &[u8]) {
-    match parts.decoder.configuration(document) {
+pub(crate) fn take_document(cx: &Context, document: &[u8]) {
+    match cx.decoder.configuration(document) {
         Ok(new) => {
-            parts.view.take_configuration(new);
+            cx.view.take_configuration(new);
         }
         Err(e) => log::error!("event=configuration_unreadable why={e}"),
     }
--- a/crates/runtime/src/parts.rs
+++ b/crates/runtime/src/context.rs
@@ -12,7 +12,7 @@
 
 /// What a scheduling box works with.
 #[derive(Clone)]
-pub(crate) struct Parts {
+pub(crate) struct Context {
     pub(crate) store: Arc<dyn CoordinationStore>,
     pub(crate) servers: Arc<dyn BackendServers>,
     pub(crate) decoder: Arc<dyn Decoder>,
--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -14,8 +14,8 @@
 
 use crate::{
     active::Active,
+    context::Context,
     follow::{Seen, WatchPace, follow},
-    parts::Parts,
     platform::{DecodeError, ListedServer},
 };
 
@@ -30,60 +30,59 @@
 type Listed = HashMap<BackendServerId, ListedServer>;
 
 /// Follows the platform's list of backend servers.
-pub(crate) async fn follow_servers(parts: Parts, active: Arc<Active>) {
-    let prefix = parts.decoder.servers_prefix();
+pub(crate) async fn follow_servers(cx: Context, active: Arc<Active>) {
+    let prefix = cx.decoder.servers_prefix();
     let mut listed = Listed::new();
     let on = |seen: Seen| match seen {
-        Seen::All(items) => take_all(&parts, &active, &mut listed, &items),
+        Seen::All(items) => take_all(&cx, &active, &mut listed, &items),
         Seen::Changes(changes) => {
             for change in &changes {
                 match change {
                     Change::Put(item) => {
-                        if take(&parts, &active, &mut listed, item) {
-                            tell_new(&parts, &listed, item);
+                        if take(&cx, &active, &mut listed, item) {
+                            tell_new(&cx, &listed, item);
                         }
                     }
-                    Change::Removed { key } => remove(&parts, &active, &mut listed, key),
+                    Change::Removed { key } => remove(&cx, &active, &mut listed, key),
                 }
             }
         }
     };
-    follow(&*parts.store, &parts.view, &prefix, None, WATCH, on).await;
+    follow(&*cx.store, &cx.view, &prefix, None, WATCH, on).await;
 }
 
-fn take_all(parts: &Parts, active: &Arc<Active>, listed: &mut Listed, items: &[Item]) {
-    let there: HashSet<BackendServerId> =
-        items.iter().filter_map(|item| parts.decoder.server_of_key(&item.key)).collect();
+fn take_all(cx: &Context, active: &Arc<Active>, listed: &mut Listed, items: &[Item]) {
+    let there: HashSet<BackendServerId> = items.iter().filter_map(|item| cx.decoder.server_of_key(&item.key)).collect();
     // What runs is heard of first.
     let busy = |item: &&Item| {
-        let id = parts.decoder.server_of_key(&item.key);
+        let id = cx.decoder.server_of_key(&item.key);
         id.is_some_and(|id| active.lock().is_busy(&id))
     };
     let (first, mut rest): (Vec<&Item>, Vec<&Item>) = items.iter().partition(busy);
     if !active.links.has_room_for(items.len()) {
         // Whole racks, of which a gang may ask for one.
-        rest.sort_by_cached_key(|item| parts.decoder.server(item).map(|server| server.info.rack).ok());
+        rest.sort_by_cached_key(|item| cx.decoder.server(item).map(|server| server.info.rack).ok());
         log::warn!("event=carries_a_part fence={} listed={}", active.fence, items.len());
     }
     for item in first.into_iter().chain(rest) {
-        take(parts, active, listed, item);
+        take(cx, active, listed, item);
     }
     let gone: Vec<BackendServerId> = listed.keys().filter(|id| !there.contains(id)).cloned().collect();
     for id in gone {
         listed.remove(&id);
-        unlist(parts, active, &id);
+        unlist(cx, active, &id);
     }
 }
 
 /// Returns whether the entry names a backend server that was not listed before.
-fn take(parts: &Parts, active: &Arc<Active>, listed: &mut Listed, item: &Item) -> bool {
-    match read(parts, listed, item) {
+fn take(cx: &Context, active: &Arc<Active>, listed: &mut Listed, item: &Item) -> bool {
+    match read(cx, listed, item) {
         Ok(server) => {
             let id = server.target.id.clone();
             if listed.get(&id) == Some(&server) && (active.links.is_open(&id) || !may_open(active, &id)) {
                 return false;
             }
-            take_server(parts, active, server.clone());
+            take_server(cx, active, server.clone());
             listed.insert(id, server).is_none()
         }
         Err(e) => {
@@ -93,8 +92,8 @@
     }
 }
 
-fn tell_new(parts: &Parts, listed: &Listed, item: &Item) {
-    let server = parts.decoder.server_of_key(&item.key).and_then(|id| listed.get(&id));
+fn tell_new(cx: &Context, listed: &Listed, item: &Item) {
+    let server = cx.decoder.server_of_key(&item.key).and_then(|id| listed.get(&id));
     if let Some(ListedServer { target, .. }) = server {
         let incarnation = target.incarnation.map(|incarnation| incarnation.to_string()).unwrap_or_default();
         log::info!("server={} event=listed incarnation={incarnation}", target.id);
@@ -103,19 +102,19 @@
 
 /// Reads an entry, unless it comes from another writer: that one names no backend server, and above all none that
 /// would have taken the place of another one at its address.
-fn read(parts: &Parts, listed: &Listed, item: &Item) -> Result<ListedServer, DecodeError> {
-    let server = parts.decoder.server(item)?;
+fn read(cx: &Context, listed: &Listed, item: &Item) -> Result<ListedServer, DecodeError> {
+    let server = cx.decoder.server(item)?;
     let service = &server.info.service;
     let known = listed.get(&server.target.id).is_some_and(|known| known.info.service == *service);
-    let configured = || parts.view.configuration().is_some_and(|known| known.services.contains(service));
+    let configured = || cx.view.configuration().is_some_and(|known| known.services.contains(service));
     if known || configured() {
         return Ok(server);
     }
     Err(DecodeError { key: item.key.clone(), why: format!("no configuration names the service {service}") })
 }
 
-fn take_server(parts: &Parts, active: &Arc<Active>, server: ListedServer) {
-    let now = parts.view.clock().now();
+fn take_server(cx: &Context, active: &Arc<Active>, server: ListedServer) {
+    let now = cx.view.clock().now();
     let ListedServer { target, info } = server;
     active.update(|scheduler| scheduler.server_listed(target.id.clone(), info, now));
     if may_open(active, &target.id) {
@@ -128,15 +127,15 @@
     active.links.has_room() || active.lock().is_busy(id)
 }
 
-fn remove(parts: &Parts, active: &Arc<Active>, listed: &mut Listed, key: &str) {
-    if let Some(id) = parts.decoder.server_of_key(key) {
+fn remove(cx: &Context, active: &Arc<Active>, listed: &mut Listed, key: &str) {
+    if let Some(id) = cx.decoder.server_of_key(key) {
         listed.remove(&id);
-        unlist(parts, active, &id);
+        unlist(cx, active, &id);
     }
 }
 
-fn unlist(parts: &Parts, active: &Arc<Active>, id: &BackendServerId) {
+fn unlist(cx: &Context, active: &Arc<Active>, id: &BackendServerId) {
     log::info!("server={id} event=unlisted");
-    let now = parts.view.clock().now();
+    let now = cx.view.clock().now();
     active.update(|scheduler| scheduler.server_unlisted(id, now));
 }
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -10,10 +10,10 @@
 use crate::{
     active::ActiveSlot,
     box_list,
+    context::Context,
     follow::{Follower, Seen, WatchPace},
     keys,
     leader::{self, Finished},
-    parts::Parts,
     predecessors::{self, Earlier},
     settings::Settings,
     view::{Leader, View},
@@ -143,21 +143,21 @@
 }
 
 /// Stands for election whenever there is no scheduler, and schedules while elected.
-pub(crate) async fn run(settings: Settings, parts: Parts, active: ActiveSlot) {
+pub(crate) async fn run(settings: Settings, cx: Context, active: ActiveSlot) {
     let mut fitness = Fitness::UNTRIED;
     loop {
-        if may_stand(&parts.view) {
-            let wait = patience(&settings, fitness.gave_up, parts.view.has_seen_leader());
-            if changes_within(&parts.view, wait).await {
+        if may_stand(&cx.view) {
+            let wait = patience(&settings, fitness.gave_up, cx.view.has_seen_leader());
+            if changes_within(&cx.view, wait).await {
                 continue;
             }
-            if may_stand(&parts.view)
-                && let Some(won) = stand(&settings, &parts).await
+            if may_stand(&cx.view)
+                && let Some(won) = stand(&settings, &cx).await
             {
-                lead(&settings, &parts, &active, won, &mut fitness).await;
+                lead(&settings, &cx, &active, won, &mut fitness).await;
             }
         }
-        at_most(LOOK_EVERY, parts.view.leader_changed()).await;
+        at_most(LOOK_EVERY, cx.view.leader_changed()).await;
     }
 }
 
@@ -201,10 +201,10 @@
 }
 
 /// Writes the scheduler's key under a new lease, unless another holds it. `None` if the election is not won.
-async fn stand(settings: &Settings, parts: &Parts) -> Option<Won> {
-    let asked = parts.view.clock().now();
+async fn stand(settings: &Settings, cx: &Context) -> Option<Won> {
+    let asked = cx.view.clock().now();
     let (lease, found) =
-        futures_lite::future::zip(parts.store.grant(settings.election_ttl), predecessors::read(&*parts.store)).await;
+        futures_lite::future::zip(cx.store.grant(settings.election_ttl), predecessors::read(&*cx.store)).await;
     let (lease, found) = (lease.ok()?, found.ok()?);
     let record = Record { box_id: settings.box_id.clone(), addr: settings.peers_address, nonce: fastrand::u64(..) };
     let value = serde_json::to_vec(&record).expect("our own types always serialize");
@@ -212,89 +212,89 @@
     let (no_other_election, term) = found.add(&settings.box_id, settings.peers_address);
     let expect = vec![(keys::SCHEDULER.to_owned(), Revision(0)), no_other_election];
     let transaction = Transaction { expect, put: vec![put, term], remove: Vec::new() };
-    let known_before = parts.view.newest_fence();
-    let fence = match parts.store.commit(transaction, WRITE_LIMIT).await {
+    let known_before = cx.view.newest_fence();
+    let fence = match cx.store.commit(transaction, WRITE_LIMIT).await {
         Ok(Committed::Done(revision)) => Fence(revision.0),
         Ok(Committed::Conflict(items)) => {
             let holder = items.iter().find(|item| item.key == keys::SCHEDULER);
-            parts.view.set_leader(holder.and_then(leader_of));
+            cx.view.set_leader(holder.and_then(leader_of));
             return None;
         }
         Ok(Committed::LeaseGone) | Err(StoreError::Refused { .. }) => return None,
-        Err(StoreError::Lost { .. }) => won_unanswered(parts, &record).await?,
+        Err(StoreError::Lost { .. }) => won_unanswered(cx, &record).await?,
     };
     log::info!("event=elected box={} fence={fence}", settings.box_id);
     metrics::counter!("martenscale_elections_total").increment(1);
     // Others may have told of this very election before it was answered.
-    let others = parts.view.newest_fence().filter(|newest| *newest != fence).max(known_before);
+    let others = cx.view.newest_fence().filter(|newest| *newest != fence).max(known_before);
     let earlier = found.earlier(others);
-    parts.view.set_leader(Some(Leader { box_id: record.box_id, addr: record.addr, fence }));
+    cx.view.set_leader(Some(Leader { box_id: record.box_id, addr: record.addr, fence }));
     Some(Won { fence, lease, confirmed: asked + settings.election_ttl, earlier })
 }
 
 /// The fence, if a write without an answer has won the election after all.
-async fn won_unanswered(parts: &Parts, record: &Record) -> Option<Fence> {
-    let item = parts.store.get(keys::SCHEDULER.to_owned()).await.ok()??;
+async fn won_unanswered(cx: &Context, record: &Record) -> Option<Fence> {
+    let item = cx.store.get(keys::SCHEDULER.to_owned()).await.ok()??;
     let holder: Record = serde_json::from_slice(&item.value).ok()?;
     (holder == *record).then_some(Fence(item.revision.0))
 }
 
 /// Schedules for as long as the election holds, then makes way.
-async fn lead(settings: &Settings, parts: &Parts, active: &ActiveSlot, won: Won, fitness: &mut Fitness) {
+async fn lead(settings: &Settings, cx: &Context, active: &ActiveSlot, won: Won, fitness: &mut Fitness) {
     let (fence, lease) = (won.fence, won.lease);
-    if !parts.view.begin_term(fence) {
+    if !cx.view.begin_term(fence) {
         log::info!("event=elected_too_late box={} fence={fence}", settings.box_id);
-        parts.view.set_leader(None);
+        cx.view.set_leader(None);
         return;
     }
     let earlier = won.earlier.clone();
     let schedule = async {
-        match leader::run(settings, parts, active, fence, earlier, fitness.restore_limit).await {
+        match leader::run(settings, cx, active, fence, earlier, fitness.restore_limit).await {
             Finished::Deposed => Ended::Deposed,
             Finished::NotRestored => Ended::NotRestored,
         }
     };
-    let ended = futures_lite::FutureExt::or(keep(settings, parts, won), schedule).await;
+    let ended = futures_lite::FutureExt::or(keep(settings, cx, won), schedule).await;
     active.clear();
-    parts.view.end_term();
-    parts.view.set_leader(None);
+    cx.view.end_term();
+    cx.view.set_leader(None);
     log::info!("event=stopped_scheduling box={} fence={fence} why={ended}", settings.box_id);
     fitness.note(ended);
     if matches!(ended, Ended::Resigned | Ended::NotRestored)
-        && let Err(e) = parts.store.end(lease).await
+        && let Err(e) = cx.store.end(lease).await
     {
         log::warn!("event=lease_not_ended fence={fence} why={e}");
     }
 }
 
 /// Renews the lease until it is lost, cannot be confirmed for too long, or the box leaves.
-async fn keep(settings: &Settings, parts: &Parts, won: Won) -> Ended {
+async fn keep(settings: &Settings, cx: &Context, won: Won) -> Ended {
     let every = settings.election_ttl.scaled(1.0 / RENEWALS);
     let unconfirmed = settings.timing.unconfirmed_renewal;
     let mut confirmed = won.confirmed;
-    parts.view.confirm_election(confirmed, unconfirmed);
+    cx.view.confirm_election(confirmed, unconfirmed);
     let mut backoff = Backoff::new();
-    let mut last = parts.view.clock().now();
+    let mut last = cx.view.clock().now();
     loop {
-        let since = parts.view.clock().now().since(last);
+        let since = cx.view.clock().now().since(last);
         let rest = Duration::from_millis(every.millis().saturating_sub(since.millis()));
-        futures_lite::FutureExt::or(pause(rest), leaving(&parts.view)).await;
-        if parts.view.draining() {
+        futures_lite::FutureExt::or(pause(rest), leaving(&cx.view)).await;
+        if cx.view.draining() {
             return Ended::Resigned;
         }
-        let sent = parts.view.clock().now();
-        match parts.view.unless_back(renew(parts, won.lease)).await {
+        let sent = cx.view.clock().now();
+        match cx.view.unless_back(renew(cx, won.lease)).await {
             Ok(true) => {
                 confirmed = sent + settings.election_ttl;
                 last = sent;
-                parts.view.confirm_election(confirmed, unconfirmed);
-                parts.view.store_answered();
+                cx.view.confirm_election(confirmed, unconfirmed);
+                cx.view.store_answered();
                 backoff.reset();
             }
             Ok(false) => return Ended::LeaseLost,
             Err(e) => {
                 log::debug!("event=lease_not_renewed fence={} why={e}", won.fence);
-                if !parts.view.may_schedule() {
+                if !cx.view.may_schedule() {
                     return Ended::Unconfirmed;
                 }
                 backoff.wait().await;
@@ -303,12 +303,12 @@
     }
 }
 
-async fn renew(parts: &Parts, lease: LeaseId) -> Result<bool, StoreError> {
+async fn renew(cx: &Context, lease: LeaseId) -> Result<bool, StoreError> {
     let late = async {
         pause(RENEWAL_LIMIT).await;
         Err(StoreError::Lost { why: format!("nothing came within {RENEWAL_LIMIT}") })
     };
-    futures_lite::FutureExt::or(parts.store.keep(lease), late).await
+    futures_lite::FutureExt::or(cx.store.keep(lease), late).await
 }
 
 /// Waits until the box leaves.
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -13,10 +13,10 @@
 
 use crate::{
     active::Active,
+    context::Context,
     evacuated::Evacuated,
     follow::{Seen, WatchPace, follow},
     keys, pages,
-    parts::Parts,
     platform::Decoder,
 };
 
@@ -40,34 +40,34 @@
 
 /// Reads all evacuations, for a new scheduler before its first plan. The returned revision is where the platform's are
 /// known to.
-pub(crate) async fn restore(parts: &Parts, known: &Evacuated, scheduler: &mut Scheduler) -> Revision {
-    let prefix = parts.decoder.evacuations_prefix();
-    let platforms = pages::read_all(&*parts.store, &parts.view, &prefix);
-    let operators = pages::read_all(&*parts.store, &parts.view, keys::EVACUATIONS);
+pub(crate) async fn restore(cx: &Context, known: &Evacuated, scheduler: &mut Scheduler) -> Revision {
+    let prefix = cx.decoder.evacuations_prefix();
+    let platforms = pages::read_all(&*cx.store, &cx.view, &prefix);
+    let operators = pages::read_all(&*cx.store, &cx.view, keys::EVACUATIONS);
     let (platforms, operators) = futures_lite::future::zip(platforms, operators).await;
-    let now = parts.view.clock().now();
+    let now = cx.view.clock().now();
     let own: BTreeSet<AvailabilityZoneId> =
         operators.items.iter().filter_map(|item| keys::evacuated_zone(&item.key)).collect();
     scheduler.set_evacuated(EvacuatedBy::Operators, &own, now);
-    take_all(&*parts.decoder, known, scheduler, &platforms.items, now);
+    take_all(&*cx.decoder, known, scheduler, &platforms.items, now);
     platforms.at
 }
 
 /// Follows the platform's evacuations, from where [`restore`] has read to.
-pub(crate) async fn follow_platforms(parts: Parts, active: std::sync::Arc<Active>, from: Revision) {
-    let prefix = parts.decoder.evacuations_prefix();
+pub(crate) async fn follow_platforms(cx: Context, active: std::sync::Arc<Active>, from: Revision) {
+    let prefix = cx.decoder.evacuations_prefix();
     let on = |seen: Seen| {
-        let now = parts.view.clock().now();
+        let now = cx.view.clock().now();
         active.update(|scheduler| match &seen {
-            Seen::All(items) => take_all(&*parts.decoder, &active.evacuations, scheduler, items, now),
+            Seen::All(items) => take_all(&*cx.decoder, &active.evacuations, scheduler, items, now),
             Seen::Changes(changes) => {
                 for change in changes {
-                    take_change(&*parts.decoder, &active.evacuations, scheduler, change, now);
+                    take_change(&*cx.decoder, &active.evacuations, scheduler, change, now);
                 }
             }
         });
     };
-    follow(&*parts.store, &parts.view, &prefix, Some(from), WatchPace::at_once(WATCH_WAIT), on).await;
+    follow(&*cx.store, &cx.view, &prefix, Some(from), WatchPace::at_once(WATCH_WAIT), on).await;
 }
 
 fn take_all(decoder: &dyn Decoder, known: &Evacuated, scheduler: &mut Scheduler, items: &[Item], now: Moment) {
@@ -114,10 +114,10 @@
 
 /// A write that placed runs in these availability zones found other items than it expected: what they tell of
 /// evacuations is taken in before the watch tells it.
-pub(crate) fn take_found(parts: &Parts, active: &Active, zones: &BTreeSet<AvailabilityZoneId>, items: &[Item]) {
-    let now = parts.view.clock().now();
+pub(crate) fn take_found(cx: &Context, active: &Active, zones: &BTreeSet<AvailabilityZoneId>, items: &[Item]) {
+    let now = cx.view.clock().now();
     for zone in zones {
-        let key = parts.decoder.evacuation_key(zone);
+        let key = cx.decoder.evacuation_key(zone);
         let found = items.iter().find(|item| item.key == key).map(|item| item.revision);
         if found.unwrap_or(Revision(0)) != active.evacuations.revision(zone) {
             active.update(|scheduler| take(&active.evacuations, scheduler, zone, found, now));
--- a/crates/runtime/src/intake.rs
+++ b/crates/runtime/src/intake.rs
@@ -9,29 +9,29 @@
 
 use crate::{
     active::Active,
+    context::Context,
     follow::{Seen, WatchPace, follow},
     keys::{self, Intake},
     measure, pages,
-    parts::Parts,
 };
 
 /// Longest wait of the watch on the intake, which only the scheduler keeps.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
 /// Reads what the store holds of open jobs. The returned revision is where the intake is known to.
-pub(crate) async fn restore(parts: &Parts, scheduler: &mut Scheduler) -> Revision {
-    let begun = parts.view.clock().now();
-    let intake = pages::read_all(&*parts.store, &parts.view, keys::INTAKE).await;
-    let progress = pages::read_all(&*parts.store, &parts.view, keys::PROGRESS).await;
-    let took = parts.view.clock().now().since(begun);
+pub(crate) async fn restore(cx: &Context, scheduler: &mut Scheduler) -> Revision {
+    let begun = cx.view.clock().now();
+    let intake = pages::read_all(&*cx.store, &cx.view, keys::INTAKE).await;
+    let progress = pages::read_all(&*cx.store, &cx.view, keys::PROGRESS).await;
+    let took = cx.view.clock().now().since(begun);
     let (pages, bytes) = (intake.pages + progress.pages, intake.bytes() + progress.bytes());
     measure::restored(took, pages, bytes);
     log::info!("event=restored fence={} pages={pages} bytes={bytes} took_ms={}", scheduler.fence(), took.millis());
-    take_restored(parts, scheduler, &intake.items, progress.items);
+    take_restored(cx, scheduler, &intake.items, progress.items);
     intake.at
 }
 
-fn take_restored(parts: &Parts, scheduler: &mut Scheduler, intake: &[Item], progress: Vec<Item>) {
+fn take_restored(cx: &Context, scheduler: &mut Scheduler, intake: &[Item], progress: Vec<Item>) {
     let mut cancelled = Vec::new();
     let mut unreadable = BTreeSet::new();
     for item in intake {
@@ -56,16 +56,16 @@
         }
     }
     for id in cancelled {
-        scheduler.cancel(id, parts.view.clock().now());
+        scheduler.cancel(id, cx.view.clock().now());
     }
 }
 
 /// Reads the records of jobs that have left the intake, beside all else: nothing waits for them, since callers'
 /// questions are answered from the store until they are known.
-pub(crate) async fn restore_ended(parts: Parts, active: Arc<Active>) {
-    let ended = pages::read_all(&*parts.store, &parts.view, keys::ENDED).await;
+pub(crate) async fn restore_ended(cx: Context, active: Arc<Active>) {
+    let ended = pages::read_all(&*cx.store, &cx.view, keys::ENDED).await;
     log::info!("event=records_read fence={} records={} pages={}", active.fence, ended.items.len(), ended.pages);
-    let now = parts.view.clock().now();
+    let now = cx.view.clock().now();
     let mut scheduler = active.lock();
     for item in &ended.items {
         let record: Result<EndedJob, _> = serde_json::from_slice(&item.value);
@@ -92,12 +92,12 @@
 }
 
 /// Follows what callers hand in and cancel at any box, from where [`restore`] has read to.
-pub(crate) async fn follow_intake(parts: Parts, active: Arc<Active>, from: Revision) {
+pub(crate) async fn follow_intake(cx: Context, active: Arc<Active>, from: Revision) {
     let on = |seen: Seen| {
         let items = seen.written();
-        active.update(|scheduler| take_intake(scheduler, &items, parts.view.clock().now()));
+        active.update(|scheduler| take_intake(scheduler, &items, cx.view.clock().now()));
     };
-    follow(&*parts.store, &parts.view, keys::INTAKE, Some(from), WatchPace::at_once(WATCH_WAIT), on).await;
+    follow(&*cx.store, &cx.view, keys::INTAKE, Some(from), WatchPace::at_once(WATCH_WAIT), on).await;
 }
 
 /// Jobs are taken before cancellations, which may be of them.
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -8,13 +8,13 @@
 
 use crate::{
     active::{Active, ActiveSlot},
-    box_list, cleaner, directory,
+    box_list, cleaner,
+    context::Context,
+    directory,
     evacuated::Evacuated,
     evacuation, intake,
     links::Links,
-    measure,
-    parts::Parts,
-    permits,
+    measure, permits,
     platform::Target,
     predecessors::{self, Earlier},
     settings::Settings,
@@ -42,26 +42,26 @@
 /// Schedules until another is elected, or until it is dropped; gives up if it cannot begin within `restore_limit`.
 pub(crate) async fn run(
     settings: &Settings,
-    parts: &Parts,
+    cx: &Context,
     slot: &ActiveSlot,
     fence: Fence,
     earlier: Earlier,
     restore_limit: Duration,
 ) -> Finished {
-    let Some(configuration) = parts.view.configuration() else { return Finished::NotRestored };
-    let clock = parts.view.clock();
+    let Some(configuration) = cx.view.configuration() else { return Finished::NotRestored };
+    let clock = cx.view.clock();
     let mut scheduler = Scheduler::new(fence, clock.now(), settings.timing.clone(), configuration.policy.clone());
     let evacuations = Evacuated::default();
     let restored = async {
         // Evacuations first: nothing may be placed before they are known. So with what limits the wait for runs that are restored.
-        let evacuations = evacuation::restore(parts, &evacuations, &mut scheduler);
-        let notes = futures_lite::future::zip(unreached::read(parts), witnesses::read(parts));
+        let evacuations = evacuation::restore(cx, &evacuations, &mut scheduler);
+        let notes = futures_lite::future::zip(unreached::read(cx), witnesses::read(cx));
         let (evacuations_to, (note, vouching)) = futures_lite::future::zip(evacuations, notes).await;
         if let Some(item) = note {
             unreached::restore(&mut scheduler, &item);
         }
         witnesses::restore(&mut scheduler, vouching.as_ref(), earlier.witnessed);
-        Some((evacuations_to, intake::restore(parts, &mut scheduler).await))
+        Some((evacuations_to, intake::restore(cx, &mut scheduler).await))
     };
     let expired = async {
         pause(restore_limit).await;
@@ -69,7 +69,7 @@
     };
     let restored = futures_lite::FutureExt::or(restored, expired).await;
     let Some((evacuations_to, known_to)) = restored else { return Finished::NotRestored };
-    let links = Links::new(parts.clone(), settings.capacity.servers);
+    let links = Links::new(cx.clone(), settings.capacity.servers);
     let active = Arc::new(Active::new(scheduler, evacuations, links));
     log::info!("event=scheduling fence={fence} revision={known_to} {:?}", active.lock().counts());
     slot.set(Arc::clone(&active));
@@ -77,20 +77,20 @@
     let here = (settings.box_id.clone(), settings.peers_address);
     let longest = settings.timing.unconfirmed_renewal;
     let tasks = [
-        smol::spawn(predecessors::follow(parts.clone(), Arc::clone(&active), here, earlier.predecessors, longest)),
-        smol::spawn(intake::follow_intake(parts.clone(), Arc::clone(&active), known_to)),
-        smol::spawn(evacuation::follow_platforms(parts.clone(), Arc::clone(&active), evacuations_to)),
-        smol::spawn(directory::follow_servers(parts.clone(), Arc::clone(&active))),
-        smol::spawn(intake::restore_ended(parts.clone(), Arc::clone(&active))),
-        smol::spawn(writer::run(parts.clone(), Arc::clone(&active))),
-        smol::spawn(box_list::name_relay_boxes(parts.clone(), Arc::clone(&active))),
-        smol::spawn(unreached::keep(parts.clone(), Arc::clone(&active))),
-        smol::spawn(witnesses::keep(parts.clone(), Arc::clone(&active))),
-        smol::spawn(cleaner::run(parts.clone(), Arc::clone(&active))),
-        smol::spawn(permits::run(parts.clone(), Arc::clone(&active))),
-        smol::spawn(upkeep::follow_requests(parts.clone(), Arc::clone(&active))),
-        smol::spawn(upkeep::run(parts.clone(), Arc::clone(&active), settings.box_id.clone())),
-        smol::spawn(plan(parts.clone(), Arc::clone(&active), configuration.version)),
+        smol::spawn(predecessors::follow(cx.clone(), Arc::clone(&active), here, earlier.predecessors, longest)),
+        smol::spawn(intake::follow_intake(cx.clone(), Arc::clone(&active), known_to)),
+        smol::spawn(evacuation::follow_platforms(cx.clone(), Arc::clone(&active), evacuations_to)),
+        smol::spawn(directory::follow_servers(cx.clone(), Arc::clone(&active))),
+        smol::spawn(intake::restore_ended(cx.clone(), Arc::clone(&active))),
+        smol::spawn(writer::run(cx.clone(), Arc::clone(&active))),
+        smol::spawn(box_list::name_relay_boxes(cx.clone(), Arc::clone(&active))),
+        smol::spawn(unreached::keep(cx.clone(), Arc::clone(&active))),
+        smol::spawn(witnesses::keep(cx.clone(), Arc::clone(&active))),
+        smol::spawn(cleaner::run(cx.clone(), Arc::clone(&active))),
+        smol::spawn(permits::run(cx.clone(), Arc::clone(&active))),
+        smol::spawn(upkeep::follow_requests(cx.clone(), Arc::clone(&active))),
+        smol::spawn(upkeep::run(cx.clone(), Arc::clone(&active), settings.box_id.clone())),
+        smol::spawn(plan(cx.clone(), Arc::clone(&active), configuration.version)),
         smol::spawn(measure::tell_traffic(fence)),
     ];
     active.until_deposed().await;
@@ -111,15 +111,15 @@
 }
 
 /// Plans whenever something has happened, and now and then; at most a quarter of the time goes into it.
-async fn plan(parts: Parts, active: Arc<Active>, mut version: u64) {
-    let clock = parts.view.clock();
+async fn plan(cx: Context, active: Arc<Active>, mut version: u64) {
+    let clock = cx.view.clock();
     loop {
         let happened = async {
             active.plan_wanted().await;
             pause(PLAN_AFTER).await;
         };
         at_most(PLAN_EVERY, happened).await;
-        let newer = parts.view.configuration().filter(|newest| newest.version > version);
+        let newer = cx.view.configuration().filter(|newest| newest.version > version);
         let begun = Instant::now();
         let (now, wall_ms) = (clock.now(), clock.wall_ms());
         active.plan_begins();
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     active::Active,
+    context::Context,
     measure,
-    parts::Parts,
     platform::{Heartbeat, HeartbeatReply, Lease, Start, StopReply, Target, ThrottleOrder},
     wait::{Backoff, at_most},
 };
@@ -36,7 +36,7 @@
 /// What the loops of a link work with.
 #[derive(Clone)]
 pub(crate) struct Worker {
-    pub(crate) parts: Parts,
+    pub(crate) cx: Context,
     pub(crate) target: Target,
     /// Weak, since the scheduler's links own the loops.
     pub(crate) active: Weak<Active>,
@@ -57,7 +57,7 @@
         let renews = heartbeat.lease.is_some();
         let _ = stored.try_recv();
         let sent = worker.now();
-        let call = worker.parts.servers.heartbeat(target, heartbeat);
+        let call = worker.cx.servers.heartbeat(target, heartbeat);
         let reply = if std::mem::take(&mut first) { worker.first_calls.take(call).await } else { call.await };
         measure::server_call("hold", heartbeat_outcome(&reply));
         match reply {
@@ -122,17 +122,17 @@
 
 impl Worker {
     fn now(&self) -> Moment {
-        self.parts.view.clock().now()
+        self.cx.view.clock().now()
     }
 
     /// Whether orders may be given and leases renewed: asked before each call.
     fn may_order(&self, active: &Active) -> bool {
-        !active.has_ended() && self.parts.view.may_schedule()
+        !active.has_ended() && self.cx.view.may_schedule()
     }
 
     /// The lease that a call may carry now; `None` if it must renew nothing.
     fn lease(&self, active: &Active, scheduler: &Scheduler, now: Moment) -> Option<Duration> {
-        let confirmed = self.parts.view.confirmed_until();
+        let confirmed = self.cx.view.confirmed_until();
         if self.may_order(active) { scheduler.lease_now(confirmed, now) } else { None }
     }
 
@@ -173,7 +173,7 @@
             true if scheduler.is_busy(id) => BUSY_WAIT,
             true => IDLE_WAIT,
         };
-        let witnesses = now > self.parts.view.confirmed_until() && scheduler.is_witness(id);
+        let witnesses = now > self.cx.view.confirmed_until() && scheduler.is_witness(id);
         let wait = if witnesses { wait.min(UNCONFIRMED_WAIT) } else { wait };
         let lease = lease.map(|length| Lease { from, length });
         let heartbeat =
@@ -221,7 +221,7 @@
     async fn start(&self, active: &Active, target: Target, start: Start) {
         let (task, run) = (start.task, start.run);
         let reply = if self.may_order(active) {
-            self.parts.servers.start(target.clone(), start).await
+            self.cx.servers.start(target.clone(), start).await
         } else {
             StartReply::Unknown
         };
@@ -241,7 +241,7 @@
 
     async fn stop(&self, active: &Active, task: TaskId, run: RunNumber) {
         let target = self.target(&active.lock());
-        let reply = self.parts.servers.stop(target.clone(), active.fence, task, run).await;
+        let reply = self.cx.servers.stop(target.clone(), active.fence, task, run).await;
         log::info!(
             "job={} event=stop task={task} run={run} server={} fence={} outcome={reply:?}",
             task.occurrence.job,
@@ -265,7 +265,7 @@
     async fn throttle(&self, active: &Active, task: TaskId, run: RunNumber, percent: u32) {
         let order = ThrottleOrder { fence: active.fence, task, run, percent };
         let target = self.target(&active.lock());
-        let reply = self.parts.servers.throttle(target, order).await;
+        let reply = self.cx.servers.throttle(target, order).await;
         measure::server_answer("pace", &reply);
         if let Ok(true) = reply {
             active.update(|scheduler| scheduler.throttle_replied(&self.target.id, task, run, percent));
--- a/crates/runtime/src/links.rs
+++ b/crates/runtime/src/links.rs
@@ -13,8 +13,8 @@
 use crate::{
     active::Active,
     addresses::Addresses,
+    context::Context,
     link_worker::{Worker, heartbeat_loop, order_loop},
-    parts::Parts,
     platform::Target,
 };
 
@@ -41,7 +41,7 @@
 
 /// The links of one scheduler.
 pub(crate) struct Links {
-    parts: Parts,
+    cx: Context,
     /// Most links, but for those to backend servers that run something.
     most: usize,
     table: Mutex<Table>,
@@ -55,8 +55,8 @@
 }
 
 impl Links {
-    pub(crate) fn new(parts: Parts, most: usize) -> Links {
-        Links { parts, most, table: Mutex::default(), first_calls: Arc::new(Turns::new(FIRST_CALLS, FIRST_TURN)) }
+    pub(crate) fn new(cx: Context, most: usize) -> Links {
+        Links { cx, most, table: Mutex::default(), first_calls: Arc::new(Turns::new(FIRST_CALLS, FIRST_TURN)) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Table> {
@@ -85,14 +85,14 @@
             return;
         }
         if let Some(moved) = table.by_id.remove(&target.id) {
-            self.parts.servers.remove(&moved.target);
+            self.cx.servers.remove(&moved.target);
             table.addresses.leave(&target.id, moved.target.addr);
         }
         table.addresses.open(&target.id, target.addr);
         let (orders, order_rx) = smol::channel::unbounded();
         let (stored, stored_rx) = smol::channel::bounded(1);
         let worker = Worker {
-            parts: self.parts.clone(),
+            cx: self.cx.clone(),
             target: target.clone(),
             active: Arc::downgrade(active),
             first_calls: Arc::clone(&self.first_calls),
@@ -110,7 +110,7 @@
     pub(crate) fn close(&self, id: &BackendServerId) {
         let mut table = self.lock();
         if let Some(link) = table.by_id.remove(id) {
-            self.parts.servers.remove(&link.target);
+            self.cx.servers.remove(&link.target);
             table.addresses.close(id, link.target.addr);
         }
     }
@@ -134,7 +134,7 @@
 
     /// The time on the box's own clock.
     pub(crate) fn now(&self) -> Moment {
-        self.parts.view.clock().now()
+        self.cx.view.clock().now()
     }
 
     /// The store has taken something, so that more ends may be acknowledged to these backend servers.
--- a/crates/runtime/src/permits.rs
+++ b/crates/runtime/src/permits.rs
@@ -2,11 +2,11 @@
 
 use std::sync::Arc;
 
-use crate::{active::Active, measure, parts::Parts, wait::Backoff};
+use crate::{active::Active, context::Context, measure, wait::Backoff};
 
 /// Asks whatever the latest plan wants to know, until it is dropped.
-pub(crate) async fn run(parts: Parts, active: Arc<Active>) {
-    let Some(permit_service) = parts.permit_service.clone() else { return no_permit_service(&active).await };
+pub(crate) async fn run(cx: Context, active: Arc<Active>) {
+    let Some(permit_service) = cx.permit_service.clone() else { return no_permit_service(&active).await };
     let mut backoff = Backoff::new();
     loop {
         let next = active.lock().take_permit_request();
@@ -14,7 +14,7 @@
             active.advice_wanted().await;
             continue;
         };
-        let sent = parts.view.clock().now();
+        let sent = cx.view.clock().now();
         let answer = permit_service.request_permits(question.step, question.servers.clone(), question.takes).await;
         measure::server_answer("advise", &answer);
         match answer {
--- a/crates/runtime/src/predecessors.rs
+++ b/crates/runtime/src/predecessors.rs
@@ -17,8 +17,8 @@
 
 use crate::{
     active::Active,
+    context::Context,
     keys,
-    parts::Parts,
     wait::{at_most, pause},
 };
 
@@ -121,36 +121,36 @@
 
 /// Asks all predecessors until their terms have ended, for `longest` at most, since none goes on for longer; then forgets them.
 pub(crate) async fn follow(
-    parts: Parts,
+    cx: Context,
     active: Arc<Active>,
     here: (BoxId, SocketAddr),
     found: Option<Predecessors>,
     longest: Duration,
 ) {
-    let begun = parts.view.clock().now();
+    let begun = cx.view.clock().now();
     let asked = async {
         let Some(predecessors) = found else { return std::future::pending().await };
         let mut ended: Moment = Moment::ZERO;
         for (box_id, addr, fence) in &predecessors {
-            ended = ended.max(until_ended(&parts, box_id, *addr, *fence).await);
+            ended = ended.max(until_ended(&cx, box_id, *addr, *fence).await);
         }
         log::info!(
             "event=predecessors_ended fence={} terms={} after_ms={}",
             active.fence,
             predecessors.len(),
-            parts.view.clock().now().since(begun).millis()
+            cx.view.clock().now().since(begun).millis()
         );
         active.update(|scheduler| scheduler.earlier_terms_ended(ended));
     };
     at_most(longest, asked).await;
-    forget(&parts, &active, here).await;
+    forget(&cx, &active, here).await;
 }
 
 /// Asks a box until it renews no lease with a fence any more. Returns when it ended to do so at the latest.
-async fn until_ended(parts: &Parts, box_id: &BoxId, addr: SocketAddr, fence: Fence) -> Moment {
+async fn until_ended(cx: &Context, box_id: &BoxId, addr: SocketAddr, fence: Fence) -> Moment {
     loop {
-        if let Some(since) = parts.peers.term_ended(addr, box_id, fence, ASK_LIMIT).await {
-            let now = parts.view.clock().now();
+        if let Some(since) = cx.peers.term_ended(addr, box_id, fence, ASK_LIMIT).await {
+            let now = cx.view.clock().now();
             return now - since;
         }
         pause(ASK_EVERY).await;
@@ -158,7 +158,7 @@
 }
 
 /// Leaves only this term in the store: no earlier one goes on.
-async fn forget(parts: &Parts, active: &Active, (box_id, addr): (BoxId, SocketAddr)) {
+async fn forget(cx: &Context, active: &Active, (box_id, addr): (BoxId, SocketAddr)) {
     let terms =
         Terms { terms: vec![Term { box_id, addr, fence: Some(active.fence.0), witnessed: true }], incomplete: false };
     let value = serde_json::to_vec(&terms).expect("our own types always serialize");
@@ -166,7 +166,7 @@
     let expect = vec![(keys::SCHEDULER.to_owned(), Revision(active.fence.0))];
     loop {
         let transaction = Transaction { expect: expect.clone(), put: vec![put.clone()], remove: Vec::new() };
-        match parts.store.commit(transaction, WRITE_LIMIT).await {
+        match cx.store.commit(transaction, WRITE_LIMIT).await {
             Ok(Committed::Done(_) | Committed::Conflict(_)) => return,
             Ok(Committed::LeaseGone) | Err(_) => pause(WRITE_LIMIT).await,
         }
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -13,10 +13,10 @@
     active::ActiveSlot,
     box_list,
     configuration_watch::{self, follow_configuration},
+    context::Context,
     election,
     evacuation::{self, EvacuationOutcome},
     measure::{self, MeasuredStore},
-    parts::Parts,
     platform::{BackendServers, Decoder, Machines, PermitService},
     probe,
     relay::Peers,
@@ -122,7 +122,7 @@
             active: active.clone(),
             box_id: settings.box_id.clone(),
         };
-        let parts = Parts {
+        let cx = Context {
             store: Arc::clone(&store),
             servers,
             decoder: Arc::clone(&decoder),
@@ -133,12 +133,12 @@
         };
         let tasks = vec![
             smol::spawn(net::grpc::serve(listener, RelayServer::new(relay.clone()))),
-            smol::spawn(follow_configuration(settings.clone(), parts.clone())),
+            smol::spawn(follow_configuration(settings.clone(), cx.clone())),
             smol::spawn(probe::run(Arc::clone(&store), Arc::clone(&view))),
             smol::spawn(election::follow_leader(Arc::clone(&store), Arc::clone(&view))),
-            smol::spawn(box_list::list_this_box(settings.clone(), parts.clone())),
-            smol::spawn(ask_for_configuration(relay, parts.clone())),
-            smol::spawn(election::run(settings.clone(), parts, active.clone())),
+            smol::spawn(box_list::list_this_box(settings.clone(), cx.clone())),
+            smol::spawn(ask_for_configuration(relay, cx.clone())),
+            smol::spawn(election::run(settings.clone(), cx, active.clone())),
         ];
         RunningBox { requests, view, active, store, box_id: settings.box_id, _tasks: tasks }
     }
@@ -214,7 +214,7 @@
 }
 
 /// While the store is out of reach, asks other boxes for the configuration.
-async fn ask_for_configuration(relay: RelayService, parts: Parts) {
+async fn ask_for_configuration(relay: RelayService, cx: Context) {
     loop {
         pause(ASK_EVERY).await;
         if relay.view.reaches_store() {
@@ -222,11 +222,11 @@
         }
         let above = relay.view.configuration().map_or(0, |known| known.version);
         for addr in relay.requests.others() {
-            match parts.peers.configuration(addr, above, Duration::ZERO, ASK_LIMIT).await {
+            match cx.peers.configuration(addr, above, Duration::ZERO, ASK_LIMIT).await {
                 Some(document) => {
                     relay.view.peer_answered();
                     if !document.is_empty() {
-                        configuration_watch::take_document(&parts, &document);
+                        configuration_watch::take_document(&cx, &document);
                     }
                     break;
                 }
--- a/crates/runtime/src/upkeep.rs
+++ b/crates/runtime/src/upkeep.rs
@@ -8,9 +8,9 @@
 
 use crate::{
     active::Active,
+    context::Context,
     follow::{Seen, WatchPace, follow},
     keys, measure,
-    parts::Parts,
     platform::Machines,
     wait::{Backoff, pause},
 };
@@ -25,8 +25,8 @@
 const WRITE_LIMIT: Duration = Duration::from_millis(800);
 
 /// Follows the waves that operators ask for.
-pub(crate) async fn follow_requests(parts: Parts, active: Arc<Active>) {
-    let prefix = parts.decoder.maintenance_prefix();
+pub(crate) async fn follow_requests(cx: Context, active: Arc<Active>) {
+    let prefix = cx.decoder.maintenance_prefix();
     let (tx, rx) = smol::channel::unbounded();
     let on = |seen: Seen| {
         for item in seen.written() {
@@ -35,28 +35,28 @@
     };
     let take = async {
         while let Ok(item) = rx.recv().await {
-            apply_request(&parts, &active, &item).await;
+            apply_request(&cx, &active, &item).await;
         }
     };
-    let watch = follow(&*parts.store, &parts.view, &prefix, None, WatchPace::at_once(WATCH_WAIT), on);
+    let watch = follow(&*cx.store, &cx.view, &prefix, None, WatchPace::at_once(WATCH_WAIT), on);
     futures_lite::FutureExt::or(watch, take).await;
 }
 
-async fn apply_request(parts: &Parts, active: &Active, item: &Item) {
-    let request: MaintenanceRequest = match parts.decoder.maintenance_request(item) {
+async fn apply_request(cx: &Context, active: &Active, item: &Item) {
+    let request: MaintenanceRequest = match cx.decoder.maintenance_request(item) {
         Ok(request) => request,
         Err(e) => return log::error!("event=wave_unreadable why={e}"),
     };
-    let progress = read_progress(parts, request.number).await;
-    let now = parts.view.clock().now();
+    let progress = read_progress(cx, request.number).await;
+    let now = cx.view.clock().now();
     active.update(|scheduler| scheduler.maintenance_requested(request, progress, now));
 }
 
 /// What an earlier scheduler has done of a wave, read for as long as it takes.
-async fn read_progress(parts: &Parts, number: u64) -> MaintenanceProgress {
+async fn read_progress(cx: &Context, number: u64) -> MaintenanceProgress {
     let mut backoff = Backoff::new();
     loop {
-        match parts.store.get(keys::maintenance(number)).await {
+        match cx.store.get(keys::maintenance(number)).await {
             Ok(None) => return MaintenanceProgress::default(),
             Ok(Some(item)) => match serde_json::from_slice(&item.value) {
                 Ok(progress) => return progress,
@@ -74,51 +74,51 @@
 }
 
 /// Carries waves out, until it is dropped.
-pub(crate) async fn run(parts: Parts, active: Arc<Active>, box_id: BoxId) {
+pub(crate) async fn run(cx: Context, active: Arc<Active>, box_id: BoxId) {
     loop {
         if !active.lock().has_open_maintenance() {
             pause(LOOK_EVERY).await;
             continue;
         }
-        let Some(machines) = parts.machines.clone() else {
+        let Some(machines) = cx.machines.clone() else {
             log::error!("event=machines_missing outcome=waves_wait field=deployment.machines_address");
             return;
         };
-        hand_over_due(&parts, &active, &*machines, &box_id).await;
-        store_progress(&parts, &active).await;
+        hand_over_due(&cx, &active, &*machines, &box_id).await;
+        store_progress(&cx, &active).await;
         pause(LIST_EVERY).await;
     }
 }
 
 /// Lists the machines, and hands over those that are due.
-async fn hand_over_due(parts: &Parts, active: &Active, machines: &dyn Machines, box_id: &BoxId) {
+async fn hand_over_due(cx: &Context, active: &Active, machines: &dyn Machines, box_id: &BoxId) {
     let listed = machines.list().await;
     measure::server_answer("list_machines", &listed);
     let listed = match listed {
         Ok(listed) => listed,
         Err(e) => return log::info!("event=machines_not_listed why={e}"),
     };
-    let now = parts.view.clock().now();
+    let now = cx.view.clock().now();
     let due = active.update(|scheduler| {
         scheduler.machines_listed(listed, now);
         scheduler.machines_due_for_maintenance(now)
     });
     for (wave, machine) in due {
         // The keeper of the machines may not compare fencing tokens, so nothing else would hold up a scheduler that has woken.
-        if !parts.view.may_schedule() {
+        if !cx.view.may_schedule() {
             return;
         }
         let reply = machines.begin_maintenance(machine.clone(), wave, box_id.clone(), active.fence).await;
-        let now = parts.view.clock().now();
+        let now = cx.view.clock().now();
         active.update(|scheduler| scheduler.maintenance_replied(wave, &machine, reply, now));
     }
 }
 
 /// Stores how far waves have come, for the next scheduler and for operators.
-async fn store_progress(parts: &Parts, active: &Active) {
+async fn store_progress(cx: &Context, active: &Active) {
     let unstored = active.lock().pending_maintenance_writes();
     for (number, progress) in unstored {
-        let (status_key, status) = parts.decoder.maintenance_status(number, progress.succeeded);
+        let (status_key, status) = cx.decoder.maintenance_status(number, progress.succeeded);
         let value = serde_json::to_vec(&progress).expect("our own types always serialize");
         let puts = [(keys::maintenance(number), value), (status_key, status)];
         let transaction = Transaction {
@@ -126,7 +126,7 @@
             put: puts.into_iter().map(|(key, value)| Put { key, value, lease: None }).collect(),
             remove: Vec::new(),
         };
-        match parts.store.commit(transaction, WRITE_LIMIT).await {
+        match cx.store.commit(transaction, WRITE_LIMIT).await {
             Ok(Committed::Done(_)) => active.lock().maintenance_stored(number, &progress),
             outcome => log::info!("event=wave_not_stored number={number} outcome={outcome:?}"),
         }
--- a/crates/runtime/src/witnesses.rs
+++ b/crates/runtime/src/witnesses.rs
@@ -8,8 +8,8 @@
 
 use crate::{
     active::Active,
+    context::Context,
     keys,
-    parts::Parts,
     wait::{Backoff, pause},
 };
 
@@ -19,10 +19,10 @@
 const WRITE_LIMIT: Duration = Duration::from_millis(800);
 
 /// The witnesses of earlier schedulers, read for as long as it takes.
-pub(crate) async fn read(parts: &Parts) -> Option<Item> {
+pub(crate) async fn read(cx: &Context) -> Option<Item> {
     let mut backoff = Backoff::new();
     loop {
-        match parts.store.get(keys::WITNESSES.to_owned()).await {
+        match cx.store.get(keys::WITNESSES.to_owned()).await {
             Ok(item) => return item,
             Err(e) => {
                 log::info!("event=read_failed key={} why={e}", keys::WITNESSES);
@@ -45,16 +45,16 @@
 }
 
 /// Keeps them, until it is dropped.
-pub(crate) async fn keep(parts: Parts, active: Arc<Active>) {
+pub(crate) async fn keep(cx: Context, active: Arc<Active>) {
     let mut backoff = Backoff::new();
     loop {
         pause(LOOK_EVERY).await;
-        if !parts.view.reaches_store() {
+        if !cx.view.reaches_store() {
             continue;
         }
-        let now = parts.view.clock().now();
+        let now = cx.view.clock().now();
         let Some(write) = active.lock().next_witness_write(now) else { continue };
-        match parts.store.commit(transaction(&active, &write), WRITE_LIMIT).await {
+        match cx.store.commit(transaction(&active, &write), WRITE_LIMIT).await {
             Ok(Committed::Done(revision)) => {
                 backoff.reset();
                 active.lock().witnesses_stored(write, revision);
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -16,8 +16,8 @@
 use crate::{
     active::Active,
     answer_time::AnswerTime,
+    context::Context,
     evacuation, keys,
-    parts::Parts,
     wait::{Backoff, at_most, pause},
 };
 
@@ -35,7 +35,7 @@
 
 /// What the writes of one scheduler share.
 struct Writer {
-    parts: Parts,
+    cx: Context,
     active: Arc<Active>,
     answer_time: Mutex<AnswerTime>,
     backoff: Mutex<Backoff>,
@@ -44,9 +44,9 @@
 }
 
 /// Writes until another scheduler is found in the store, or until it is dropped.
-pub(crate) async fn run(parts: Parts, active: Arc<Active>) {
+pub(crate) async fn run(cx: Context, active: Arc<Active>) {
     let writer = Arc::new(Writer {
-        parts,
+        cx,
         active: Arc::clone(&active),
         answer_time: Mutex::new(AnswerTime::at_most(WRITE_LIMIT)),
         backoff: Mutex::new(Backoff::new()),
@@ -75,22 +75,22 @@
 impl Writer {
     /// Whether the store has answered lately.
     fn store_answers(&self) -> bool {
-        self.parts.view.store_age().is_some_and(|age| age < LATELY)
+        self.cx.view.store_age().is_some_and(|age| age < LATELY)
     }
 
     /// Makes one write; what it has not stored is given again.
     async fn write(self: Arc<Writer>, batch: WriteBatch) {
-        let Writer { parts, active, .. } = &*self;
-        let transaction = transaction(parts, active, &batch);
+        let Writer { cx, active, .. } = &*self;
+        let transaction = transaction(cx, active, &batch);
         let limit = self.lock().limit();
-        let sent = parts.view.clock().now();
-        let result = parts.view.unless_back(parts.store.commit(transaction, limit)).await;
-        let took = parts.view.clock().now().since(sent);
+        let sent = cx.view.clock().now();
+        let result = cx.view.unless_back(cx.store.commit(transaction, limit)).await;
+        let took = cx.view.clock().now().since(sent);
         match &result {
             Ok(_) => {
                 self.lock().answered(took);
                 self.backoff.lock().expect("no holder panics").reset();
-                parts.view.store_answered();
+                cx.view.store_answered();
             }
             Err(StoreError::Lost { .. }) => self.lock().not_answered(),
             Err(StoreError::Refused { .. }) => {}
@@ -105,7 +105,7 @@
                 active.depose();
             }
             Ok(Committed::Conflict(items)) => {
-                evacuation::take_found(parts, active, &batch.placement_zones, &items);
+                evacuation::take_found(cx, active, &batch.placement_zones, &items);
                 let found = revisions_found(&batch, &items);
                 active.update(|scheduler| {
                     scheduler.stored_revisions_found(&found);
@@ -167,10 +167,10 @@
 }
 
 /// A batch as a write that only the elected scheduler can make.
-fn transaction(parts: &Parts, active: &Active, batch: &WriteBatch) -> Transaction {
+fn transaction(cx: &Context, active: &Active, batch: &WriteBatch) -> Transaction {
     let mut transaction = Transaction::default();
     transaction.expect.push((keys::SCHEDULER.to_owned(), Revision(active.fence.0)));
-    transaction.expect.extend(evacuation::conditions(&*parts.decoder, &active.evacuations, &batch.placement_zones));
+    transaction.expect.extend(evacuation::conditions(&*cx.decoder, &active.evacuations, &batch.placement_zones));
     for entry in &batch.writes {
         let key = keys::progress(entry.occurrence);
         transaction.expect.push((key.clone(), entry.replaces));
