--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -11,7 +11,7 @@
 use crate::{
     active::Active,
     context::Context,
-    keys, pages,
+    keys, paged_reads,
     relay_boxes::{ListedBox, RelayBoxes},
     settings::Settings,
     view::View,
@@ -60,7 +60,7 @@
     let mut silent = BTreeSet::new();
     pause(FIRST_LOOK).await;
     loop {
-        if let Ok(listed) = pages::read_once(&*cx.store, keys::BOXES).await {
+        if let Ok(listed) = paged_reads::read_once(&*cx.store, keys::BOXES).await {
             let boxes = boxes(&listed.items);
             let choice = answering(&cx, &boxes, &mut silent).await;
             if choice != *cx.view.relay_boxes() {
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -16,7 +16,7 @@
     context::Context,
     evacuated::Evacuated,
     follow::{Seen, WatchPace, follow},
-    keys, pages,
+    keys, paged_reads,
     platform::Decoder,
 };
 
@@ -42,8 +42,8 @@
 /// known to.
 pub(crate) async fn restore(cx: &Context, known: &Evacuated, scheduler: &mut Scheduler) -> Revision {
     let prefix = cx.decoder.evacuations_prefix();
-    let platforms = pages::read_all(&*cx.store, &cx.view, &prefix);
-    let operators = pages::read_all(&*cx.store, &cx.view, keys::EVACUATIONS);
+    let platforms = paged_reads::read_all(&*cx.store, &cx.view, &prefix);
+    let operators = paged_reads::read_all(&*cx.store, &cx.view, keys::EVACUATIONS);
     let (platforms, operators) = futures_lite::future::zip(platforms, operators).await;
     let now = cx.view.clock().now();
     let own: BTreeSet<AvailabilityZoneId> =
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -4,7 +4,7 @@
 use outside::{Change, CoordinationStore, Item, StoreError, Watched};
 
 use crate::{
-    pages,
+    paged_reads,
     view::View,
     wait::{Backoff, pause},
 };
@@ -103,7 +103,7 @@
 }
 
 async fn read(store: &dyn CoordinationStore, view: &View, prefix: &str, on: &mut impl FnMut(Seen)) -> Revision {
-    let snapshot = pages::read_all(store, view, prefix).await;
+    let snapshot = paged_reads::read_all(store, view, prefix).await;
     on(Seen::All(snapshot.items));
     snapshot.at
 }
--- a/crates/runtime/src/intake.rs
+++ b/crates/runtime/src/intake.rs
@@ -12,7 +12,7 @@
     context::Context,
     follow::{Seen, WatchPace, follow},
     keys::{self, Intake},
-    measure, pages,
+    measure, paged_reads,
 };
 
 /// Longest wait of the watch on the intake, which only the scheduler keeps.
@@ -21,8 +21,8 @@
 /// Reads what the store holds of open jobs. The returned revision is where the intake is known to.
 pub(crate) async fn restore(cx: &Context, scheduler: &mut Scheduler) -> Revision {
     let begun = cx.view.clock().now();
-    let intake = pages::read_all(&*cx.store, &cx.view, keys::INTAKE).await;
-    let progress = pages::read_all(&*cx.store, &cx.view, keys::PROGRESS).await;
+    let intake = paged_reads::read_all(&*cx.store, &cx.view, keys::INTAKE).await;
+    let progress = paged_reads::read_all(&*cx.store, &cx.view, keys::PROGRESS).await;
     let took = cx.view.clock().now().since(begun);
     let (pages, bytes) = (intake.pages + progress.pages, intake.bytes() + progress.bytes());
     measure::restored(took, pages, bytes);
@@ -63,7 +63,7 @@
 /// Reads the records of jobs that have left the intake, beside all else: nothing waits for them, since callers'
 /// questions are answered from the store until they are known.
 pub(crate) async fn restore_ended(cx: Context, active: Arc<Active>) {
-    let ended = pages::read_all(&*cx.store, &cx.view, keys::ENDED).await;
+    let ended = paged_reads::read_all(&*cx.store, &cx.view, keys::ENDED).await;
     log::info!("event=records_read fence={} records={} pages={}", active.fence, ended.items.len(), ended.pages);
     let now = cx.view.clock().now();
     let mut scheduler = active.lock();
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -26,7 +26,7 @@
 mod links;
 mod measure;
 mod outcome;
-mod pages;
+mod paged_reads;
 mod permits;
 pub mod platform;
 mod predecessors;
--- a/crates/runtime/src/requests/state.rs
+++ b/crates/runtime/src/requests/state.rs
@@ -5,7 +5,7 @@
 use outside::StoreError;
 
 use super::{ASK_LIMIT, RELAY_LIMIT, Requests, may_see};
-use crate::{keys, measure, outcome::StateOutcome, pages};
+use crate::{keys, measure, outcome::StateOutcome, paged_reads};
 
 impl Requests {
     /// Tells how a job stands, within `limit`.
@@ -66,7 +66,7 @@
 
     async fn read_state(&self, id: JobId, customer: Option<&CustomerId>) -> Result<StateOutcome, StoreError> {
         // The job comes last: if it stands there, what was read of it before has not gone with it to the archive.
-        let stored = pages::read_once(&*self.store, &keys::progress_of_job(id)).await?;
+        let stored = paged_reads::read_once(&*self.store, &keys::progress_of_job(id)).await?;
         let cancelled = self.store.get(keys::cancel(id)).await?.is_some();
         let Some(item) = self.store.get(keys::job(id)).await? else { return self.read_ended(id, customer).await };
         let Ok(job) = serde_json::from_slice::<Job>(&item.value) else { return Ok(StateOutcome::Unavailable) };
