--- a/crates/runtime/src/keys.rs
+++ b/crates/runtime/src/keys.rs
@@ -16,7 +16,7 @@
 /// Schedulers that may still renew leases, the newest first.
 pub(crate) const TERMS: &str = "marten/terms";
 /// Backend servers that no scheduler has reached lately.
-pub(crate) const UNREACHED: &str = "marten/unreached";
+pub(crate) const UNREACHABLE: &str = "marten/unreached";
 /// Backend servers that witness who schedules.
 pub(crate) const WITNESSES: &str = "marten/witnesses";
 /// The boxes and where they talk to each other.
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -18,7 +18,7 @@
     platform::Target,
     predecessors::{self, Earlier},
     settings::Settings,
-    unreached,
+    unreachable,
     wait::{at_most, pause},
     witnesses, writer,
 };
@@ -55,10 +55,10 @@
     let restored = async {
         // Evacuations first: nothing may be placed before they are known. So with what limits the wait for runs that are restored.
         let evacuations = evacuation::restore(cx, &evacuations, &mut scheduler);
-        let notes = futures_lite::future::zip(unreached::read(cx), witnesses::read(cx));
+        let notes = futures_lite::future::zip(unreachable::read(cx), witnesses::read(cx));
         let (evacuations_to, (note, vouching)) = futures_lite::future::zip(evacuations, notes).await;
         if let Some(item) = note {
-            unreached::restore(&mut scheduler, &item);
+            unreachable::restore(&mut scheduler, &item);
         }
         witnesses::restore(&mut scheduler, vouching.as_ref(), earlier.witnessed);
         Some((evacuations_to, intake::restore(cx, &mut scheduler).await))
@@ -84,8 +84,8 @@
         smol::spawn(intake::restore_ended(cx.clone(), Arc::clone(&active))),
         smol::spawn(writer::run(cx.clone(), Arc::clone(&active))),
         smol::spawn(box_list::name_relay_boxes(cx.clone(), Arc::clone(&active))),
-        smol::spawn(unreached::keep(cx.clone(), Arc::clone(&active))),
-        smol::spawn(witnesses::keep(cx.clone(), Arc::clone(&active))),
+        smol::spawn(unreachable::run(cx.clone(), Arc::clone(&active))),
+        smol::spawn(witnesses::run(cx.clone(), Arc::clone(&active))),
         smol::spawn(cleaner::run(cx.clone(), Arc::clone(&active))),
         smol::spawn(permits::run(cx.clone(), Arc::clone(&active))),
         smol::spawn(maintenance::follow_requests(cx.clone(), Arc::clone(&active))),
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -39,7 +39,7 @@
 mod requests;
 mod running_box;
 mod settings;
-mod unreached;
+mod unreachable;
 mod view;
 mod wait;
 mod witnesses;
--- a/crates/runtime/src/unreached.rs
+++ b/crates/runtime/src/unreachable.rs
@@ -22,10 +22,10 @@
 pub(crate) async fn read(cx: &Context) -> Option<Item> {
     let mut backoff = Backoff::new();
     loop {
-        match cx.store.get(keys::UNREACHED.to_owned()).await {
+        match cx.store.get(keys::UNREACHABLE.to_owned()).await {
             Ok(item) => return item,
             Err(e) => {
-                log::info!("event=read_failed key={} why={e}", keys::UNREACHED);
+                log::info!("event=read_failed key={} why={e}", keys::UNREACHABLE);
                 backoff.wait().await;
             }
         }
@@ -42,7 +42,7 @@
 }
 
 /// Keeps the note, until it is dropped.
-pub(crate) async fn keep(cx: Context, active: Arc<Active>) {
+pub(crate) async fn run(cx: Context, active: Arc<Active>) {
     let mut backoff = Backoff::new();
     loop {
         pause(LOOK_EVERY).await;
@@ -58,7 +58,7 @@
                 active.update(|scheduler| scheduler.unreachable_stored(write, revision));
             }
             Ok(Committed::Conflict(items)) => {
-                let found = items.iter().find(|item| item.key == keys::UNREACHED);
+                let found = items.iter().find(|item| item.key == keys::UNREACHABLE);
                 active.lock().unreachable_revision_found(found.map_or(Revision(0), |item| item.revision));
                 backoff.wait().await;
             }
@@ -77,9 +77,9 @@
     Transaction {
         expect: vec![
             (keys::SCHEDULER.to_owned(), Revision(active.fence.0)),
-            (keys::UNREACHED.to_owned(), write.replaces),
+            (keys::UNREACHABLE.to_owned(), write.replaces),
         ],
-        put: vec![Put { key: keys::UNREACHED.to_owned(), value, lease: None }],
+        put: vec![Put { key: keys::UNREACHABLE.to_owned(), value, lease: None }],
         remove: Vec::new(),
     }
 }
--- a/crates/runtime/src/witnesses.rs
+++ b/crates/runtime/src/witnesses.rs
@@ -45,7 +45,7 @@
 }
 
 /// Keeps them, until it is dropped.
-pub(crate) async fn keep(cx: Context, active: Arc<Active>) {
+pub(crate) async fn run(cx: Context, active: Arc<Active>) {
     let mut backoff = Backoff::new();
     loop {
         pause(LOOK_EVERY).await;
