--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -14,8 +14,8 @@
     keys, paged_reads,
     relay_boxes::{ListedBox, RelayBoxes},
     settings::Settings,
+    timers::{Backoff, pause},
     view::View,
-    wait::{Backoff, pause},
 };
 
 /// Limit of a write.
--- a/crates/runtime/src/cleaner.rs
+++ b/crates/runtime/src/cleaner.rs
@@ -7,7 +7,7 @@
 use outside::{Committed, Put, StoreError, Transaction};
 use scheduler::Archival;
 
-use crate::{active::Active, context::Context, keys, wait::pause};
+use crate::{active::Active, context::Context, keys, timers::pause};
 
 /// Most entries of a transaction that the users' store allows.
 const MOST_ENTRIES: usize = 32;
--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -16,8 +16,8 @@
     context::Context,
     follow::{Follower, Seen, WatchPace},
     settings::Settings,
+    timers::{Backoff, pause},
     view::View,
-    wait::{Backoff, pause},
 };
 
 /// Longest wait at another box: what one that falls silent has missed is found out within this and [`RELAY_SLACK`].
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -16,8 +16,8 @@
     leader::{self, Finished},
     predecessors::{self, Earlier},
     settings::Settings,
+    timers::{Backoff, pause, with_timeout},
     view::{Leader, View},
-    wait::{Backoff, at_most, pause},
 };
 
 /// Candidates wait a random time up to this before they stand, so that few writes collide.
@@ -157,7 +157,7 @@
                 lead(&settings, &cx, &active, won, &mut fitness).await;
             }
         }
-        at_most(LOOK_EVERY, cx.view.leader_changed()).await;
+        with_timeout(LOOK_EVERY, cx.view.leader_changed()).await;
     }
 }
 
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -5,8 +5,8 @@
 
 use crate::{
     paged_reads,
+    timers::{Backoff, pause},
     view::View,
-    wait::{Backoff, pause},
 };
 
 /// What is seen of a prefix.
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -18,9 +18,8 @@
     platform::Target,
     predecessors::{self, Earlier},
     settings::Settings,
-    unreachable,
-    wait::{at_most, pause},
-    witnesses, writer,
+    timers::{pause, with_timeout},
+    unreachable, witnesses, writer,
 };
 
 /// The plan is looked at this often when nothing happens: timed jobs fall due, stops are repeated.
@@ -118,7 +117,7 @@
             active.plan_wanted().await;
             pause(PLAN_AFTER).await;
         };
-        at_most(PLAN_EVERY, happened).await;
+        with_timeout(PLAN_EVERY, happened).await;
         let newer = cx.view.configuration().filter(|newest| newest.version > version);
         let begun = Instant::now();
         let (now, wall_ms) = (clock.now(), clock.wall_ms());
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -39,9 +39,9 @@
 mod requests;
 mod running_box;
 mod settings;
+mod timers;
 mod unreachable;
 mod view;
-mod wait;
 mod witnesses;
 mod writer;
 
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -16,7 +16,7 @@
     context::Context,
     measure,
     platform::{Heartbeat, HeartbeatReply, Lease, Start, StopReply, Target, ThrottleOrder},
-    wait::{Backoff, at_most},
+    timers::{Backoff, with_timeout},
 };
 
 /// How long a renewal waits for an end while something runs: also how old a lease gets before it is renewed.
@@ -101,7 +101,7 @@
             }
         }
     };
-    at_most(STORE_WAIT, taken).await;
+    with_timeout(STORE_WAIT, taken).await;
 }
 
 /// Gives orders, one at a time and in their order.
--- a/crates/runtime/src/maintenance.rs
+++ b/crates/runtime/src/maintenance.rs
@@ -12,7 +12,7 @@
     follow::{Seen, WatchPace, follow},
     keys, measure,
     platform::Machines,
-    wait::{Backoff, pause},
+    timers::{Backoff, pause},
 };
 
 /// Longest wait of the watch on waves.
--- a/crates/runtime/src/measure.rs
+++ b/crates/runtime/src/measure.rs
@@ -8,7 +8,7 @@
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, Transaction, Watched};
 use scheduler::Observation;
 
-use crate::wait::pause;
+use crate::timers::pause;
 
 /// How often the box that schedules tells its traffic.
 const TELL_TRAFFIC_EVERY: Duration = Duration::from_secs(10);
--- a/crates/runtime/src/paged_reads.rs
+++ b/crates/runtime/src/paged_reads.rs
@@ -3,7 +3,7 @@
 use model::Revision;
 use outside::{CoordinationStore, Item, Page, StoreError};
 
-use crate::{view::View, wait::Backoff};
+use crate::{timers::Backoff, view::View};
 
 /// What stood under a prefix.
 #[derive(Debug, Default)]
--- a/crates/runtime/src/permits.rs
+++ b/crates/runtime/src/permits.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::{active::Active, context::Context, measure, wait::Backoff};
+use crate::{active::Active, context::Context, measure, timers::Backoff};
 
 /// Asks whatever the latest plan wants to know, until it is dropped.
 pub(crate) async fn run(cx: Context, active: Arc<Active>) {
--- a/crates/runtime/src/predecessors.rs
+++ b/crates/runtime/src/predecessors.rs
@@ -19,7 +19,7 @@
     active::Active,
     context::Context,
     keys,
-    wait::{at_most, pause},
+    timers::{pause, with_timeout},
 };
 
 /// From one question to the next.
@@ -142,7 +142,7 @@
         );
         active.update(|scheduler| scheduler.earlier_terms_ended(ended));
     };
-    at_most(longest, asked).await;
+    with_timeout(longest, asked).await;
     forget(&cx, &active, here).await;
 }
 
--- a/crates/runtime/src/probe.rs
+++ b/crates/runtime/src/probe.rs
@@ -5,7 +5,7 @@
 use model::Duration;
 use outside::{CoordinationStore, Item};
 
-use crate::{election, keys, view::View, wait::pause};
+use crate::{election, keys, timers::pause, view::View};
 
 /// The store is asked for a sign of life once it has been silent for so long.
 const ASK_AFTER: Duration = Duration::from_millis(300);
--- a/crates/runtime/src/relay.rs
+++ b/crates/runtime/src/relay.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     outcome::{CancelOutcome, StateOutcome, SubmitOutcome, Taken},
-    wait::pause,
+    timers::pause,
 };
 
 /// No call to another box takes longer, whatever its own limit.
--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -8,7 +8,7 @@
 use crate::{
     keys, measure,
     outcome::{CancelOutcome, Taken},
-    wait::Backoff,
+    timers::Backoff,
 };
 
 impl Requests {
--- a/crates/runtime/src/requests/mod.rs
+++ b/crates/runtime/src/requests/mod.rs
@@ -14,7 +14,7 @@
 use model::{CustomerId, Duration, Moment};
 use outside::{Committed, CoordinationStore, StoreError, Transaction};
 
-use crate::{active::ActiveSlot, relay::Peers, view::View, wait::Backoff};
+use crate::{active::ActiveSlot, relay::Peers, timers::Backoff, view::View};
 
 /// One try of a write: above what a slow store takes (60 times its 4 ms).
 const WRITE_LIMIT: Duration = Duration::from_millis(450);
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -23,8 +23,8 @@
     relay_service::RelayService,
     requests::Requests,
     settings::Settings,
+    timers::pause,
     view::View,
-    wait::pause,
 };
 
 /// How often a box that does not reach the store asks another for the configuration.
--- a/crates/runtime/src/wait.rs
+++ b/crates/runtime/src/timers.rs
@@ -45,6 +45,6 @@
 }
 
 /// Waits for an event, but no longer than `limit`.
-pub(crate) async fn at_most(limit: Duration, event: impl Future<Output = ()>) {
+pub(crate) async fn with_timeout(limit: Duration, event: impl Future<Output = ()>) {
     futures_lite::FutureExt::or(event, pause(limit)).await;
 }
--- a/crates/runtime/src/unreachable.rs
+++ b/crates/runtime/src/unreachable.rs
@@ -10,7 +10,7 @@
     active::Active,
     context::Context,
     keys,
-    wait::{Backoff, pause},
+    timers::{Backoff, pause},
 };
 
 /// How often there is a look for what to note. What is reached again gets no lease before it is withdrawn.
--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -11,7 +11,7 @@
 use outside::{Clock, StoreError};
 use smol::channel::{Receiver, Sender};
 
-use crate::{Configuration, relay_boxes::RelayBoxes, wait::at_most};
+use crate::{Configuration, relay_boxes::RelayBoxes, timers::with_timeout};
 
 /// Who schedules.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -326,7 +326,7 @@
                 changed.await;
             }
         };
-        at_most(limit, comes).await;
+        with_timeout(limit, comes).await;
         newer()
     }
 
--- a/crates/runtime/src/witnesses.rs
+++ b/crates/runtime/src/witnesses.rs
@@ -10,7 +10,7 @@
     active::Active,
     context::Context,
     keys,
-    wait::{Backoff, pause},
+    timers::{Backoff, pause},
 };
 
 /// How often there is a look for others to choose.
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -18,7 +18,7 @@
     answer_time::AnswerTime,
     context::Context,
     evacuation, keys,
-    wait::{Backoff, at_most, pause},
+    timers::{Backoff, pause, with_timeout},
 };
 
 /// What one call may hold, conditions and writes together (users' store).
@@ -63,7 +63,7 @@
                 over.await;
                 continue;
             }
-            at_most(BESIDE_AFTER, over).await;
+            with_timeout(BESIDE_AFTER, over).await;
         }
         match next_write_batch(&active) {
             Some(batch) => under_way.push(smol::spawn(Arc::clone(&writer).write(batch))),
