--- a/crates/runtime/src/active.rs
+++ b/crates/runtime/src/active.rs
@@ -10,7 +10,7 @@
 use scheduler::{Counts, Order, Scheduler, StartReply};
 use smol::channel::{Receiver, Sender};
 
-use crate::{evacuated::Evacuated, links::Links, measure, outcome::StateOutcome};
+use crate::{evacuated::Evacuated, links::Links, outcome::StateOutcome, telemetry};
 
 /// A channel for one token: a full one holds the news already.
 type Signal = (Sender<()>, Receiver<()>);
@@ -61,7 +61,7 @@
         let (ask, deposed) = (scheduler.has_permit_requests(), scheduler.lost_leadership());
         drop(scheduler);
         let dropped: Vec<Order> = orders.into_iter().filter_map(|order| self.links.send(order).err()).collect();
-        measure::observe(observations);
+        telemetry::record_observations(observations);
         if plan {
             let _ = self.plan.0.try_send(());
         }
--- a/crates/runtime/src/intake.rs
+++ b/crates/runtime/src/intake.rs
@@ -12,7 +12,7 @@
     context::Context,
     follow::{Seen, WatchPace, follow},
     keys::{self, Intake},
-    measure, paged_reads,
+    paged_reads, telemetry,
 };
 
 /// Longest wait of the watch on the intake, which only the scheduler keeps.
@@ -25,7 +25,7 @@
     let progress = paged_reads::read_all(&*cx.store, &cx.view, keys::PROGRESS).await;
     let took = cx.view.clock().now().since(begun);
     let (pages, bytes) = (intake.pages + progress.pages, intake.bytes() + progress.bytes());
-    measure::restored(took, pages, bytes);
+    telemetry::record_restore(took, pages, bytes);
     log::info!("event=restored fence={} pages={pages} bytes={bytes} took_ms={}", scheduler.fence(), took.millis());
     take_restored(cx, scheduler, &intake.items, progress.items);
     intake.at
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -14,10 +14,11 @@
     evacuated::Evacuated,
     evacuation, intake,
     links::Links,
-    maintenance, measure, permits,
+    maintenance, permits,
     platform::Target,
     predecessors::{self, Earlier},
     settings::Settings,
+    telemetry,
     timers::{pause, with_timeout},
     unreachable, witnesses, writer,
 };
@@ -90,7 +91,7 @@
         smol::spawn(maintenance::follow_requests(cx.clone(), Arc::clone(&active))),
         smol::spawn(maintenance::run(cx.clone(), Arc::clone(&active), settings.box_id.clone())),
         smol::spawn(plan(cx.clone(), Arc::clone(&active), configuration.version)),
-        smol::spawn(measure::tell_traffic(fence)),
+        smol::spawn(telemetry::log_traffic(fence)),
     ];
     active.until_deposed().await;
     drop(tasks);
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -14,8 +14,8 @@
 use crate::{
     active::Active,
     context::Context,
-    measure,
     platform::{Heartbeat, HeartbeatReply, Lease, Start, StopReply, Target, ThrottleOrder},
+    telemetry,
     timers::{Backoff, with_timeout},
 };
 
@@ -59,7 +59,7 @@
         let sent = worker.now();
         let call = worker.cx.servers.heartbeat(target, heartbeat);
         let reply = if std::mem::take(&mut first) { worker.first_calls.take(call).await } else { call.await };
-        measure::server_call("hold", heartbeat_outcome(&reply));
+        telemetry::count_server_call("hold", heartbeat_outcome(&reply));
         match reply {
             Ok(HeartbeatReply::Listing(listing)) => {
                 answered = true;
@@ -231,7 +231,7 @@
             self.target.id,
             active.fence
         );
-        measure::server_call("start", start_outcome(reply));
+        telemetry::count_server_call("start", start_outcome(reply));
         if reply == StartReply::Gone {
             return self.gone(active, &target);
         }
@@ -248,7 +248,7 @@
             self.target.id,
             active.fence
         );
-        measure::server_answer("stop", &reply);
+        telemetry::count_server_reply("stop", &reply);
         let now = self.now();
         match reply {
             Ok(StopReply::Stopped) => active.update(|s| s.stop_replied(&self.target.id, task, run, now)),
@@ -266,7 +266,7 @@
         let order = ThrottleOrder { fence: active.fence, task, run, percent };
         let target = self.target(&active.lock());
         let reply = self.cx.servers.throttle(target, order).await;
-        measure::server_answer("pace", &reply);
+        telemetry::count_server_reply("pace", &reply);
         if let Ok(true) = reply {
             active.update(|scheduler| scheduler.throttle_replied(&self.target.id, task, run, percent));
         }
--- a/crates/runtime/src/maintenance.rs
+++ b/crates/runtime/src/maintenance.rs
@@ -10,8 +10,9 @@
     active::Active,
     context::Context,
     follow::{Seen, WatchPace, follow},
-    keys, measure,
+    keys,
     platform::Machines,
+    telemetry,
     timers::{Backoff, pause},
 };
 
@@ -93,7 +94,7 @@
 /// Lists the machines, and hands over those that are due.
 async fn hand_over_due(cx: &Context, active: &Active, machines: &dyn Machines, box_id: &BoxId) {
     let listed = machines.list().await;
-    measure::server_answer("list_machines", &listed);
+    telemetry::count_server_reply("list_machines", &listed);
     let listed = match listed {
         Ok(listed) => listed,
         Err(e) => return log::info!("event=machines_not_listed why={e}"),
--- a/crates/runtime/src/permits.rs
+++ b/crates/runtime/src/permits.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::{active::Active, context::Context, measure, timers::Backoff};
+use crate::{active::Active, context::Context, telemetry, timers::Backoff};
 
 /// Asks whatever the latest plan wants to know, until it is dropped.
 pub(crate) async fn run(cx: Context, active: Arc<Active>) {
@@ -16,7 +16,7 @@
         };
         let sent = cx.view.clock().now();
         let answer = permit_service.request_permits(question.step, question.servers.clone(), question.takes).await;
-        measure::server_answer("advise", &answer);
+        telemetry::count_server_reply("advise", &answer);
         match answer {
             Ok(allowed) => {
                 backoff.reset();
--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -6,8 +6,9 @@
 
 use super::{ASK_LIMIT, RELAY_LIMIT, Requests, STORE_LIMIT, may_see};
 use crate::{
-    keys, measure,
+    keys,
     outcome::{CancelOutcome, Taken},
+    telemetry,
     timers::Backoff,
 };
 
@@ -33,7 +34,7 @@
             }
         }
         log::info!("job={id} event=cancel_requested outcome={outcome:?}");
-        measure::request("cancel", &outcome);
+        telemetry::count_request("cancel", &outcome);
         outcome
     }
 
--- a/crates/runtime/src/requests/state.rs
+++ b/crates/runtime/src/requests/state.rs
@@ -5,13 +5,13 @@
 use outside::StoreError;
 
 use super::{ASK_LIMIT, RELAY_LIMIT, Requests, may_see};
-use crate::{keys, measure, outcome::StateOutcome, paged_reads};
+use crate::{keys, outcome::StateOutcome, paged_reads, telemetry};
 
 impl Requests {
     /// Tells how a job stands, within `limit`.
     pub async fn state(&self, id: JobId, customer: Option<&CustomerId>, limit: Duration) -> StateOutcome {
         let outcome = self.state_anywhere(id, customer, limit).await;
-        measure::request("state", &outcome);
+        telemetry::count_request("state", &outcome);
         if outcome == StateOutcome::Unavailable {
             log::info!("job={id} event=state_unavailable store={}", self.view.reaches_store());
         }
--- a/crates/runtime/src/requests/submit.rs
+++ b/crates/runtime/src/requests/submit.rs
@@ -6,15 +6,16 @@
 
 use super::{ASK_LIMIT, RELAY_LIMIT, Requests, STORE_LIMIT};
 use crate::{
-    keys, measure,
+    keys,
     outcome::{SubmitOutcome, Taken},
+    telemetry,
 };
 
 impl Requests {
     /// Takes a job, within `limit`.
     pub async fn submit(&self, job: &Job, limit: Duration) -> SubmitOutcome {
         let outcome = self.submit_anywhere(job, limit).await;
-        measure::request("submit", &outcome);
+        telemetry::count_request("submit", &outcome);
         outcome
     }
 
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -16,13 +16,13 @@
     context::Context,
     election,
     evacuation::{self, EvacuationOutcome},
-    measure::{self, MeasuredStore},
     platform::{BackendServers, Decoder, Machines, PermitService},
     probe,
     relay::Peers,
     relay_service::RelayService,
     requests::Requests,
     settings::Settings,
+    telemetry::{self, MeasuredStore},
     timers::pause,
     view::View,
 };
@@ -181,7 +181,7 @@
 
     /// Sets the gauges that are read off the box when it is asked.
     pub fn set_gauges(&self) {
-        measure::count_traffic();
+        telemetry::count_traffic();
         let status = self.status();
         let set = |name: &'static str, value: Option<f64>| {
             if let Some(value) = value {
--- a/crates/runtime/src/measure.rs
+++ b/crates/runtime/src/telemetry.rs
@@ -14,7 +14,7 @@
 const TELL_TRAFFIC_EVERY: Duration = Duration::from_secs(10);
 
 /// Counts what the scheduler has seen.
-pub(crate) fn observe(observations: Vec<Observation>) {
+pub(crate) fn record_observations(observations: Vec<Observation>) {
     for observation in observations {
         match observation {
             Observation::Started { customer, queue, after } => {
@@ -59,30 +59,30 @@
 }
 
 /// Records what a new scheduler had to read before it could schedule.
-pub(crate) fn restored(took: Duration, pages: usize, bytes: usize) {
+pub(crate) fn record_restore(took: Duration, pages: usize, bytes: usize) {
     metrics::histogram!("martenscale_restore_seconds").record(took.secs_f64());
     metrics::counter!("martenscale_restore_pages_total").increment(pages as u64);
     metrics::counter!("martenscale_restore_bytes_total").increment(bytes as u64);
 }
 
 /// Counts the outcome of a caller's request.
-pub(crate) fn request(kind: &'static str, outcome: &impl std::fmt::Debug) {
+pub(crate) fn count_request(kind: &'static str, outcome: &impl std::fmt::Debug) {
     let outcome = format!("{outcome:?}");
     metrics::counter!("martenscale_requests_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
 /// Counts the outcome of a call to a backend server.
-pub(crate) fn server_call(kind: &'static str, outcome: &'static str) {
+pub(crate) fn count_server_call(kind: &'static str, outcome: &'static str) {
     metrics::counter!("martenscale_server_calls_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
 /// Counts a call of which only matters whether it was answered.
-pub(crate) fn server_answer<T, E>(kind: &'static str, reply: &Result<T, E>) {
-    server_call(kind, if reply.is_ok() { "answered" } else { "lost" });
+pub(crate) fn count_server_reply<T, E>(kind: &'static str, reply: &Result<T, E>) {
+    count_server_call(kind, if reply.is_ok() { "answered" } else { "lost" });
 }
 
 /// Tells what the box that schedules has sent and received, for as long as it does.
-pub(crate) async fn tell_traffic(fence: Fence) {
+pub(crate) async fn log_traffic(fence: Fence) {
     loop {
         log::info!("event=traffic fence={fence} {AllTraffic}");
         pause(TELL_TRAFFIC_EVERY).await;
