--- a/crates/runtime/src/active.rs
+++ b/crates/runtime/src/active.rs
@@ -10,7 +10,7 @@
 use scheduler::{Counts, Order, Scheduler, StartReply};
 use smol::channel::{Receiver, Sender};
 
-use crate::{evacuated::Evacuated, links::Links, outcome::StateOutcome, telemetry};
+use crate::{evacuation_revisions::EvacuationRevisions, links::Links, outcome::StateOutcome, telemetry};
 
 /// A channel for one token: a full one holds the news already.
 type Signal = (Sender<()>, Receiver<()>);
@@ -20,7 +20,7 @@
     scheduler: Mutex<Scheduler>,
     pub(crate) fence: Fence,
     pub(crate) links: Links,
-    pub(crate) evacuations: Evacuated,
+    pub(crate) evacuations: EvacuationRevisions,
     /// Holds a token when something may let a group start.
     plan: Signal,
     /// Holds a token when the adviser is to be asked.
@@ -34,7 +34,7 @@
 }
 
 impl Active {
-    pub(crate) fn new(scheduler: Scheduler, evacuations: Evacuated, links: Links) -> Active {
+    pub(crate) fn new(scheduler: Scheduler, evacuations: EvacuationRevisions, links: Links) -> Active {
         Active {
             fence: scheduler.fence(),
             scheduler: Mutex::new(scheduler),
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -14,7 +14,7 @@
 use crate::{
     active::Active,
     context::Context,
-    evacuated::Evacuated,
+    evacuation_revisions::EvacuationRevisions,
     follow::{Seen, WatchPace, follow},
     keys, paged_reads,
     platform::Decoder,
@@ -40,7 +40,7 @@
 
 /// Reads all evacuations, for a new scheduler before its first plan. The returned revision is where the platform's are
 /// known to.
-pub(crate) async fn restore(cx: &Context, known: &Evacuated, scheduler: &mut Scheduler) -> Revision {
+pub(crate) async fn restore(cx: &Context, known: &EvacuationRevisions, scheduler: &mut Scheduler) -> Revision {
     let prefix = cx.decoder.evacuations_prefix();
     let platforms = paged_reads::read_all(&*cx.store, &cx.view, &prefix);
     let operators = paged_reads::read_all(&*cx.store, &cx.view, keys::EVACUATIONS);
@@ -70,14 +70,26 @@
     follow(&*cx.store, &cx.view, &prefix, Some(from), WatchPace::at_once(WATCH_WAIT), on).await;
 }
 
-fn take_all(decoder: &dyn Decoder, known: &Evacuated, scheduler: &mut Scheduler, items: &[Item], now: Moment) {
+fn take_all(
+    decoder: &dyn Decoder,
+    known: &EvacuationRevisions,
+    scheduler: &mut Scheduler,
+    items: &[Item],
+    now: Moment,
+) {
     let zone = |item: &Item| Some((decoder.evacuated_zone(&item.key)?, item.revision));
     let all: BTreeMap<AvailabilityZoneId, Revision> = items.iter().filter_map(zone).collect();
     scheduler.set_evacuated(EvacuatedBy::Platform, &all.keys().cloned().collect(), now);
     known.replace(all);
 }
 
-fn take_change(decoder: &dyn Decoder, known: &Evacuated, scheduler: &mut Scheduler, change: &Change, now: Moment) {
+fn take_change(
+    decoder: &dyn Decoder,
+    known: &EvacuationRevisions,
+    scheduler: &mut Scheduler,
+    change: &Change,
+    now: Moment,
+) {
     let (key, revision) = match change {
         Change::Put(item) => (&item.key, Some(item.revision)),
         Change::Removed { key } => (key, None),
@@ -90,7 +102,7 @@
 
 /// The key of an availability zone stands at a revision, or is not there.
 fn take(
-    known: &Evacuated,
+    known: &EvacuationRevisions,
     scheduler: &mut Scheduler,
     zone: &AvailabilityZoneId,
     revision: Option<Revision>,
@@ -106,7 +118,7 @@
 /// The conditions under which runs may be placed in these availability zones.
 pub(crate) fn conditions(
     decoder: &dyn Decoder,
-    known: &Evacuated,
+    known: &EvacuationRevisions,
     zones: &BTreeSet<AvailabilityZoneId>,
 ) -> Vec<(String, Revision)> {
     zones.iter().map(|zone| (decoder.evacuation_key(zone), known.revision(zone))).collect()
--- a/crates/runtime/src/evacuated.rs
+++ b/crates/runtime/src/evacuation_revisions.rs
@@ -6,11 +6,11 @@
 
 /// The platform's evacuations as they are known: each with the revision of its key.
 #[derive(Debug, Default)]
-pub(crate) struct Evacuated {
+pub(crate) struct EvacuationRevisions {
     revisions: Mutex<BTreeMap<AvailabilityZoneId, Revision>>,
 }
 
-impl Evacuated {
+impl EvacuationRevisions {
     pub(crate) fn set(&self, zone: &AvailabilityZoneId, revision: Option<Revision>) {
         let mut revisions = self.revisions.lock().expect("no holder panics");
         match revision {
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -10,9 +10,9 @@
     active::{Active, ActiveSlot},
     box_list, cleaner,
     context::Context,
-    directory,
-    evacuated::Evacuated,
-    evacuation, intake,
+    directory, evacuation,
+    evacuation_revisions::EvacuationRevisions,
+    intake,
     links::Links,
     maintenance, permits,
     platform::Target,
@@ -51,7 +51,7 @@
     let Some(configuration) = cx.view.configuration() else { return Finished::NotRestored };
     let clock = cx.view.clock();
     let mut scheduler = Scheduler::new(fence, clock.now(), settings.timing.clone(), configuration.policy.clone());
-    let evacuations = Evacuated::default();
+    let evacuations = EvacuationRevisions::default();
     let restored = async {
         // Evacuations first: nothing may be placed before they are known. So with what limits the wait for runs that are restored.
         let evacuations = evacuation::restore(cx, &evacuations, &mut scheduler);
