--- a/crates/runtime/src/keys.rs
+++ b/crates/runtime/src/keys.rs
@@ -33,7 +33,7 @@
 
 /// What a key under [`INTAKE`] holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Intake {
+pub(crate) enum SubmissionKey {
     Job(JobId),
     Cancel(JobId),
 }
@@ -46,12 +46,12 @@
     format!("{INTAKE}{id}{CANCEL}")
 }
 
-pub(crate) fn intake(key: &str) -> Option<Intake> {
+pub(crate) fn submission(key: &str) -> Option<SubmissionKey> {
     let rest = key.strip_prefix(INTAKE)?;
     if let Some(id) = rest.strip_suffix(JOB) {
-        return id.parse().ok().map(Intake::Job);
+        return id.parse().ok().map(SubmissionKey::Job);
     }
-    rest.strip_suffix(CANCEL)?.parse().ok().map(Intake::Cancel)
+    rest.strip_suffix(CANCEL)?.parse().ok().map(SubmissionKey::Cancel)
 }
 
 pub(crate) fn ended(id: JobId) -> String {
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -12,13 +12,12 @@
     context::Context,
     directory, evacuation,
     evacuation_revisions::EvacuationRevisions,
-    intake,
     links::Links,
     maintenance, permits,
     platform::Target,
     predecessors::{self, Earlier},
     settings::Settings,
-    telemetry,
+    submissions, telemetry,
     timers::{pause, with_timeout},
     unreachable, witnesses, writer,
 };
@@ -61,7 +60,7 @@
             unreachable::restore(&mut scheduler, &item);
         }
         witnesses::restore(&mut scheduler, vouching.as_ref(), earlier.witnessed);
-        Some((evacuations_to, intake::restore(cx, &mut scheduler).await))
+        Some((evacuations_to, submissions::restore(cx, &mut scheduler).await))
     };
     let expired = async {
         pause(restore_limit).await;
@@ -78,10 +77,10 @@
     let longest = settings.timing.unconfirmed_renewal;
     let tasks = [
         smol::spawn(predecessors::follow(cx.clone(), Arc::clone(&active), here, earlier.predecessors, longest)),
-        smol::spawn(intake::follow_intake(cx.clone(), Arc::clone(&active), known_to)),
+        smol::spawn(submissions::follow_submissions(cx.clone(), Arc::clone(&active), known_to)),
         smol::spawn(evacuation::follow_platforms(cx.clone(), Arc::clone(&active), evacuations_to)),
         smol::spawn(directory::follow_servers(cx.clone(), Arc::clone(&active))),
-        smol::spawn(intake::restore_ended(cx.clone(), Arc::clone(&active))),
+        smol::spawn(submissions::restore_ended(cx.clone(), Arc::clone(&active))),
         smol::spawn(writer::run(cx.clone(), Arc::clone(&active))),
         smol::spawn(box_list::name_relay_boxes(cx.clone(), Arc::clone(&active))),
         smol::spawn(unreachable::run(cx.clone(), Arc::clone(&active))),
--- a/crates/runtime/src/intake.rs
+++ b/crates/runtime/src/submissions.rs
@@ -11,7 +11,7 @@
     active::Active,
     context::Context,
     follow::{Seen, WatchPace, follow},
-    keys::{self, Intake},
+    keys::{self, SubmissionKey},
     paged_reads, telemetry,
 };
 
@@ -35,13 +35,13 @@
     let mut cancelled = Vec::new();
     let mut unreadable = BTreeSet::new();
     for item in intake {
-        match keys::intake(&item.key) {
-            Some(Intake::Job(id)) => {
+        match keys::submission(&item.key) {
+            Some(SubmissionKey::Job(id)) => {
                 if !add_job(scheduler, id, item) {
                     unreadable.insert(id);
                 }
             }
-            Some(Intake::Cancel(id)) => cancelled.push(id),
+            Some(SubmissionKey::Cancel(id)) => cancelled.push(id),
             None => log::warn!("event=key_unknown key={}", item.key),
         }
     }
@@ -92,7 +92,7 @@
 }
 
 /// Follows what callers hand in and cancel at any box, from where [`restore`] has read to.
-pub(crate) async fn follow_intake(cx: Context, active: Arc<Active>, from: Revision) {
+pub(crate) async fn follow_submissions(cx: Context, active: Arc<Active>, from: Revision) {
     let on = |seen: Seen| {
         let items = seen.written();
         active.update(|scheduler| take_intake(scheduler, &items, cx.view.clock().now()));
@@ -103,14 +103,14 @@
 /// Jobs are taken before cancellations, which may be of them.
 fn take_intake(scheduler: &mut Scheduler, items: &[Item], now: Moment) {
     for item in items {
-        if let Some(Intake::Job(id)) = keys::intake(&item.key)
+        if let Some(SubmissionKey::Job(id)) = keys::submission(&item.key)
             && scheduler.job_status(id).is_none()
         {
             add_job(scheduler, id, item);
         }
     }
     for item in items {
-        if let Some(Intake::Cancel(id)) = keys::intake(&item.key) {
+        if let Some(SubmissionKey::Cancel(id)) = keys::submission(&item.key) {
             scheduler.cancel(id, now);
         }
     }
