--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -7,7 +7,6 @@
 
 mod active;
 pub mod addresses;
-pub mod answer_time;
 pub mod box_capacity;
 mod box_list;
 mod cleaner;
@@ -39,6 +38,7 @@
 mod settings;
 mod submissions;
 mod telemetry;
+pub mod timeout_estimator;
 mod timers;
 mod unreachable;
 mod view;
--- a/crates/runtime/src/answer_time.rs
+++ b/crates/runtime/src/timeout_estimator.rs
@@ -12,7 +12,7 @@
 
 /// How long the store takes to answer.
 #[derive(Debug)]
-pub struct AnswerTime {
+pub struct TimeoutEstimator {
     /// Milliseconds; `None` before the first answer.
     mean: Option<f64>,
     deviation: f64,
@@ -21,21 +21,21 @@
     longest: Duration,
 }
 
-impl AnswerTime {
+impl TimeoutEstimator {
     /// Before anything is known, a call may take `longest`; it never gets longer.
-    pub fn at_most(longest: Duration) -> AnswerTime {
-        AnswerTime { mean: None, deviation: 0.0, patience: 1.0, longest }
+    pub fn new(longest: Duration) -> TimeoutEstimator {
+        TimeoutEstimator { mean: None, deviation: 0.0, patience: 1.0, longest }
     }
 
     /// How long the next call may take.
-    pub fn limit(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         let Some(mean) = self.mean else { return self.longest };
         let learned = Duration::from_millis((mean + DEVIATIONS * self.deviation) as u64);
         learned.max(SHORTEST).scaled(self.patience).min(self.longest)
     }
 
     /// A call was answered after so long.
-    pub fn answered(&mut self, after: Duration) {
+    pub fn record_response(&mut self, after: Duration) {
         let after = after.millis() as f64;
         match &mut self.mean {
             None => (self.mean, self.deviation) = (Some(after), after / 2.0),
@@ -48,7 +48,7 @@
     }
 
     /// A call was not answered in time.
-    pub fn not_answered(&mut self) {
+    pub fn record_timeout(&mut self) {
         self.patience = (self.patience * 2.0).min(self.longest.secs_f64() / SHORTEST.secs_f64());
     }
 }
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -15,9 +15,9 @@
 
 use crate::{
     active::Active,
-    answer_time::AnswerTime,
     context::Context,
     evacuation, keys,
+    timeout_estimator::TimeoutEstimator,
     timers::{Backoff, pause, with_timeout},
 };
 
@@ -37,7 +37,7 @@
 struct Writer {
     cx: Context,
     active: Arc<Active>,
-    answer_time: Mutex<AnswerTime>,
+    timeout_estimator: Mutex<TimeoutEstimator>,
     backoff: Mutex<Backoff>,
     /// Holds a token when a write is over.
     over: (Sender<()>, Receiver<()>),
@@ -48,7 +48,7 @@
     let writer = Arc::new(Writer {
         cx,
         active: Arc::clone(&active),
-        answer_time: Mutex::new(AnswerTime::at_most(WRITE_LIMIT)),
+        timeout_estimator: Mutex::new(TimeoutEstimator::new(WRITE_LIMIT)),
         backoff: Mutex::new(Backoff::new()),
         over: smol::channel::bounded(1),
     });
@@ -82,17 +82,17 @@
     async fn write(self: Arc<Writer>, batch: WriteBatch) {
         let Writer { cx, active, .. } = &*self;
         let transaction = transaction(cx, active, &batch);
-        let limit = self.lock().limit();
+        let limit = self.lock().timeout();
         let sent = cx.view.clock().now();
         let result = cx.view.unless_back(cx.store.commit(transaction, limit)).await;
         let took = cx.view.clock().now().since(sent);
         match &result {
             Ok(_) => {
-                self.lock().answered(took);
+                self.lock().record_response(took);
                 self.backoff.lock().expect("no holder panics").reset();
                 cx.view.store_answered();
             }
-            Err(StoreError::Lost { .. }) => self.lock().not_answered(),
+            Err(StoreError::Lost { .. }) => self.lock().record_timeout(),
             Err(StoreError::Refused { .. }) => {}
         }
         match result {
@@ -135,8 +135,8 @@
         self.active.update(|scheduler| scheduler.batch_failed(batch));
     }
 
-    fn lock(&self) -> MutexGuard<'_, AnswerTime> {
-        self.answer_time.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, TimeoutEstimator> {
+        self.timeout_estimator.lock().expect("no holder panics")
     }
 }
 
