--- a/crates/runtime/src/active.rs
+++ b/crates/runtime/src/active.rs
@@ -72,7 +72,7 @@
             let _ = self.write.0.try_send(());
         }
         if deposed {
-            self.depose();
+            self.lose_leadership();
         }
         self.make_up_for(dropped);
         result
@@ -100,12 +100,12 @@
 
     /// Another scheduler has been elected.
     /// Returns whether that is news.
-    pub(crate) fn depose(&self) -> bool {
+    pub(crate) fn lose_leadership(&self) -> bool {
         self.deposed.0.try_send(()).is_ok()
     }
 
     /// Waits until another scheduler has been elected.
-    pub(crate) async fn until_deposed(&self) {
+    pub(crate) async fn leadership_lost(&self) {
         let _ = self.deposed.1.recv().await;
     }
 
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -92,7 +92,7 @@
         smol::spawn(plan(cx.clone(), Arc::clone(&active), configuration.version)),
         smol::spawn(telemetry::log_traffic(fence)),
     ];
-    active.until_deposed().await;
+    active.leadership_lost().await;
     drop(tasks);
     Finished::Deposed
 }
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -183,7 +183,7 @@
 
     /// The backend server obeys a later scheduler.
     fn fenced(&self, active: &Active) {
-        if active.depose() {
+        if active.lose_leadership() {
             log::info!("event=deposed fence={} why=fenced_by server={}", active.fence, self.target.id);
         }
     }
@@ -253,7 +253,7 @@
         match reply {
             Ok(StopReply::Stopped) => active.update(|s| s.stop_replied(&self.target.id, task, run, now)),
             Ok(StopReply::Fenced) => {
-                active.depose();
+                active.lose_leadership();
             }
             Ok(StopReply::Gone) => self.gone(active, &target),
             // The scheduler repeats it.
--- a/crates/runtime/src/relay_service.rs
+++ b/crates/runtime/src/relay_service.rs
@@ -107,7 +107,7 @@
         let fence = Fence(req.fence);
         // Who asks was elected later.
         if let Some(active) = self.active.get().filter(|active| active.fence == fence)
-            && active.depose()
+            && active.lose_leadership()
         {
             log::info!("event=deposed fence={fence} why=asked_by_successor");
         }
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -102,7 +102,7 @@
             }
             Ok(Committed::Conflict(items)) if !holds_key(active, &items) => {
                 log::info!("event=deposed fence={} why=scheduler_key_changed", active.fence);
-                active.depose();
+                active.lose_leadership();
             }
             Ok(Committed::Conflict(items)) => {
                 evacuation::take_found(cx, active, &batch.placement_zones, &items);
