--- a/crates/runtime/src/active.rs
+++ b/crates/runtime/src/active.rs
@@ -74,12 +74,12 @@
         if deposed {
             self.lose_leadership();
         }
-        self.make_up_for(dropped);
+        self.fail_dropped_starts(dropped);
         result
     }
 
     /// A start that was dropped has begun nothing, and nobody answers it. Stops are repeated anyway.
-    fn make_up_for(&self, dropped: Vec<Order>) {
+    fn fail_dropped_starts(&self, dropped: Vec<Order>) {
         for order in dropped {
             if let Order::Start { server, task, run, .. } = order {
                 let now = self.links.now();
@@ -110,22 +110,22 @@
     }
 
     /// Waits until something may let a group start.
-    pub(crate) async fn plan_wanted(&self) {
+    pub(crate) async fn plan_requested(&self) {
         let _ = self.plan.1.recv().await;
     }
 
     /// A plan is about to be made: what has happened up to now is no reason for another.
-    pub(crate) fn plan_begins(&self) {
+    pub(crate) fn clear_plan_request(&self) {
         let _ = self.plan.1.try_recv();
     }
 
     /// Waits until the adviser is to be asked.
-    pub(crate) async fn advice_wanted(&self) {
+    pub(crate) async fn permits_requested(&self) {
         let _ = self.ask.1.recv().await;
     }
 
     /// Waits until something may have to be written.
-    pub(crate) async fn changed(&self) {
+    pub(crate) async fn write_requested(&self) {
         let _ = self.write.1.recv().await;
     }
 }
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -114,14 +114,14 @@
     let clock = cx.view.clock();
     loop {
         let happened = async {
-            active.plan_wanted().await;
+            active.plan_requested().await;
             pause(PLAN_AFTER).await;
         };
         with_timeout(PLAN_EVERY, happened).await;
         let newer = cx.view.configuration().filter(|newest| newest.version > version);
         let begun = Instant::now();
         let (now, wall_ms) = (clock.now(), clock.wall_ms());
-        active.plan_begins();
+        active.clear_plan_request();
         active.update(|scheduler| {
             if let Some(newer) = newer {
                 version = newer.version;
--- a/crates/runtime/src/permits.rs
+++ b/crates/runtime/src/permits.rs
@@ -11,7 +11,7 @@
     loop {
         let next = active.lock().take_permit_request();
         let Some(question) = next else {
-            active.advice_wanted().await;
+            active.permits_requested().await;
             continue;
         };
         let sent = cx.view.clock().now();
@@ -33,6 +33,6 @@
 
 /// Jobs of queues that need advice wait where the settings name no adviser; that is said once.
 async fn no_permit_service(active: &Active) {
-    active.advice_wanted().await;
+    active.permits_requested().await;
     log::error!("event=adviser_missing outcome=jobs_wait field=deployment.adviser_address");
 }
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -67,7 +67,7 @@
         }
         match next_write_batch(&active) {
             Some(batch) => under_way.push(smol::spawn(Arc::clone(&writer).write(batch))),
-            None => active.changed().await,
+            None => active.write_requested().await,
         }
     }
 }
