--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -72,7 +72,7 @@
     let active = Arc::new(Active::new(scheduler, evacuations, links));
     log::info!("event=scheduling fence={fence} revision={known_to} {:?}", active.lock().counts());
     slot.set(Arc::clone(&active));
-    call_restored(&active);
+    connect_restored_servers(&active);
     let here = (settings.box_id.clone(), settings.peers_address);
     let longest = settings.timing.unconfirmed_renewal;
     let tasks = [
@@ -99,7 +99,7 @@
 
 /// Calls the backend servers with restored runs where they were reached before, without waiting for the platform's
 /// list: one that has fallen out of it may hold ends that no scheduler has stored, and may not answer for long.
-fn call_restored(active: &Arc<Active>) {
+fn connect_restored_servers(active: &Arc<Active>) {
     let places = active.lock().restored_addresses();
     for (id, place) in places {
         match place.as_str().parse() {
