--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -13,7 +13,7 @@
     context::Context,
     follow::{Follower, Seen, WatchPace},
     keys,
-    leader::{self, Finished},
+    leader::{self, LeaderExit},
     predecessors::{self, Earlier},
     settings::Settings,
     timers::{Backoff, pause, with_timeout},
@@ -250,8 +250,8 @@
     let earlier = won.earlier.clone();
     let schedule = async {
         match leader::run(settings, cx, active, fence, earlier, fitness.restore_limit).await {
-            Finished::Deposed => Ended::Deposed,
-            Finished::NotRestored => Ended::NotRestored,
+            LeaderExit::LeadershipLost => Ended::Deposed,
+            LeaderExit::NotRestored => Ended::NotRestored,
         }
     };
     let ended = futures_lite::FutureExt::or(keep(settings, cx, won), schedule).await;
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -31,9 +31,9 @@
 
 /// How scheduling ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Finished {
+pub(crate) enum LeaderExit {
     /// Another is elected.
-    Deposed,
+    LeadershipLost,
     /// What must be read first did not come within the time for it.
     NotRestored,
 }
@@ -46,8 +46,8 @@
     fence: Fence,
     earlier: Earlier,
     restore_limit: Duration,
-) -> Finished {
-    let Some(configuration) = cx.view.configuration() else { return Finished::NotRestored };
+) -> LeaderExit {
+    let Some(configuration) = cx.view.configuration() else { return LeaderExit::NotRestored };
     let clock = cx.view.clock();
     let mut scheduler = Scheduler::new(fence, clock.now(), settings.timing.clone(), configuration.policy.clone());
     let evacuations = EvacuationRevisions::default();
@@ -67,7 +67,7 @@
         None
     };
     let restored = futures_lite::FutureExt::or(restored, expired).await;
-    let Some((evacuations_to, known_to)) = restored else { return Finished::NotRestored };
+    let Some((evacuations_to, known_to)) = restored else { return LeaderExit::NotRestored };
     let links = Links::new(cx.clone(), settings.capacity.servers);
     let active = Arc::new(Active::new(scheduler, evacuations, links));
     log::info!("event=scheduling fence={fence} revision={known_to} {:?}", active.lock().counts());
@@ -94,7 +94,7 @@
     ];
     active.leadership_lost().await;
     drop(tasks);
-    Finished::Deposed
+    LeaderExit::LeadershipLost
 }
 
 /// Calls the backend servers with restored runs where they were reached before, without waiting for the platform's
