--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -14,7 +14,7 @@
     follow::{Follower, Seen, WatchPace},
     keys,
     leader::{self, LeaderExit},
-    predecessors::{self, Earlier},
+    predecessors::{self, EarlierTerms},
     settings::Settings,
     timers::{Backoff, pause, with_timeout},
     view::{Leader, View},
@@ -197,7 +197,7 @@
     lease: LeaseId,
     /// Until when the lease lives at least.
     confirmed: Moment,
-    earlier: Earlier,
+    earlier: EarlierTerms,
 }
 
 /// Writes the scheduler's key under a new lease, unless another holds it. `None` if the election is not won.
@@ -227,7 +227,7 @@
     metrics::counter!("martenscale_elections_total").increment(1);
     // Others may have told of this very election before it was answered.
     let others = cx.view.newest_fence().filter(|newest| *newest != fence).max(known_before);
-    let earlier = found.earlier(others);
+    let earlier = found.earlier_terms(others);
     cx.view.set_leader(Some(Leader { box_id: record.box_id, addr: record.addr, fence }));
     Some(Won { fence, lease, confirmed: asked + settings.election_ttl, earlier })
 }
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -15,7 +15,7 @@
     links::Links,
     maintenance, permits,
     platform::Target,
-    predecessors::{self, Earlier},
+    predecessors::{self, EarlierTerms},
     settings::Settings,
     submissions, telemetry,
     timers::{pause, with_timeout},
@@ -44,7 +44,7 @@
     cx: &Context,
     slot: &ActiveSlot,
     fence: Fence,
-    earlier: Earlier,
+    earlier: EarlierTerms,
     restore_limit: Duration,
 ) -> LeaderExit {
     let Some(configuration) = cx.view.configuration() else { return LeaderExit::NotRestored };
@@ -76,7 +76,7 @@
     let here = (settings.box_id.clone(), settings.peers_address);
     let longest = settings.timing.unconfirmed_renewal;
     let tasks = [
-        smol::spawn(predecessors::follow(cx.clone(), Arc::clone(&active), here, earlier.predecessors, longest)),
+        smol::spawn(predecessors::await_ended(cx.clone(), Arc::clone(&active), here, earlier.predecessors, longest)),
         smol::spawn(submissions::follow_submissions(cx.clone(), Arc::clone(&active), known_to)),
         smol::spawn(evacuation::follow_platforms(cx.clone(), Arc::clone(&active), evacuations_to)),
         smol::spawn(directory::follow_servers(cx.clone(), Arc::clone(&active))),
--- a/crates/runtime/src/predecessors.rs
+++ b/crates/runtime/src/predecessors.rs
@@ -60,7 +60,7 @@
 
 /// What is known of earlier schedulers.
 #[derive(Debug, Clone)]
-pub(crate) struct Earlier {
+pub(crate) struct EarlierTerms {
     /// Who may renew leases still; `None` if that is not known of all.
     pub(crate) predecessors: Option<Predecessors>,
     /// All of them are known, and go by the witnesses.
@@ -69,21 +69,21 @@
 
 /// What a candidate has found.
 #[derive(Debug, Clone)]
-pub(crate) struct Found {
+pub(crate) struct StoredTerms {
     terms: Terms,
     /// The store's revision of it; 0 if there was nothing.
     revision: Revision,
 }
 
 /// Reads who was elected before.
-pub(crate) async fn read(store: &dyn CoordinationStore) -> Result<Found, StoreError> {
-    Ok(Found::of(store.get(keys::TERMS.to_owned()).await?))
+pub(crate) async fn read(store: &dyn CoordinationStore) -> Result<StoredTerms, StoreError> {
+    Ok(StoredTerms::of(store.get(keys::TERMS.to_owned()).await?))
 }
 
-impl Found {
-    fn of(item: Option<Item>) -> Found {
+impl StoredTerms {
+    fn of(item: Option<Item>) -> StoredTerms {
         let unknown = Terms { terms: Vec::new(), incomplete: true };
-        let Some(item) = item else { return Found { terms: unknown, revision: Revision(0) } };
+        let Some(item) = item else { return StoredTerms { terms: unknown, revision: Revision(0) } };
         let mut terms: Terms = serde_json::from_slice(&item.value).unwrap_or_else(|e| {
             log::error!("event=terms_unreadable key={} why={e}", item.key);
             unknown
@@ -91,7 +91,7 @@
         if let Some(newest) = terms.terms.first_mut() {
             newest.fence.get_or_insert(item.revision.0);
         }
-        Found { terms, revision: item.revision }
+        StoredTerms { terms, revision: item.revision }
     }
 
     /// The condition and the write with which a candidate adds itself to them.
@@ -105,10 +105,10 @@
     }
 
     /// What is known of earlier schedulers. `newest` is the newest fence that the box has known of before its own election.
-    pub(crate) fn earlier(&self, newest: Option<Fence>) -> Earlier {
+    pub(crate) fn earlier_terms(&self, newest: Option<Fence>) -> EarlierTerms {
         let predecessors = self.predecessors(newest);
         let witnessed = predecessors.is_some() && self.terms.terms.iter().all(|term| term.witnessed);
-        Earlier { predecessors, witnessed }
+        EarlierTerms { predecessors, witnessed }
     }
 
     fn predecessors(&self, newest: Option<Fence>) -> Option<Predecessors> {
@@ -120,7 +120,7 @@
 }
 
 /// Asks all predecessors until their terms have ended, for `longest` at most, since none goes on for longer; then forgets them.
-pub(crate) async fn follow(
+pub(crate) async fn await_ended(
     cx: Context,
     active: Arc<Active>,
     here: (BoxId, SocketAddr),
