--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     context::Context,
-    follow::{Follower, Seen, WatchPace},
+    follow::{Follower, PrefixUpdate, WatchPace},
     settings::Settings,
     timers::{Backoff, pause},
     view::View,
@@ -42,7 +42,7 @@
             continue;
         }
         let pace = WatchPace::at_once(source.store_wait(settings.watch_wait));
-        let mut on = |seen: Seen| take(&cx, &key, seen);
+        let mut on = |seen: PrefixUpdate| take(&cx, &key, seen);
         if follower.step(&*cx.store, &cx.view, &key, pace, &mut on).await {
             cx.view.confirm_configuration();
         }
@@ -107,7 +107,7 @@
     cx.view.configuration().is_some()
 }
 
-fn take(cx: &Context, key: &str, seen: Seen) {
+fn take(cx: &Context, key: &str, seen: PrefixUpdate) {
     for item in seen.written().iter().filter(|item| item.key == key) {
         take_document(cx, &item.value);
     }
--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -15,7 +15,7 @@
 use crate::{
     active::Active,
     context::Context,
-    follow::{Seen, WatchPace, follow},
+    follow::{PrefixUpdate, WatchPace, follow},
     platform::{DecodeError, ListedServer},
 };
 
@@ -33,9 +33,9 @@
 pub(crate) async fn follow_servers(cx: Context, active: Arc<Active>) {
     let prefix = cx.decoder.servers_prefix();
     let mut listed = Listed::new();
-    let on = |seen: Seen| match seen {
-        Seen::All(items) => take_all(&cx, &active, &mut listed, &items),
-        Seen::Changes(changes) => {
+    let on = |seen: PrefixUpdate| match seen {
+        PrefixUpdate::All(items) => take_all(&cx, &active, &mut listed, &items),
+        PrefixUpdate::Changes(changes) => {
             for change in &changes {
                 match change {
                     Change::Put(item) => {
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -11,7 +11,7 @@
     active::ActiveSlot,
     box_list,
     context::Context,
-    follow::{Follower, Seen, WatchPace},
+    follow::{Follower, PrefixUpdate, WatchPace},
     keys,
     leader::{self, LeaderExit},
     predecessors::{self, EarlierTerms},
@@ -104,12 +104,12 @@
 
 /// Follows who schedules, and which boxes the others go through.
 pub(crate) async fn follow_leader(store: Arc<dyn CoordinationStore>, view: Arc<View>) {
-    let mut on = |seen: Seen| match seen {
-        Seen::All(items) => {
+    let mut on = |seen: PrefixUpdate| match seen {
+        PrefixUpdate::All(items) => {
             view.watch_told(items.iter().find(|item| item.key == keys::SCHEDULER).and_then(leader_of));
             items.iter().filter(|item| item.key == keys::RELAY_BOXES).for_each(|item| box_list::take(&view, item));
         }
-        Seen::Changes(changes) => {
+        PrefixUpdate::Changes(changes) => {
             for change in &changes {
                 match change {
                     Change::Put(item) if item.key == keys::SCHEDULER => view.watch_told(leader_of(item)),
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -15,7 +15,7 @@
     active::Active,
     context::Context,
     evacuation_revisions::EvacuationRevisions,
-    follow::{Seen, WatchPace, follow},
+    follow::{PrefixUpdate, WatchPace, follow},
     keys, paged_reads,
     platform::Decoder,
 };
@@ -56,11 +56,11 @@
 /// Follows the platform's evacuations, from where [`restore`] has read to.
 pub(crate) async fn follow_platforms(cx: Context, active: std::sync::Arc<Active>, from: Revision) {
     let prefix = cx.decoder.evacuations_prefix();
-    let on = |seen: Seen| {
+    let on = |seen: PrefixUpdate| {
         let now = cx.view.clock().now();
         active.update(|scheduler| match &seen {
-            Seen::All(items) => take_all(&*cx.decoder, &active.evacuations, scheduler, items, now),
-            Seen::Changes(changes) => {
+            PrefixUpdate::All(items) => take_all(&*cx.decoder, &active.evacuations, scheduler, items, now),
+            PrefixUpdate::Changes(changes) => {
                 for change in changes {
                     take_change(&*cx.decoder, &active.evacuations, scheduler, change, now);
                 }
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -10,19 +10,19 @@
 };
 
 /// What is seen of a prefix.
-pub(crate) enum Seen {
+pub(crate) enum PrefixUpdate {
     /// All that there is.
     All(Vec<Item>),
     /// What has changed, in order.
     Changes(Vec<Change>),
 }
 
-impl Seen {
+impl PrefixUpdate {
     /// The items that are there or were written, in order; without what was removed.
     pub(crate) fn written(self) -> Vec<Item> {
         let changes = match self {
-            Seen::All(items) => return items,
-            Seen::Changes(changes) => changes,
+            PrefixUpdate::All(items) => return items,
+            PrefixUpdate::Changes(changes) => changes,
         };
         let written = |change| match change {
             Change::Put(item) => Some(item),
@@ -56,7 +56,7 @@
     prefix: &str,
     from: Option<Revision>,
     pace: WatchPace,
-    mut on: impl FnMut(Seen),
+    mut on: impl FnMut(PrefixUpdate),
 ) {
     let mut follower = Follower { from, backoff: Backoff::new() };
     loop {
@@ -79,7 +79,7 @@
         view: &View,
         prefix: &str,
         WatchPace { wait, rest }: WatchPace,
-        on: &mut impl FnMut(Seen),
+        on: &mut impl FnMut(PrefixUpdate),
     ) -> bool {
         let result = match self.from {
             None => Ok(Some(read(store, view, prefix, on).await)),
@@ -102,9 +102,9 @@
     }
 }
 
-async fn read(store: &dyn CoordinationStore, view: &View, prefix: &str, on: &mut impl FnMut(Seen)) -> Revision {
+async fn read(store: &dyn CoordinationStore, view: &View, prefix: &str, on: &mut impl FnMut(PrefixUpdate)) -> Revision {
     let snapshot = paged_reads::read_all(store, view, prefix).await;
-    on(Seen::All(snapshot.items));
+    on(PrefixUpdate::All(snapshot.items));
     snapshot.at
 }
 
@@ -113,12 +113,12 @@
     prefix: &str,
     at: Revision,
     wait: Duration,
-    on: &mut impl FnMut(Seen),
+    on: &mut impl FnMut(PrefixUpdate),
 ) -> Result<Option<Revision>, StoreError> {
     match store.watch(prefix.to_owned(), at, wait).await? {
         Watched::Changes { changes, at } => {
             if !changes.is_empty() {
-                on(Seen::Changes(changes));
+                on(PrefixUpdate::Changes(changes));
             }
             Ok(Some(at))
         }
--- a/crates/runtime/src/maintenance.rs
+++ b/crates/runtime/src/maintenance.rs
@@ -9,7 +9,7 @@
 use crate::{
     active::Active,
     context::Context,
-    follow::{Seen, WatchPace, follow},
+    follow::{PrefixUpdate, WatchPace, follow},
     keys,
     platform::Machines,
     telemetry,
@@ -29,7 +29,7 @@
 pub(crate) async fn follow_requests(cx: Context, active: Arc<Active>) {
     let prefix = cx.decoder.maintenance_prefix();
     let (tx, rx) = smol::channel::unbounded();
-    let on = |seen: Seen| {
+    let on = |seen: PrefixUpdate| {
         for item in seen.written() {
             let _ = tx.try_send(item);
         }
--- a/crates/runtime/src/submissions.rs
+++ b/crates/runtime/src/submissions.rs
@@ -10,7 +10,7 @@
 use crate::{
     active::Active,
     context::Context,
-    follow::{Seen, WatchPace, follow},
+    follow::{PrefixUpdate, WatchPace, follow},
     keys::{self, SubmissionKey},
     paged_reads, telemetry,
 };
@@ -93,7 +93,7 @@
 
 /// Follows what callers hand in and cancel at any box, from where [`restore`] has read to.
 pub(crate) async fn follow_submissions(cx: Context, active: Arc<Active>, from: Revision) {
-    let on = |seen: Seen| {
+    let on = |seen: PrefixUpdate| {
         let items = seen.written();
         active.update(|scheduler| take_intake(scheduler, &items, cx.view.clock().now()));
     };
