--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     context::Context,
-    follow::{Follower, PrefixUpdate, WatchPace},
+    follow::{PrefixUpdate, PrefixWatcher, WatchPace},
     settings::Settings,
     timers::{Backoff, pause},
     view::View,
@@ -33,7 +33,7 @@
 pub(crate) async fn follow_configuration(settings: Settings, cx: Context) {
     let key = cx.decoder.configuration_key();
     let mut source = Source::default();
-    let mut follower = Follower { from: None, backoff: Backoff::new() };
+    let mut follower = PrefixWatcher { from: None, backoff: Backoff::new() };
     pause(FIRST_WAIT).await;
     loop {
         let relay = source.relay(&settings, &cx.view);
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -11,7 +11,7 @@
     active::ActiveSlot,
     box_list,
     context::Context,
-    follow::{Follower, PrefixUpdate, WatchPace},
+    follow::{PrefixUpdate, PrefixWatcher, WatchPace},
     keys,
     leader::{self, LeaderExit},
     predecessors::{self, EarlierTerms},
@@ -120,7 +120,7 @@
             }
         }
     };
-    let mut follower = Follower { from: None, backoff: Backoff::new() };
+    let mut follower = PrefixWatcher { from: None, backoff: Backoff::new() };
     let mut wait = WATCH_WAIT;
     loop {
         let step = follower.step(&*store, &view, keys::SCHEDULER, WatchPace::at_once(wait), &mut on);
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -58,20 +58,20 @@
     pace: WatchPace,
     mut on: impl FnMut(PrefixUpdate),
 ) {
-    let mut follower = Follower { from, backoff: Backoff::new() };
+    let mut follower = PrefixWatcher { from, backoff: Backoff::new() };
     loop {
         follower.step(store, view, prefix, pace, &mut on).await;
     }
 }
 
 /// Up to where a prefix is known.
-pub(crate) struct Follower {
+pub(crate) struct PrefixWatcher {
     /// `None` if it has to be read.
     pub(crate) from: Option<Revision>,
     pub(crate) backoff: Backoff,
 }
 
-impl Follower {
+impl PrefixWatcher {
     /// Reads the prefix, or watches it once, and tells `on` what is news. Returns whether the store has answered; if not, there was a pause.
     pub(crate) async fn step(
         &mut self,
