--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     context::Context,
-    follow::{PrefixUpdate, PrefixWatcher, WatchPace},
+    follow::{PrefixUpdate, PrefixWatcher, WatchTiming},
     settings::Settings,
     timers::{Backoff, pause},
     view::View,
@@ -41,7 +41,7 @@
             source.take_reply(addr, ask_relay(&cx, addr).await);
             continue;
         }
-        let pace = WatchPace::at_once(source.store_wait(settings.watch_wait));
+        let pace = WatchTiming::immediate(source.store_wait(settings.watch_wait));
         let mut on = |seen: PrefixUpdate| take(&cx, &key, seen);
         if follower.step(&*cx.store, &cx.view, &key, pace, &mut on).await {
             cx.view.confirm_configuration();
--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -15,13 +15,13 @@
 use crate::{
     active::Active,
     context::Context,
-    follow::{PrefixUpdate, WatchPace, follow},
+    follow::{PrefixUpdate, WatchTiming, follow},
     platform::{DecodeError, ListedServer},
 };
 
 /// How backend servers are watched. Each writes its entry every second or two, so that without a rest a watch would bring one change at a
 /// time. The rest is short beside the time that a drain is told ahead.
-const WATCH: WatchPace = WatchPace { wait: Duration::from_secs(2), rest: Duration::from_millis(100) };
+const WATCH: WatchTiming = WatchTiming { wait: Duration::from_secs(2), cooldown: Duration::from_millis(100) };
 
 /// The backend servers that are listed, as they were last told of.
 ///
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -11,7 +11,7 @@
     active::ActiveSlot,
     box_list,
     context::Context,
-    follow::{PrefixUpdate, PrefixWatcher, WatchPace},
+    follow::{PrefixUpdate, PrefixWatcher, WatchTiming},
     keys,
     leader::{self, LeaderExit},
     predecessors::{self, EarlierTerms},
@@ -123,7 +123,7 @@
     let mut follower = PrefixWatcher { from: None, backoff: Backoff::new() };
     let mut wait = WATCH_WAIT;
     loop {
-        let step = follower.step(&*store, &view, keys::SCHEDULER, WatchPace::at_once(wait), &mut on);
+        let step = follower.step(&*store, &view, keys::SCHEDULER, WatchTiming::immediate(wait), &mut on);
         let answered = futures_lite::FutureExt::or(step, until_doubted(&view)).await;
         wait = if answered { WATCH_WAIT } else { WATCH_WAIT_IN_DOUBT };
     }
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -15,7 +15,7 @@
     active::Active,
     context::Context,
     evacuation_revisions::EvacuationRevisions,
-    follow::{PrefixUpdate, WatchPace, follow},
+    follow::{PrefixUpdate, WatchTiming, follow},
     keys, paged_reads,
     platform::Decoder,
 };
@@ -67,7 +67,7 @@
             }
         });
     };
-    follow(&*cx.store, &cx.view, &prefix, Some(from), WatchPace::at_once(WATCH_WAIT), on).await;
+    follow(&*cx.store, &cx.view, &prefix, Some(from), WatchTiming::immediate(WATCH_WAIT), on).await;
 }
 
 fn take_all(
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -34,17 +34,17 @@
 
 /// How a prefix is watched.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct WatchPace {
+pub(crate) struct WatchTiming {
     /// A watch waits at most this long for a change.
     pub(crate) wait: Duration,
     /// From one answer to the next watch: what changes meanwhile comes in one answer, which costs one call.
-    pub(crate) rest: Duration,
+    pub(crate) cooldown: Duration,
 }
 
-impl WatchPace {
+impl WatchTiming {
     /// Every change is told at once.
-    pub(crate) fn at_once(wait: Duration) -> WatchPace {
-        WatchPace { wait, rest: Duration::ZERO }
+    pub(crate) fn immediate(wait: Duration) -> WatchTiming {
+        WatchTiming { wait, cooldown: Duration::ZERO }
     }
 }
 
@@ -55,7 +55,7 @@
     view: &View,
     prefix: &str,
     from: Option<Revision>,
-    pace: WatchPace,
+    pace: WatchTiming,
     mut on: impl FnMut(PrefixUpdate),
 ) {
     let mut follower = PrefixWatcher { from, backoff: Backoff::new() };
@@ -78,7 +78,7 @@
         store: &dyn CoordinationStore,
         view: &View,
         prefix: &str,
-        WatchPace { wait, rest }: WatchPace,
+        WatchTiming { wait, cooldown }: WatchTiming,
         on: &mut impl FnMut(PrefixUpdate),
     ) -> bool {
         let result = match self.from {
@@ -90,7 +90,7 @@
                 view.store_answered();
                 self.backoff.reset();
                 self.from = at;
-                pause(rest).await;
+                pause(cooldown).await;
                 true
             }
             Err(e) => {
--- a/crates/runtime/src/maintenance.rs
+++ b/crates/runtime/src/maintenance.rs
@@ -9,7 +9,7 @@
 use crate::{
     active::Active,
     context::Context,
-    follow::{PrefixUpdate, WatchPace, follow},
+    follow::{PrefixUpdate, WatchTiming, follow},
     keys,
     platform::Machines,
     telemetry,
@@ -39,7 +39,7 @@
             apply_request(&cx, &active, &item).await;
         }
     };
-    let watch = follow(&*cx.store, &cx.view, &prefix, None, WatchPace::at_once(WATCH_WAIT), on);
+    let watch = follow(&*cx.store, &cx.view, &prefix, None, WatchTiming::immediate(WATCH_WAIT), on);
     futures_lite::FutureExt::or(watch, take).await;
 }
 
--- a/crates/runtime/src/submissions.rs
+++ b/crates/runtime/src/submissions.rs
@@ -10,7 +10,7 @@
 use crate::{
     active::Active,
     context::Context,
-    follow::{PrefixUpdate, WatchPace, follow},
+    follow::{PrefixUpdate, WatchTiming, follow},
     keys::{self, SubmissionKey},
     paged_reads, telemetry,
 };
@@ -97,7 +97,7 @@
         let items = seen.written();
         active.update(|scheduler| take_intake(scheduler, &items, cx.view.clock().now()));
     };
-    follow(&*cx.store, &cx.view, keys::INTAKE, Some(from), WatchPace::at_once(WATCH_WAIT), on).await;
+    follow(&*cx.store, &cx.view, keys::INTAKE, Some(from), WatchTiming::immediate(WATCH_WAIT), on).await;
 }
 
 /// Jobs are taken before cancellations, which may be of them.
