--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -100,7 +100,7 @@
     let above = cx.view.configuration().map_or(0, |known| known.version);
     let asked = cx.peers.configuration(addr, above, RELAY_WAIT, RELAY_WAIT + RELAY_SLACK).await;
     let Some(document) = asked else { return false };
-    cx.view.peer_answered();
+    cx.view.record_peer_response();
     if !document.is_empty() {
         take_document(cx, &document);
     }
@@ -117,7 +117,7 @@
 pub(crate) fn take_document(cx: &Context, document: &[u8]) {
     match cx.decoder.configuration(document) {
         Ok(new) => {
-            cx.view.take_configuration(new);
+            cx.view.update_configuration(new);
         }
         Err(e) => log::error!("event=configuration_unreadable why={e}"),
     }
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -106,14 +106,14 @@
 pub(crate) async fn follow_leader(store: Arc<dyn CoordinationStore>, view: Arc<View>) {
     let mut on = |seen: PrefixUpdate| match seen {
         PrefixUpdate::All(items) => {
-            view.watch_told(items.iter().find(|item| item.key == keys::SCHEDULER).and_then(leader_of));
+            view.set_watched_leader(items.iter().find(|item| item.key == keys::SCHEDULER).and_then(leader_of));
             items.iter().filter(|item| item.key == keys::RELAY_BOXES).for_each(|item| box_list::take(&view, item));
         }
         PrefixUpdate::Changes(changes) => {
             for change in &changes {
                 match change {
-                    Change::Put(item) if item.key == keys::SCHEDULER => view.watch_told(leader_of(item)),
-                    Change::Removed { key } if key == keys::SCHEDULER => view.watch_told(None),
+                    Change::Put(item) if item.key == keys::SCHEDULER => view.set_watched_leader(leader_of(item)),
+                    Change::Removed { key } if key == keys::SCHEDULER => view.set_watched_leader(None),
                     Change::Put(item) if item.key == keys::RELAY_BOXES => box_list::take(&view, item),
                     Change::Put(_) | Change::Removed { .. } => {}
                 }
@@ -132,7 +132,7 @@
 /// Waits until the watch is to be begun anew. Tells that it was not answered.
 async fn until_doubted(view: &View) -> bool {
     pause(DOUBT_AFTER).await;
-    view.watch_doubted().await;
+    view.watch_missed_change().await;
     log::info!("event=watch_begun_anew prefix={}", keys::SCHEDULER);
     false
 }
@@ -188,7 +188,7 @@
 }
 
 fn may_stand(view: &View) -> bool {
-    view.leader().is_none() && view.reaches_store() && !view.draining() && view.configuration().is_some()
+    view.leader().is_none() && view.is_store_reachable() && !view.is_draining() && view.configuration().is_some()
 }
 
 /// An election that this box has won.
@@ -279,16 +279,16 @@
         let since = cx.view.clock().now().since(last);
         let rest = Duration::from_millis(every.millis().saturating_sub(since.millis()));
         futures_lite::FutureExt::or(pause(rest), leaving(&cx.view)).await;
-        if cx.view.draining() {
+        if cx.view.is_draining() {
             return Ended::Resigned;
         }
         let sent = cx.view.clock().now();
-        match cx.view.unless_back(renew(cx, won.lease)).await {
+        match cx.view.abandon_on_reconnect(renew(cx, won.lease)).await {
             Ok(true) => {
                 confirmed = sent + settings.election_ttl;
                 last = sent;
                 cx.view.confirm_election(confirmed, unconfirmed);
-                cx.view.store_answered();
+                cx.view.record_store_response();
                 backoff.reset();
             }
             Ok(false) => return Ended::LeaseLost,
@@ -313,7 +313,7 @@
 
 /// Waits until the box leaves.
 async fn leaving(view: &View) {
-    while !view.draining() {
+    while !view.is_draining() {
         view.leader_changed().await;
     }
 }
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -83,11 +83,11 @@
     ) -> bool {
         let result = match self.from {
             None => Ok(Some(read(store, view, prefix, on).await)),
-            Some(at) => view.unless_back(watch(store, prefix, at, wait, on)).await,
+            Some(at) => view.abandon_on_reconnect(watch(store, prefix, at, wait, on)).await,
         };
         match result {
             Ok(at) => {
-                view.store_answered();
+                view.record_store_response();
                 self.backoff.reset();
                 self.from = at;
                 pause(cooldown).await;
--- a/crates/runtime/src/paged_reads.rs
+++ b/crates/runtime/src/paged_reads.rs
@@ -46,7 +46,7 @@
     loop {
         match store.page(prefix.to_owned(), snapshot.last_key()).await {
             Ok(page) => {
-                view.store_answered();
+                view.record_store_response();
                 backoff.reset();
                 if !snapshot.add(page) {
                     return snapshot;
--- a/crates/runtime/src/probe.rs
+++ b/crates/runtime/src/probe.rs
@@ -29,7 +29,7 @@
     loop {
         pause(ASK_EVERY).await;
         let now = view.clock().now();
-        let reached = view.store_age().is_some_and(|age| age < ASK_AFTER);
+        let reached = view.time_since_store_response().is_some_and(|age| age < ASK_AFTER);
         // A box that schedules is told of the end of that as it renews its lease.
         if reached && (view.may_schedule() || now.since(asked) < READ_EVERY) {
             continue;
@@ -38,7 +38,7 @@
         let (store, view) = (Arc::clone(&store), Arc::clone(&view));
         let ask = async move {
             if let Ok(item) = store.peek(keys::SCHEDULER.to_owned(), LIMIT).await {
-                view.store_answered();
+                view.record_store_response();
                 take(&view, item.as_ref());
             }
         };
@@ -50,8 +50,8 @@
     let leader = item.and_then(election::leader_of);
     view.compare_with_watch(leader.as_ref().map(|leader| leader.fence));
     match (item, leader) {
-        (_, Some(leader)) => view.take_leader(leader),
+        (_, Some(leader)) => view.observe_leader(leader),
         (Some(_), None) => {}
-        (None, None) => view.take_no_leader(OLDEST),
+        (None, None) => view.observe_no_leader(OLDEST),
     }
 }
--- a/crates/runtime/src/relay_service.rs
+++ b/crates/runtime/src/relay_service.rs
@@ -111,7 +111,7 @@
         {
             log::info!("event=deposed fence={fence} why=asked_by_successor");
         }
-        let since = self.view.renounce_term(fence);
+        let since = self.view.step_down(fence);
         let reply = relay::TermEndedReply { ended: since.is_some(), since_ms: since.map_or(0, |since| since.millis()) };
         Ok(Response::new(reply))
     }
@@ -122,7 +122,7 @@
     async fn newer_configuration(&self, above: u64, wait: Duration) -> Result<Option<Arc<Configuration>>, Status> {
         let until = self.view.clock().now() + wait;
         loop {
-            if !self.view.reaches_store() {
+            if !self.view.is_store_reachable() {
                 return Err(Status::unavailable("this box does not reach the store"));
             }
             let left = until.since(self.view.clock().now());
--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -17,7 +17,7 @@
     pub async fn cancel(&self, id: JobId, customer: Option<&CustomerId>, limit: Duration) -> CancelOutcome {
         let until = self.now() + limit;
         let mut outcome = CancelOutcome::Refused;
-        if self.view.reaches_store() {
+        if self.view.is_store_reachable() {
             outcome = self.cancel_here(id, customer, limit.min(STORE_LIMIT)).await;
         }
         for addr in self.relays() {
--- a/crates/runtime/src/requests/mod.rs
+++ b/crates/runtime/src/requests/mod.rs
@@ -62,7 +62,7 @@
 
     /// Other boxes to send a write to: none if none of them reaches the store either, as far as is known.
     fn relays(&self) -> Vec<SocketAddr> {
-        if self.view.reaches_store() || self.view.reaches_peer() { self.others() } else { Vec::new() }
+        if self.view.is_store_reachable() || self.view.is_peer_reachable() { self.others() } else { Vec::new() }
     }
 
     /// Other boxes worth asking, the scheduler first.
@@ -105,7 +105,7 @@
             }
             match self.store.commit(transaction.clone(), left.min(WRITE_LIMIT)).await {
                 Ok(committed) => {
-                    self.view.store_answered();
+                    self.view.record_store_response();
                     return Ok(committed);
                 }
                 Err(e @ StoreError::Lost { .. }) => error = e,
--- a/crates/runtime/src/requests/state.rs
+++ b/crates/runtime/src/requests/state.rs
@@ -13,7 +13,7 @@
         let outcome = self.state_anywhere(id, customer, limit).await;
         telemetry::count_request("state", &outcome);
         if outcome == StateOutcome::Unavailable {
-            log::info!("job={id} event=state_unavailable store={}", self.view.reaches_store());
+            log::info!("job={id} event=state_unavailable store={}", self.view.is_store_reachable());
         }
         outcome
     }
@@ -30,7 +30,7 @@
                 return asked;
             }
         }
-        if self.view.reaches_store() {
+        if self.view.is_store_reachable() {
             let stored = self.state_in_store(id, customer).await;
             if stored != StateOutcome::Unavailable {
                 return stored;
--- a/crates/runtime/src/requests/submit.rs
+++ b/crates/runtime/src/requests/submit.rs
@@ -22,7 +22,7 @@
     async fn submit_anywhere(&self, job: &Job, limit: Duration) -> SubmitOutcome {
         let until = self.now() + limit;
         let mut doubt = false;
-        if self.view.reaches_store() {
+        if self.view.is_store_reachable() {
             match self.submit_here(job, limit.min(STORE_LIMIT)).await {
                 SubmitOutcome::Refused => {}
                 SubmitOutcome::Unknown => doubt = true,
@@ -50,8 +50,8 @@
         log::info!(
             "job={} event=not_accepted outcome={outcome:?} store_reached={} store_silent_ms={}",
             job.id,
-            self.view.reaches_store(),
-            self.view.store_age().map_or(-1, |age| age.millis() as i64)
+            self.view.is_store_reachable(),
+            self.view.time_since_store_response().map_or(-1, |age| age.millis() as i64)
         );
         outcome
     }
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -149,10 +149,10 @@
         let (fence, counts) = self.active.counts().unzip();
         Status {
             box_id: self.box_id.clone(),
-            ready: self.view.ready(),
-            draining: self.view.draining(),
+            ready: self.view.is_ready(),
+            draining: self.view.is_draining(),
             configuration_version: self.view.configuration().map(|known| known.version),
-            store_silent_ms: self.view.store_age().map(Duration::millis),
+            store_silent_ms: self.view.time_since_store_response().map(Duration::millis),
             scheduler: leader.as_ref().map(|leader| leader.box_id.clone()),
             scheduler_fence: leader.map(|leader| leader.fence.0),
             schedules_with_fence: fence.map(|fence| fence.0),
@@ -217,14 +217,14 @@
 async fn ask_for_configuration(relay: RelayService, cx: Context) {
     loop {
         pause(ASK_EVERY).await;
-        if relay.view.reaches_store() {
+        if relay.view.is_store_reachable() {
             continue;
         }
         let above = relay.view.configuration().map_or(0, |known| known.version);
         for addr in relay.requests.others() {
             match cx.peers.configuration(addr, above, Duration::ZERO, ASK_LIMIT).await {
                 Some(document) => {
-                    relay.view.peer_answered();
+                    relay.view.record_peer_response();
                     if !document.is_empty() {
                         configuration_watch::take_document(&cx, &document);
                     }
--- a/crates/runtime/src/unreachable.rs
+++ b/crates/runtime/src/unreachable.rs
@@ -47,7 +47,7 @@
     loop {
         pause(LOOK_EVERY).await;
         // What a note may name gets no lease until the store has taken another, so none is drawn up while the store could not.
-        if !cx.view.reaches_store() {
+        if !cx.view.is_store_reachable() {
             continue;
         }
         let now = cx.view.clock().now();
--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -57,7 +57,7 @@
     /// Holds a token when the box may have come to stand for election, or to stand no more.
     changed: (Sender<()>, Receiver<()>),
     /// Notified when a read shows what the watch of the scheduler's key has not told.
-    watch_doubted: Event,
+    watch_missed_change: Event,
     /// Notified when the store answers after a silence.
     store_back: Event,
     /// Notified when there is a newer configuration.
@@ -73,7 +73,7 @@
         View {
             beliefs: Mutex::new(beliefs),
             changed: smol::channel::bounded(1),
-            watch_doubted: Event::new(),
+            watch_missed_change: Event::new(),
             store_back: Event::new(),
             configuration_changed: Event::new(),
             clock,
@@ -91,7 +91,7 @@
     }
 
     /// Takes a configuration unless a newer one is known. Returns whether it is new.
-    pub(crate) fn take_configuration(&self, new: Configuration) -> bool {
+    pub(crate) fn update_configuration(&self, new: Configuration) -> bool {
         let mut beliefs = self.lock();
         let old = beliefs.configuration.as_ref().map(|old| old.version);
         if old.is_some_and(|old| old >= new.version) {
@@ -138,7 +138,7 @@
     }
 
     /// The watch of the scheduler's key has told who schedules.
-    pub(crate) fn watch_told(&self, leader: Option<Leader>) {
+    pub(crate) fn set_watched_leader(&self, leader: Option<Leader>) {
         self.lock().watched = leader.as_ref().map(|leader| leader.fence);
         self.set_leader(leader);
     }
@@ -148,17 +148,17 @@
         let watched = self.lock().watched;
         let missed = if read.is_none() { watched.is_some() } else { watched < read };
         if missed {
-            self.watch_doubted.notify(usize::MAX);
+            self.watch_missed_change.notify(usize::MAX);
         }
     }
 
     /// Waits until what is read of the scheduler's key puts the watch of it in doubt.
-    pub(crate) async fn watch_doubted(&self) {
-        self.watch_doubted.listen().await;
+    pub(crate) async fn watch_missed_change(&self) {
+        self.watch_missed_change.listen().await;
     }
 
     /// Someone has told that there was no scheduler at some time within `age`.
-    pub(crate) fn take_no_leader(&self, age: Duration) {
+    pub(crate) fn observe_no_leader(&self, age: Duration) {
         let since = self.lock().leader_since;
         if self.clock.now().since(since) > age {
             self.set_leader(None);
@@ -166,7 +166,7 @@
     }
 
     /// Someone has told who scheduled at some time: news only if it is a later scheduler than any that was known.
-    pub(crate) fn take_leader(&self, leader: Leader) {
+    pub(crate) fn observe_leader(&self, leader: Leader) {
         if self.lock().newest_fence < Some(leader.fence) {
             self.set_leader(Some(leader));
         }
@@ -214,7 +214,7 @@
     }
 
     /// For how long this box has not scheduled with a fence, at least; `None` if it does. If not, it never will.
-    pub(crate) fn renounce_term(&self, fence: Fence) -> Option<Duration> {
+    pub(crate) fn step_down(&self, fence: Fence) -> Option<Duration> {
         let now = self.clock.now();
         let mut beliefs = self.lock();
         if beliefs.term == Some(fence) {
@@ -237,7 +237,7 @@
     }
 
     /// The store has answered a call of this box.
-    pub(crate) fn store_answered(&self) {
+    pub(crate) fn record_store_response(&self) {
         let now = self.clock.now();
         let mut beliefs = self.lock();
         let reached = self.lately(beliefs.store_seen, now);
@@ -252,7 +252,7 @@
 
     /// Makes a call to the store, unless the store comes back from a silence meanwhile: a call from before is not
     /// answered any more, and is better made again than waited for.
-    pub(crate) async fn unless_back<T>(
+    pub(crate) async fn abandon_on_reconnect<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
@@ -265,25 +265,25 @@
     }
 
     /// Whether the store has answered this box lately.
-    pub fn reaches_store(&self) -> bool {
+    pub fn is_store_reachable(&self) -> bool {
         let now = self.clock.now();
         self.lately(self.lock().store_seen, now)
     }
 
     /// How long ago the store answered; `None` if it never has.
-    pub(crate) fn store_age(&self) -> Option<Duration> {
+    pub(crate) fn time_since_store_response(&self) -> Option<Duration> {
         let now = self.clock.now();
         self.lock().store_seen.map(|seen| now.since(seen))
     }
 
     /// Another box that reaches the store has answered.
-    pub(crate) fn peer_answered(&self) {
+    pub(crate) fn record_peer_response(&self) {
         let now = self.clock.now();
         self.lock().peer_seen = Some(now);
     }
 
     /// Whether another box that reaches the store has answered lately.
-    pub(crate) fn reaches_peer(&self) -> bool {
+    pub(crate) fn is_peer_reachable(&self) -> bool {
         let now = self.clock.now();
         self.lately(self.lock().peer_seen, now)
     }
@@ -337,14 +337,14 @@
     }
 
     /// Whether the box is leaving.
-    pub fn draining(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         self.lock().draining
     }
 
     /// Whether new callers should come here.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         let configured = self.lock().configuration.is_some();
-        configured && !self.draining() && (self.reaches_store() || self.reaches_peer())
+        configured && !self.is_draining() && (self.is_store_reachable() || self.is_peer_reachable())
     }
 
     pub(crate) fn clock(&self) -> &dyn Clock {
--- a/crates/runtime/src/witnesses.rs
+++ b/crates/runtime/src/witnesses.rs
@@ -49,7 +49,7 @@
     let mut backoff = Backoff::new();
     loop {
         pause(LOOK_EVERY).await;
-        if !cx.view.reaches_store() {
+        if !cx.view.is_store_reachable() {
             continue;
         }
         let now = cx.view.clock().now();
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -75,7 +75,7 @@
 impl Writer {
     /// Whether the store has answered lately.
     fn store_answers(&self) -> bool {
-        self.cx.view.store_age().is_some_and(|age| age < LATELY)
+        self.cx.view.time_since_store_response().is_some_and(|age| age < LATELY)
     }
 
     /// Makes one write; what it has not stored is given again.
@@ -84,13 +84,13 @@
         let transaction = transaction(cx, active, &batch);
         let limit = self.lock().timeout();
         let sent = cx.view.clock().now();
-        let result = cx.view.unless_back(cx.store.commit(transaction, limit)).await;
+        let result = cx.view.abandon_on_reconnect(cx.store.commit(transaction, limit)).await;
         let took = cx.view.clock().now().since(sent);
         match &result {
             Ok(_) => {
                 self.lock().record_response(took);
                 self.backoff.lock().expect("no holder panics").reset();
-                cx.view.store_answered();
+                cx.view.record_store_response();
             }
             Err(StoreError::Lost { .. }) => self.lock().record_timeout(),
             Err(StoreError::Refused { .. }) => {}
