--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -28,7 +28,7 @@
 const ASK_LIMIT: Duration = Duration::from_millis(400);
 
 /// Writes where this box is, for as long as it takes.
-pub(crate) async fn list_this_box(settings: Settings, cx: Context) {
+pub(crate) async fn register_box(settings: Settings, cx: Context) {
     let here = ListedBox {
         addr: settings.peers_address,
         availability_zone: settings.availability_zone.clone(),
@@ -48,7 +48,7 @@
 }
 
 /// Takes in which boxes are named.
-pub(crate) fn take(view: &View, item: &Item) {
+pub(crate) fn apply_relay_boxes(view: &View, item: &Item) {
     match serde_json::from_slice(&item.value) {
         Ok(relay_boxes) => view.set_relay_boxes(relay_boxes),
         Err(e) => log::error!("event=relay_boxes_unreadable revision={} why={e}", item.revision),
@@ -56,7 +56,7 @@
 }
 
 /// Names boxes for as long as this one schedules.
-pub(crate) async fn name_relay_boxes(cx: Context, active: Arc<Active>) {
+pub(crate) async fn publish_relay_boxes(cx: Context, active: Arc<Active>) {
     let mut silent = BTreeSet::new();
     pause(FIRST_LOOK).await;
     loop {
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -107,14 +107,17 @@
     let mut on = |seen: PrefixUpdate| match seen {
         PrefixUpdate::All(items) => {
             view.set_watched_leader(items.iter().find(|item| item.key == keys::SCHEDULER).and_then(leader_of));
-            items.iter().filter(|item| item.key == keys::RELAY_BOXES).for_each(|item| box_list::take(&view, item));
+            items
+                .iter()
+                .filter(|item| item.key == keys::RELAY_BOXES)
+                .for_each(|item| box_list::apply_relay_boxes(&view, item));
         }
         PrefixUpdate::Changes(changes) => {
             for change in &changes {
                 match change {
                     Change::Put(item) if item.key == keys::SCHEDULER => view.set_watched_leader(leader_of(item)),
                     Change::Removed { key } if key == keys::SCHEDULER => view.set_watched_leader(None),
-                    Change::Put(item) if item.key == keys::RELAY_BOXES => box_list::take(&view, item),
+                    Change::Put(item) if item.key == keys::RELAY_BOXES => box_list::apply_relay_boxes(&view, item),
                     Change::Put(_) | Change::Removed { .. } => {}
                 }
             }
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -82,7 +82,7 @@
         smol::spawn(directory::follow_servers(cx.clone(), Arc::clone(&active))),
         smol::spawn(submissions::restore_ended(cx.clone(), Arc::clone(&active))),
         smol::spawn(writer::run(cx.clone(), Arc::clone(&active))),
-        smol::spawn(box_list::name_relay_boxes(cx.clone(), Arc::clone(&active))),
+        smol::spawn(box_list::publish_relay_boxes(cx.clone(), Arc::clone(&active))),
         smol::spawn(unreachable::run(cx.clone(), Arc::clone(&active))),
         smol::spawn(witnesses::run(cx.clone(), Arc::clone(&active))),
         smol::spawn(cleaner::run(cx.clone(), Arc::clone(&active))),
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -136,7 +136,7 @@
             smol::spawn(follow_configuration(settings.clone(), cx.clone())),
             smol::spawn(probe::run(Arc::clone(&store), Arc::clone(&view))),
             smol::spawn(election::follow_leader(Arc::clone(&store), Arc::clone(&view))),
-            smol::spawn(box_list::list_this_box(settings.clone(), cx.clone())),
+            smol::spawn(box_list::register_box(settings.clone(), cx.clone())),
             smol::spawn(ask_for_configuration(relay, cx.clone())),
             smol::spawn(election::run(settings.clone(), cx, active.clone())),
         ];
