--- a/crates/martend/tests/relay_boxes.rs
+++ b/crates/martend/tests/relay_boxes.rs
@@ -15,11 +15,11 @@
 const RELAY_BOXES: &str = "marten/scheduler/relays";
 
 /// Which boxes are named, by their places among all.
-fn named(world: &World) -> BTreeSet<usize> {
+fn relays(world: &World) -> BTreeSet<usize> {
     let stored: Value =
         world.platform.read(RELAY_BOXES).and_then(|value| serde_json::from_slice(&value).ok()).unwrap_or_default();
     let name = |id: &String| id.strip_prefix("box-").and_then(|place| place.parse().ok());
-    stored["named"].as_object().into_iter().flat_map(|named| named.keys()).filter_map(name).collect()
+    stored["named"].as_object().into_iter().flat_map(|relays| relays.keys()).filter_map(name).collect()
 }
 
 async fn until_in_force(world: &World, version: u64, boxes: &[usize]) {
@@ -34,7 +34,7 @@
     smol::block_on(async {
         let mut world = World::start(BOXES, 1).await;
         let all: Vec<usize> = (0..BOXES).collect();
-        until("boxes are named", || async { named(&world).len() == NAMED }).await;
+        until("boxes are named", || async { relays(&world).len() == NAMED }).await;
         until("only those watch", || async { world.platform.watches(CONFIGURATION) <= NAMED }).await;
         world.platform.configure(2);
         until_in_force(&world, 2, &all).await;
@@ -42,7 +42,7 @@
         assert!(world.platform.watches(CONFIGURATION) <= NAMED, "none has gone to the store for it");
 
         // Most of those that the others wait at are lost: these go to the next, or to the store.
-        let lost: Vec<usize> = named(&world).into_iter().take(NAMED - 4).collect();
+        let lost: Vec<usize> = relays(&world).into_iter().take(NAMED - 4).collect();
         for &i in &lost {
             world.boxes[i].child.kill().expect("it runs");
         }
--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -79,7 +79,7 @@
     let choice = RelayBoxes::choose(&left(silent));
     silent.clear();
     let mut asked = Vec::new();
-    for (id, relay) in &choice.named {
+    for (id, relay) in &choice.relays {
         let (peers, addr, id) = (Arc::clone(&cx.peers), relay.addr, id.clone());
         asked.push(smol::spawn(async move { (peers.answers(addr, ASK_LIMIT).await, id) }));
     }
@@ -89,7 +89,7 @@
             silent.insert(id);
         }
     }
-    RelayBoxes { of: boxes.len(), ..RelayBoxes::choose(&left(silent)) }
+    RelayBoxes { box_count: boxes.len(), ..RelayBoxes::choose(&left(silent)) }
 }
 
 async fn store(cx: &Context, active: &Active, choice: RelayBoxes) {
@@ -101,7 +101,7 @@
     };
     match cx.store.commit(transaction, WRITE_LIMIT).await {
         Ok(Committed::Done(_)) => {
-            log::info!("event=relay_boxes named={} of={}", choice.named.len(), choice.of);
+            log::info!("event=relay_boxes named={} of={}", choice.relays.len(), choice.box_count);
             cx.view.set_relay_boxes(choice);
         }
         outcome => log::info!("event=relay_boxes_not_stored outcome={outcome:?}"),
--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -65,7 +65,7 @@
     /// The box to be asked; `None` if the store is.
     fn relay(&self, settings: &Settings, view: &View) -> Option<SocketAddr> {
         let relay_boxes = view.relay_boxes();
-        if self.ask_store || !relay_boxes.stand_between(&settings.box_id) {
+        if self.ask_store || !relay_boxes.is_relayed(&settings.box_id) {
             return None;
         }
         let order = relay_boxes.order_for(&settings.box_id, &settings.availability_zone);
--- a/crates/runtime/src/relay_boxes.rs
+++ b/crates/runtime/src/relay_boxes.rs
@@ -27,9 +27,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayBoxes {
     /// Of so many boxes in all.
-    pub of: usize,
+    #[serde(rename = "of")]
+    pub box_count: usize,
     /// By id.
-    pub named: BTreeMap<BoxId, ListedBox>,
+    #[serde(rename = "named")]
+    pub relays: BTreeMap<BoxId, ListedBox>,
 }
 
 impl RelayBoxes {
@@ -41,19 +43,19 @@
         let mut by_rank: Vec<(f64, &BoxId)> =
             boxes.iter().map(|(id, listed)| (listed.rank(&[id.as_str()]), id)).collect();
         by_rank.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
-        let named = by_rank.into_iter().take(most).map(|(_, id)| (id.clone(), boxes[id].clone()));
-        RelayBoxes { of: boxes.len(), named: named.collect() }
+        let relays = by_rank.into_iter().take(most).map(|(_, id)| (id.clone(), boxes[id].clone()));
+        RelayBoxes { box_count: boxes.len(), relays: relays.collect() }
     }
 
     /// Whether a box asks one that is named, in place of the store. Where boxes are few, one that is not named was only silent as it was asked.
-    pub fn stand_between(&self, here: &BoxId) -> bool {
-        self.of > LEAST && !self.named.contains_key(here)
+    pub fn is_relayed(&self, here: &BoxId) -> bool {
+        self.box_count > LEAST && !self.relays.contains_key(here)
     }
 
     /// Whom a box asks first, second and so on: those of its own availability zone before the others, since bytes between zones are
     /// paid for; among them each box has an order of its own, in which wide links come first more often.
     pub fn order_for(&self, here: &BoxId, zone: &AvailabilityZoneId) -> Vec<SocketAddr> {
-        let others = self.named.iter().filter(|(id, _)| *id != here);
+        let others = self.relays.iter().filter(|(id, _)| *id != here);
         let mut order: Vec<(bool, f64, &ListedBox)> = others
             .map(|(id, relay)| (relay.availability_zone != *zone, relay.rank(&[here.as_str(), id.as_str()]), relay))
             .collect();
--- a/crates/runtime/src/requests/mod.rs
+++ b/crates/runtime/src/requests/mod.rs
@@ -67,7 +67,7 @@
 
     /// Other boxes worth asking, the scheduler first.
     pub(crate) fn others(&self) -> Vec<SocketAddr> {
-        let mut others: Vec<SocketAddr> = self.view.relay_boxes().named.values().map(|relay| relay.addr).collect();
+        let mut others: Vec<SocketAddr> = self.view.relay_boxes().relays.values().map(|relay| relay.addr).collect();
         others.extend(&self.seeds);
         fastrand::shuffle(&mut others);
         if let Some(leader) = self.view.leader() {
--- a/crates/runtime/tests/relay_boxes.rs
+++ b/crates/runtime/tests/relay_boxes.rs
@@ -27,7 +27,7 @@
 fn asked(relay_boxes: &RelayBoxes, count: usize) -> BTreeMap<SocketAddr, usize> {
     let mut asked = BTreeMap::new();
     for i in 0..count {
-        if relay_boxes.stand_between(&id(i)) {
+        if relay_boxes.is_relayed(&id(i)) {
             *asked.entry(relay_boxes.order_for(&id(i), &zone(i / 10))[0]).or_insert(0) += 1;
         }
     }
@@ -39,7 +39,7 @@
 fn what_a_change_asks_of_the_store_and_of_one_box_grows_with_the_square_root_of_the_boxes() {
     for (count, from_store, from_one) in [(586, 32, 80), (1172, 35, 120), (2344, 49, 180)] {
         let relay_boxes = RelayBoxes::choose(&boxes(count));
-        assert_eq!((relay_boxes.of, relay_boxes.named.len()), (count, from_store));
+        assert_eq!((relay_boxes.box_count, relay_boxes.relays.len()), (count, from_store));
         let asked = asked(&relay_boxes, count);
         assert_eq!(asked.values().sum::<usize>(), count - from_store);
         let most = asked.values().max().copied().unwrap_or_default();
@@ -51,7 +51,7 @@
 fn where_boxes_are_few_each_watches_the_store() {
     for count in [1, 8, 32] {
         let relay_boxes = RelayBoxes::choose(&boxes(count));
-        assert!((0..count).all(|i| !relay_boxes.stand_between(&id(i))));
+        assert!((0..count).all(|i| !relay_boxes.is_relayed(&id(i))));
     }
 }
 
@@ -60,35 +60,35 @@
 fn a_box_that_was_silent_among_few_watches_the_store() {
     let mut left = boxes(8);
     left.remove(&id(3));
-    let relay_boxes = RelayBoxes { of: 8, ..RelayBoxes::choose(&left) };
-    assert!(!relay_boxes.stand_between(&id(3)));
+    let relay_boxes = RelayBoxes { box_count: 8, ..RelayBoxes::choose(&left) };
+    assert!(!relay_boxes.is_relayed(&id(3)));
 }
 
 #[test]
 fn wide_links_are_named_first() {
     let relay_boxes = RelayBoxes::choose(&boxes(586));
-    let wide = relay_boxes.named.keys().filter(|id| id.as_str().ends_with('0')).count();
-    assert!(wide * 10 >= relay_boxes.named.len() * 7, "{wide} of {}", relay_boxes.named.len());
+    let wide = relay_boxes.relays.keys().filter(|id| id.as_str().ends_with('0')).count();
+    assert!(wide * 10 >= relay_boxes.relays.len() * 7, "{wide} of {}", relay_boxes.relays.len());
 }
 
 #[test]
 fn one_box_that_goes_moves_no_other() {
     let all = boxes(586);
     let before = RelayBoxes::choose(&all);
-    let gone = before.named.keys().next().expect("some are named").clone();
+    let gone = before.relays.keys().next().expect("some are named").clone();
     let mut left = all;
     left.remove(&gone);
     let after = RelayBoxes::choose(&left);
-    assert!(before.named.keys().filter(|id| **id != gone).all(|id| after.named.contains_key(id)));
+    assert!(before.relays.keys().filter(|id| **id != gone).all(|id| after.relays.contains_key(id)));
 }
 
 #[test]
 fn a_box_asks_those_of_its_own_availability_zone_first() {
     let relay_boxes = RelayBoxes::choose(&boxes(586));
-    let here = relay_boxes.named.values().filter(|relay| relay.availability_zone == zone(3)).count();
+    let here = relay_boxes.relays.values().filter(|relay| relay.availability_zone == zone(3)).count();
     let order = relay_boxes.order_for(&id(5), &zone(3));
     let of_zone =
-        |addr: &SocketAddr| relay_boxes.named.values().any(|r| r.addr == *addr && r.availability_zone == zone(3));
+        |addr: &SocketAddr| relay_boxes.relays.values().any(|r| r.addr == *addr && r.availability_zone == zone(3));
     assert!(here > 0 && order.iter().take(here).all(of_zone));
     assert!(order.iter().skip(here).all(|addr| !of_zone(addr)));
 }
