--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -102,19 +102,19 @@
     let Some(document) = asked else { return false };
     cx.view.record_peer_response();
     if !document.is_empty() {
-        take_document(cx, &document);
+        apply_document(cx, &document);
     }
     cx.view.configuration().is_some()
 }
 
 fn take(cx: &Context, key: &str, seen: PrefixUpdate) {
     for item in seen.written().iter().filter(|item| item.key == key) {
-        take_document(cx, &item.value);
+        apply_document(cx, &item.value);
     }
 }
 
 /// Takes in a document as the operators wrote it.
-pub(crate) fn take_document(cx: &Context, document: &[u8]) {
+pub(crate) fn apply_document(cx: &Context, document: &[u8]) {
     match cx.decoder.configuration(document) {
         Ok(new) => {
             cx.view.update_configuration(new);
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -226,7 +226,7 @@
                 Some(document) => {
                     relay.view.record_peer_response();
                     if !document.is_empty() {
-                        configuration_watch::take_document(&cx, &document);
+                        configuration_watch::apply_document(&cx, &document);
                     }
                     break;
                 }
