--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -57,15 +57,19 @@
     /// Backend servers known.
     pub servers: Option<usize>,
     /// Backend servers not heard under this fence.
-    pub unheard_servers: Option<usize>,
+    #[serde(rename = "unheard_servers")]
+    pub unresponsive_servers: Option<usize>,
     /// Backend servers that this box holds links to. Fewer than are known where it cannot carry all.
-    pub held_servers: Option<usize>,
+    #[serde(rename = "held_servers")]
+    pub linked_servers: Option<usize>,
     /// Occurrences of which something could start and is held back, or finds no room.
     pub waiting: Option<usize>,
     /// Occurrences of which nothing has run for long, though something could.
-    pub standing: Option<usize>,
+    #[serde(rename = "standing")]
+    pub stalled: Option<usize>,
     /// Occurrences whose progress the store does not hold yet.
-    pub unstored: Option<usize>,
+    #[serde(rename = "unstored")]
+    pub pending_writes: Option<usize>,
     /// How fast backend servers work.
     pub speeds: Option<SpeedSummary>,
     /// Availability zones where nothing starts.
@@ -158,11 +162,11 @@
             schedules_with_fence: fence.map(|fence| fence.0),
             open_jobs: counts.map(|counts| counts.open_jobs),
             servers: counts.map(|counts| counts.servers),
-            unheard_servers: counts.map(|counts| counts.unheard_servers),
-            held_servers: self.active.get().map(|active| active.links.len()),
+            unresponsive_servers: counts.map(|counts| counts.unheard_servers),
+            linked_servers: self.active.get().map(|active| active.links.len()),
             waiting: counts.map(|counts| counts.waiting),
-            standing: counts.map(|counts| counts.standing),
-            unstored: counts.map(|counts| counts.unstored),
+            stalled: counts.map(|counts| counts.standing),
+            pending_writes: counts.map(|counts| counts.unstored),
             speeds: self.active.get().map(|active| active.lock().speeds(self.view.clock().now())),
             evacuations: self.evacuations(),
         }
@@ -196,11 +200,11 @@
         set("martenscale_schedules", Some(f64::from(u8::from(status.schedules_with_fence.is_some()))));
         set("martenscale_open_jobs", Some(number(status.open_jobs).unwrap_or(0.0)));
         set("martenscale_servers", Some(number(status.servers).unwrap_or(0.0)));
-        set("martenscale_unheard_servers", Some(number(status.unheard_servers).unwrap_or(0.0)));
-        set("martenscale_held_servers", Some(number(status.held_servers).unwrap_or(0.0)));
+        set("martenscale_unheard_servers", Some(number(status.unresponsive_servers).unwrap_or(0.0)));
+        set("martenscale_held_servers", Some(number(status.linked_servers).unwrap_or(0.0)));
         set("martenscale_waiting_occurrences", Some(number(status.waiting).unwrap_or(0.0)));
-        set("martenscale_standing_occurrences", Some(number(status.standing).unwrap_or(0.0)));
-        set("martenscale_unstored_occurrences", Some(number(status.unstored).unwrap_or(0.0)));
+        set("martenscale_standing_occurrences", Some(number(status.stalled).unwrap_or(0.0)));
+        set("martenscale_unstored_occurrences", Some(number(status.pending_writes).unwrap_or(0.0)));
         set("martenscale_speed_spread", Some(status.speeds.map_or(0.0, |speeds| speeds.spread)));
         let evacuations = status.evacuations.unwrap_or_default();
         set("martenscale_evacuated_zones", Some(evacuations.len() as f64));
