--- a/crates/martend/src/deployment/operators.rs
+++ b/crates/martend/src/deployment/operators.rs
@@ -34,7 +34,7 @@
                 "/v1/status" => json_response(StatusCode::OK, &self.this_box.status()),
                 EVACUATIONS => self.list_evacuations(),
                 path => match path.strip_prefix(EVACUATIONS).and_then(|rest| rest.strip_prefix('/')) {
-                    Some(zone) => self.ask_evacuation(&call.method, zone).await,
+                    Some(zone) => self.request_evacuation(&call.method, zone).await,
                     None => text_response(
                         StatusCode::NOT_FOUND,
                         format!("there are /metrics, /v1/status and {EVACUATIONS}\n"),
@@ -53,7 +53,7 @@
         }
     }
 
-    async fn ask_evacuation(&self, method: &Method, zone: &str) -> Response<Full<Bytes>> {
+    async fn request_evacuation(&self, method: &Method, zone: &str) -> Response<Full<Bytes>> {
         let zone: AvailabilityZoneId = match zone.parse() {
             Ok(zone) => zone,
             Err(e) => return json_response(StatusCode::BAD_REQUEST, &json!({ "error": format!("{e}") })),
@@ -66,7 +66,7 @@
                 return json_response(StatusCode::METHOD_NOT_ALLOWED, &json!({ "error": error }));
             }
         };
-        match self.this_box.ask_evacuation(&zone, evacuated).await {
+        match self.this_box.request_evacuation(&zone, evacuated).await {
             EvacuationOutcome::Done => self.list_evacuations(),
             EvacuationOutcome::Refused(why) => {
                 json_response(StatusCode::CONFLICT, &json!({ "error": why.to_string() }))
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -54,7 +54,7 @@
 }
 
 /// Follows the platform's evacuations, from where [`restore`] has read to.
-pub(crate) async fn follow_platforms(cx: Context, active: std::sync::Arc<Active>, from: Revision) {
+pub(crate) async fn follow_platform(cx: Context, active: std::sync::Arc<Active>, from: Revision) {
     let prefix = cx.decoder.evacuations_prefix();
     let on = |seen: PrefixUpdate| {
         let now = cx.view.clock().now();
@@ -126,7 +126,7 @@
 
 /// A write that placed runs in these availability zones found other items than it expected: what they tell of
 /// evacuations is taken in before the watch tells it.
-pub(crate) fn take_found(cx: &Context, active: &Active, zones: &BTreeSet<AvailabilityZoneId>, items: &[Item]) {
+pub(crate) fn apply_conflict(cx: &Context, active: &Active, zones: &BTreeSet<AvailabilityZoneId>, items: &[Item]) {
     let now = cx.view.clock().now();
     for zone in zones {
         let key = cx.decoder.evacuation_key(zone);
@@ -138,7 +138,7 @@
 }
 
 /// Operators evacuate an availability zone, or take it back, on the box that schedules.
-pub(crate) async fn ask(
+pub(crate) async fn request(
     store: &dyn CoordinationStore,
     active: &Active,
     zone: &AvailabilityZoneId,
--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -78,7 +78,7 @@
     let tasks = [
         smol::spawn(predecessors::await_ended(cx.clone(), Arc::clone(&active), here, earlier.predecessors, longest)),
         smol::spawn(submissions::follow_submissions(cx.clone(), Arc::clone(&active), known_to)),
-        smol::spawn(evacuation::follow_platforms(cx.clone(), Arc::clone(&active), evacuations_to)),
+        smol::spawn(evacuation::follow_platform(cx.clone(), Arc::clone(&active), evacuations_to)),
         smol::spawn(directory::follow_servers(cx.clone(), Arc::clone(&active))),
         smol::spawn(submissions::restore_ended(cx.clone(), Arc::clone(&active))),
         smol::spawn(writer::run(cx.clone(), Arc::clone(&active))),
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -178,9 +178,9 @@
     }
 
     /// Operators want an availability zone evacuated, or take it back. Safe to ask again.
-    pub async fn ask_evacuation(&self, zone: &AvailabilityZoneId, evacuated: bool) -> EvacuationOutcome {
+    pub async fn request_evacuation(&self, zone: &AvailabilityZoneId, evacuated: bool) -> EvacuationOutcome {
         let Some(active) = self.active.get() else { return EvacuationOutcome::NotHere };
-        evacuation::ask(&*self.store, &active, zone, evacuated, || self.view.clock().now()).await
+        evacuation::request(&*self.store, &active, zone, evacuated, || self.view.clock().now()).await
     }
 
     /// Sets the gauges that are read off the box when it is asked.
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -105,7 +105,7 @@
                 active.lose_leadership();
             }
             Ok(Committed::Conflict(items)) => {
-                evacuation::take_found(cx, active, &batch.placement_zones, &items);
+                evacuation::apply_conflict(cx, active, &batch.placement_zones, &items);
                 let found = revisions_found(&batch, &items);
                 active.update(|scheduler| {
                     scheduler.stored_revisions_found(&found);
