--- a/crates/runtime/src/addresses.rs
+++ b/crates/runtime/src/addresses.rs
@@ -29,7 +29,7 @@
     }
 
     /// The link to a backend server that has moved to another address is given up.
-    pub fn leave(&mut self, id: &BackendServerId, addr: SocketAddr) {
+    pub fn move_away(&mut self, id: &BackendServerId, addr: SocketAddr) {
         if let Some(ids) = self.open.get_mut(&addr) {
             ids.retain(|other| other != id);
             if ids.is_empty() {
@@ -40,7 +40,7 @@
 
     /// The link to a backend server is closed: another life that answers there tells that it has ended.
     pub fn close(&mut self, id: &BackendServerId, addr: SocketAddr) {
-        self.leave(id, addr);
+        self.move_away(id, addr);
         if let Some(before) = self.closed.insert(addr, id.clone())
             && before != *id
         {
--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -59,7 +59,7 @@
         id.is_some_and(|id| active.lock().is_busy(&id))
     };
     let (first, mut rest): (Vec<&Item>, Vec<&Item>) = items.iter().partition(busy);
-    if !active.links.has_room_for(items.len()) {
+    if !active.links.has_capacity_for(items.len()) {
         // Whole racks, of which a gang may ask for one.
         rest.sort_by_cached_key(|item| cx.decoder.server(item).map(|server| server.info.rack).ok());
         log::warn!("event=carries_a_part fence={} listed={}", active.fence, items.len());
@@ -124,7 +124,7 @@
 
 /// Whether a backend server may have a link: what it runs must be renewed, however many the box carries.
 fn may_open(active: &Active, id: &BackendServerId) -> bool {
-    active.links.has_room() || active.lock().is_busy(id)
+    active.links.has_capacity() || active.lock().is_busy(id)
 }
 
 fn remove(cx: &Context, active: &Arc<Active>, listed: &mut Listed, key: &str) {
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -139,7 +139,7 @@
     /// It answers at its address. One address has one life at a time: any other that was there is over.
     fn take_address(&self, active: &Active) {
         let now = self.now();
-        for replaced in active.links.replaced_by(&self.target) {
+        for replaced in active.links.previous_at_address(&self.target) {
             active.update(|scheduler| scheduler.server_ended(&replaced, now));
             active.links.close(&replaced);
         }
--- a/crates/runtime/src/links.rs
+++ b/crates/runtime/src/links.rs
@@ -64,12 +64,12 @@
     }
 
     /// Whether the box can carry one more backend server.
-    pub(crate) fn has_room(&self) -> bool {
+    pub(crate) fn has_capacity(&self) -> bool {
         self.lock().by_id.len() < self.most
     }
 
     /// Whether it can carry so many in all.
-    pub(crate) fn has_room_for(&self, servers: usize) -> bool {
+    pub(crate) fn has_capacity_for(&self, servers: usize) -> bool {
         servers <= self.most
     }
 
@@ -86,7 +86,7 @@
         }
         if let Some(moved) = table.by_id.remove(&target.id) {
             self.cx.servers.remove(&moved.target);
-            table.addresses.leave(&target.id, moved.target.addr);
+            table.addresses.move_away(&target.id, moved.target.addr);
         }
         table.addresses.open(&target.id, target.addr);
         let (orders, order_rx) = smol::channel::unbounded();
@@ -116,7 +116,7 @@
     }
 
     /// Backend servers that were at an address before.
-    pub(crate) fn replaced_by(&self, target: &Target) -> Vec<BackendServerId> {
+    pub(crate) fn previous_at_address(&self, target: &Target) -> Vec<BackendServerId> {
         self.lock().addresses.others_at(&target.id, target.addr)
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// The store has taken something, so that more ends may be acknowledged to these backend servers.
-    pub(crate) fn tell_stored(&self, ids: &[BackendServerId]) {
+    pub(crate) fn notify_stored(&self, ids: &[BackendServerId]) {
         let table = self.lock();
         for link in ids.iter().filter_map(|id| table.by_id.get(id)) {
             // A full channel holds the news already.
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -98,7 +98,7 @@
         match result {
             Ok(Committed::Done(revision)) => {
                 let acknowledged = active.update(|scheduler| scheduler.batch_stored(batch, revision));
-                active.links.tell_stored(&acknowledged);
+                active.links.notify_stored(&acknowledged);
             }
             Ok(Committed::Conflict(items)) if !holds_key(active, &items) => {
                 log::info!("event=deposed fence={} why=scheduler_key_changed", active.fence);
--- a/crates/runtime/tests/addresses.rs
+++ b/crates/runtime/tests/addresses.rs
@@ -52,7 +52,7 @@
 fn one_that_has_moved_is_not_told_of_at_its_former_address() {
     let mut addresses = Addresses::default();
     addresses.open(&id(1), addr(1));
-    addresses.leave(&id(1), addr(1));
+    addresses.move_away(&id(1), addr(1));
     addresses.open(&id(1), addr(2));
     assert!(addresses.others_at(&id(2), addr(1)).is_empty());
 }
