--- a/crates/runtime/src/outcome.rs
+++ b/crates/runtime/src/outcome.rs
@@ -45,7 +45,7 @@
 
 /// Something that callers have handed in and the store holds.
 #[derive(Debug, Clone)]
-pub(crate) enum Taken {
+pub(crate) enum StoredRequest {
     /// A job.
     Job(Job),
     /// A job is not wanted any more.
--- a/crates/runtime/src/relay.rs
+++ b/crates/runtime/src/relay.rs
@@ -9,7 +9,7 @@
 use wire::relay::{self, relay_client::RelayClient, taken_request::What};
 
 use crate::{
-    outcome::{CancelOutcome, StateOutcome, SubmitOutcome, Taken},
+    outcome::{CancelOutcome, StateOutcome, StoredRequest, SubmitOutcome},
     timers::pause,
 };
 
@@ -91,16 +91,16 @@
     }
 
     /// Tells the scheduler what the store has taken since a revision.
-    pub(crate) async fn taken(
+    pub(crate) async fn notify_stored(
         &self,
         addr: SocketAddr,
-        taken: &Taken,
+        taken: &StoredRequest,
         since: Revision,
         limit: Duration,
     ) -> Result<(), Status> {
         let what = match taken {
-            Taken::Job(job) => What::Job(serde_json::to_vec(job).expect("our own types always serialize")),
-            Taken::Cancelled(id) => What::Cancelled(id.to_string()),
+            StoredRequest::Job(job) => What::Job(serde_json::to_vec(job).expect("our own types always serialize")),
+            StoredRequest::Cancelled(id) => What::Cancelled(id.to_string()),
         };
         let mut client = self.client(addr);
         within(limit, client.taken(relay::TakenRequest { revision: since.0, what: Some(what) })).await.map(|_| ())
--- a/crates/runtime/src/relay_service.rs
+++ b/crates/runtime/src/relay_service.rs
@@ -10,7 +10,7 @@
 use crate::{
     Configuration,
     active::ActiveSlot,
-    outcome::{StateOutcome, Taken},
+    outcome::{StateOutcome, StoredRequest},
     requests::Requests,
     view::View,
 };
@@ -87,12 +87,12 @@
         let req = req.into_inner();
         let taken = match req.what {
             Some(What::Job(job)) => {
-                Taken::Job(serde_json::from_slice(&job).map_err(|e| Status::invalid_argument(e.to_string()))?)
+                StoredRequest::Job(serde_json::from_slice(&job).map_err(|e| Status::invalid_argument(e.to_string()))?)
             }
-            Some(What::Cancelled(id)) => Taken::Cancelled(parse(&id)?),
+            Some(What::Cancelled(id)) => StoredRequest::Cancelled(parse(&id)?),
             None => return Err(Status::invalid_argument("what: allowed are job and cancelled")),
         };
-        self.requests.take(&taken, Revision(req.revision));
+        self.requests.apply_stored(&taken, Revision(req.revision));
         Ok(Response::new(relay::TakenReply {}))
     }
 
--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -7,7 +7,7 @@
 use super::{ASK_LIMIT, RELAY_LIMIT, Requests, STORE_LIMIT, may_see};
 use crate::{
     keys,
-    outcome::{CancelOutcome, Taken},
+    outcome::{CancelOutcome, StoredRequest},
     telemetry,
     timers::Backoff,
 };
@@ -56,7 +56,7 @@
         let left = until.since(self.now());
         match self.commit(transaction, left).await {
             Ok(Committed::Done(revision)) => {
-                self.tell_scheduler(Taken::Cancelled(id), revision);
+                self.notify_scheduler(StoredRequest::Cancelled(id), revision);
                 if job.is_some() { CancelOutcome::Cancelled } else { CancelOutcome::NoSuchJob }
             }
             Ok(Committed::Conflict(items)) => known_end(id, &items, customer),
--- a/crates/runtime/src/requests/mod.rs
+++ b/crates/runtime/src/requests/mod.rs
@@ -2,8 +2,8 @@
 
 mod cancel;
 mod state;
+mod submission_notice;
 mod submit;
-mod taken;
 
 use std::{
     collections::HashMap,
--- a/crates/runtime/src/requests/taken.rs
+++ b/crates/runtime/src/requests/submission_notice.rs
@@ -10,7 +10,7 @@
 use model::{Duration, Revision};
 
 use super::Requests;
-use crate::outcome::Taken;
+use crate::outcome::StoredRequest;
 
 /// How long the scheduler may take to answer; it is told once.
 const TELL_LIMIT: Duration = Duration::from_millis(800);
@@ -20,12 +20,12 @@
 
 impl Requests {
     /// Tells the scheduler, here or on another box, without waiting for its answer.
-    pub(super) fn tell_scheduler(&self, taken: Taken, since: Revision) {
+    pub(super) fn notify_scheduler(&self, taken: StoredRequest, since: Revision) {
         let leader = self.view.leader().filter(|leader| leader.addr != self.here);
-        let Some(leader) = leader else { return self.take(&taken, since) };
+        let Some(leader) = leader else { return self.apply_stored(&taken, since) };
         let peers = std::sync::Arc::clone(&self.peers);
         smol::spawn(async move {
-            if let Err(status) = peers.taken(leader.addr, &taken, since, TELL_LIMIT).await {
+            if let Err(status) = peers.notify_stored(leader.addr, &taken, since, TELL_LIMIT).await {
                 log::debug!("event=scheduler_not_told box={} why={status}", leader.box_id);
             }
         })
@@ -33,11 +33,11 @@
     }
 
     /// Takes in what another box, or this one, has had stored; nothing happens on a box that does not schedule.
-    pub(crate) fn take(&self, taken: &Taken, since: Revision) {
+    pub(crate) fn apply_stored(&self, taken: &StoredRequest, since: Revision) {
         match taken {
-            Taken::Job(job) if self.is_recent(job.accepted_ms) => self.active.add_job(job, since),
-            Taken::Job(job) => log::info!("job={} event=told_late", job.id),
-            Taken::Cancelled(id) => self.active.cancel(*id, since, self.now()),
+            StoredRequest::Job(job) if self.is_recent(job.accepted_ms) => self.active.add_job(job, since),
+            StoredRequest::Job(job) => log::info!("job={} event=told_late", job.id),
+            StoredRequest::Cancelled(id) => self.active.cancel(*id, since, self.now()),
         }
     }
 
--- a/crates/runtime/src/requests/submit.rs
+++ b/crates/runtime/src/requests/submit.rs
@@ -7,7 +7,7 @@
 use super::{ASK_LIMIT, RELAY_LIMIT, Requests, STORE_LIMIT};
 use crate::{
     keys,
-    outcome::{SubmitOutcome, Taken},
+    outcome::{StoredRequest, SubmitOutcome},
     telemetry,
 };
 
@@ -72,7 +72,7 @@
             Ok(Committed::Done(revision)) => {
                 let config = self.view.configuration().map_or(0, |known| known.version);
                 log::info!("job={} event=accepted revision={revision} queue={} config={config}", job.id, job.queue);
-                self.tell_scheduler(Taken::Job(job.clone()), revision);
+                self.notify_scheduler(StoredRequest::Job(job.clone()), revision);
                 SubmitOutcome::Accepted
             }
             Ok(Committed::Conflict(items)) => known_job(job, &items),
