--- a/crates/runtime/src/relay_service.rs
+++ b/crates/runtime/src/relay_service.rs
@@ -36,7 +36,7 @@
         let req = req.into_inner();
         let job: Job = serde_json::from_slice(&req.job).map_err(|e| Status::invalid_argument(e.to_string()))?;
         let outcome: submit_reply::Outcome =
-            self.requests.submit_here(&job, Duration::from_millis(req.limit_ms)).await.into();
+            self.requests.submit_to_store(&job, Duration::from_millis(req.limit_ms)).await.into();
         Ok(Response::new(relay::SubmitReply { outcome: outcome.into() }))
     }
 
@@ -44,7 +44,7 @@
         let req = req.into_inner();
         let (id, customer) = (parse(&req.job)?, customer(&req.customer)?);
         let limit = Duration::from_millis(req.limit_ms);
-        let outcome: cancel_reply::Outcome = self.requests.cancel_here(id, customer.as_ref(), limit).await.into();
+        let outcome: cancel_reply::Outcome = self.requests.cancel_in_store(id, customer.as_ref(), limit).await.into();
         Ok(Response::new(relay::CancelReply { outcome: outcome.into() }))
     }
 
--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -18,7 +18,7 @@
         let until = self.now() + limit;
         let mut outcome = CancelOutcome::Refused;
         if self.view.is_store_reachable() {
-            outcome = self.cancel_here(id, customer, limit.min(STORE_LIMIT)).await;
+            outcome = self.cancel_in_store(id, customer, limit.min(STORE_LIMIT)).await;
         }
         for addr in self.relays() {
             let left = until.since(self.now()).min(RELAY_LIMIT);
@@ -39,7 +39,12 @@
     }
 
     /// Stores from this box that a job is not wanted, within `limit`.
-    pub(crate) async fn cancel_here(&self, id: JobId, customer: Option<&CustomerId>, limit: Duration) -> CancelOutcome {
+    pub(crate) async fn cancel_in_store(
+        &self,
+        id: JobId,
+        customer: Option<&CustomerId>,
+        limit: Duration,
+    ) -> CancelOutcome {
         let until = self.now() + limit;
         let Ok(job) = self.read_job(id, until).await else { return CancelOutcome::Refused };
         if job.as_ref().is_some_and(|job| !may_see(job.customer.as_ref(), customer)) {
--- a/crates/runtime/src/requests/submit.rs
+++ b/crates/runtime/src/requests/submit.rs
@@ -23,7 +23,7 @@
         let until = self.now() + limit;
         let mut doubt = false;
         if self.view.is_store_reachable() {
-            match self.submit_here(job, limit.min(STORE_LIMIT)).await {
+            match self.submit_to_store(job, limit.min(STORE_LIMIT)).await {
                 SubmitOutcome::Refused => {}
                 SubmitOutcome::Unknown => doubt = true,
                 settled => return settled,
@@ -57,7 +57,7 @@
     }
 
     /// Stores a job from this box, within `limit`.
-    pub(crate) async fn submit_here(&self, job: &Job, limit: Duration) -> SubmitOutcome {
+    pub(crate) async fn submit_to_store(&self, job: &Job, limit: Duration) -> SubmitOutcome {
         let key = keys::job(job.id);
         let put = Put {
             key: key.clone(),
