--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -81,7 +81,7 @@
     let mut asked = Vec::new();
     for (id, relay) in &choice.relays {
         let (peers, addr, id) = (Arc::clone(&cx.peers), relay.addr, id.clone());
-        asked.push(smol::spawn(async move { (peers.answers(addr, ASK_LIMIT).await, id) }));
+        asked.push(smol::spawn(async move { (peers.is_answering(addr, ASK_LIMIT).await, id) }));
     }
     for question in asked {
         let (answers, id) = question.await;
--- a/crates/runtime/src/relay.rs
+++ b/crates/runtime/src/relay.rs
@@ -121,7 +121,7 @@
     }
 
     /// Whether another box answers, and reaches the store.
-    pub(crate) async fn answers(&self, addr: SocketAddr, limit: Duration) -> bool {
+    pub(crate) async fn is_answering(&self, addr: SocketAddr, limit: Duration) -> bool {
         self.configuration(addr, u64::MAX, Duration::ZERO, limit).await.is_some()
     }
 
--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -20,14 +20,14 @@
         if self.view.is_store_reachable() {
             outcome = self.cancel_in_store(id, customer, limit.min(STORE_LIMIT)).await;
         }
-        for addr in self.relays() {
+        for addr in self.relay_candidates() {
             let left = until.since(self.now()).min(RELAY_LIMIT);
             if left < ASK_LIMIT || !matches!(outcome, CancelOutcome::Refused | CancelOutcome::Unknown) {
                 break;
             }
             let relayed = self.peers.cancel(addr, id, customer, left).await;
             if relayed == CancelOutcome::Unknown {
-                self.note_silent(addr);
+                self.mark_unresponsive(addr);
             }
             if relayed != CancelOutcome::Refused {
                 outcome = relayed;
--- a/crates/runtime/src/requests/mod.rs
+++ b/crates/runtime/src/requests/mod.rs
@@ -61,12 +61,12 @@
     }
 
     /// Other boxes to send a write to: none if none of them reaches the store either, as far as is known.
-    fn relays(&self) -> Vec<SocketAddr> {
-        if self.view.is_store_reachable() || self.view.is_peer_reachable() { self.others() } else { Vec::new() }
+    fn relay_candidates(&self) -> Vec<SocketAddr> {
+        if self.view.is_store_reachable() || self.view.is_peer_reachable() { self.other_boxes() } else { Vec::new() }
     }
 
     /// Other boxes worth asking, the scheduler first.
-    pub(crate) fn others(&self) -> Vec<SocketAddr> {
+    pub(crate) fn other_boxes(&self) -> Vec<SocketAddr> {
         let mut others: Vec<SocketAddr> = self.view.relay_boxes().relays.values().map(|relay| relay.addr).collect();
         others.extend(&self.seeds);
         fastrand::shuffle(&mut others);
@@ -86,7 +86,7 @@
         seen
     }
 
-    pub(crate) fn note_silent(&self, addr: SocketAddr) {
+    pub(crate) fn mark_unresponsive(&self, addr: SocketAddr) {
         let until = self.now() + SILENT_PEER_PAUSE;
         self.silent.lock().expect("no holder panics").insert(addr, until);
     }
--- a/crates/runtime/src/requests/state.rs
+++ b/crates/runtime/src/requests/state.rs
@@ -36,7 +36,7 @@
                 return stored;
             }
         }
-        for addr in self.others() {
+        for addr in self.other_boxes() {
             let left = until.since(self.now()).min(ASK_LIMIT);
             if left == Duration::ZERO {
                 break;
@@ -45,7 +45,7 @@
             if asked != StateOutcome::Unavailable {
                 return asked;
             }
-            self.note_silent(addr);
+            self.mark_unresponsive(addr);
         }
         StateOutcome::Unavailable
     }
--- a/crates/runtime/src/requests/submit.rs
+++ b/crates/runtime/src/requests/submit.rs
@@ -29,7 +29,7 @@
                 settled => return settled,
             }
         }
-        for addr in self.relays() {
+        for addr in self.relay_candidates() {
             let left = until.since(self.now()).min(RELAY_LIMIT);
             if left < ASK_LIMIT {
                 break;
@@ -38,7 +38,7 @@
                 SubmitOutcome::Refused => {}
                 SubmitOutcome::Unknown => {
                     doubt = true;
-                    self.note_silent(addr);
+                    self.mark_unresponsive(addr);
                 }
                 settled => {
                     log::info!("job={} event=accepted by={addr}", job.id);
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -225,7 +225,7 @@
             continue;
         }
         let above = relay.view.configuration().map_or(0, |known| known.version);
-        for addr in relay.requests.others() {
+        for addr in relay.requests.other_boxes() {
             match cx.peers.configuration(addr, above, Duration::ZERO, ASK_LIMIT).await {
                 Some(document) => {
                     relay.view.record_peer_response();
@@ -234,7 +234,7 @@
                     }
                     break;
                 }
-                None => relay.requests.note_silent(addr),
+                None => relay.requests.mark_unresponsive(addr),
             }
         }
     }
