--- a/crates/martend/tests/own_election.rs
+++ b/crates/martend/tests/own_election.rs
@@ -37,8 +37,8 @@
         self.0.get(key)
     }
 
-    fn peek(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
-        self.0.peek(key, limit)
+    fn get_stale(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
+        self.0.get_stale(key, limit)
     }
 
     fn page(&self, prefix: String, after: Option<String>) -> BoxFuture<'_, Result<Page, StoreError>> {
@@ -60,16 +60,16 @@
         })
     }
 
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
-        self.0.grant(ttl)
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
+        self.0.grant_lease(ttl)
     }
 
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
-        self.0.keep(lease)
+    fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
+        self.0.keep_alive(lease)
     }
 
-    fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
-        self.0.end(lease)
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
+        self.0.revoke_lease(lease)
     }
 }
 
--- a/crates/martend/tests/renounced.rs
+++ b/crates/martend/tests/renounced.rs
@@ -44,8 +44,8 @@
         self.store.get(key)
     }
 
-    fn peek(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
-        self.store.peek(key, limit)
+    fn get_stale(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
+        self.store.get_stale(key, limit)
     }
 
     fn page(&self, prefix: String, after: Option<String>) -> BoxFuture<'_, Result<Page, StoreError>> {
@@ -72,16 +72,16 @@
         })
     }
 
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
-        self.store.grant(ttl)
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
+        self.store.grant_lease(ttl)
     }
 
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
-        self.store.keep(lease)
+    fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
+        self.store.keep_alive(lease)
     }
 
-    fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
-        self.store.end(lease)
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
+        self.store.revoke_lease(lease)
     }
 }
 
--- a/crates/outside/src/coordination.rs
+++ b/crates/outside/src/coordination.rs
@@ -111,7 +111,7 @@
     /// Reads a key.
     fn get(&self, key: String) -> BoxFuture<'_, Result<Option<Item>, StoreError>>;
     /// Reads a key within `limit`, at less cost than [`CoordinationStore::get`]: what is told may be seconds old.
-    fn peek(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>>;
+    fn get_stale(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>>;
     /// Reads a page of what is under a prefix: from its first key, or from the first key above `after`.
     fn page(&self, prefix: String, after: Option<String>) -> BoxFuture<'_, Result<Page, StoreError>>;
     /// Waits for changes under a prefix after a revision.
@@ -119,9 +119,9 @@
     /// Writes under conditions, within `limit`.
     fn commit(&self, transaction: Transaction, limit: Duration) -> BoxFuture<'_, Result<Committed, StoreError>>;
     /// Makes a lease.
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>>;
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>>;
     /// Renews a lease; `false` if it is over.
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>>;
+    fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>>;
     /// Ends a lease.
-    fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>>;
 }
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -207,7 +207,7 @@
 async fn stand(settings: &Settings, cx: &Context) -> Option<Won> {
     let asked = cx.view.clock().now();
     let (lease, found) =
-        futures_lite::future::zip(cx.store.grant(settings.election_ttl), predecessors::read(&*cx.store)).await;
+        futures_lite::future::zip(cx.store.grant_lease(settings.election_ttl), predecessors::read(&*cx.store)).await;
     let (lease, found) = (lease.ok()?, found.ok()?);
     let record = Record { box_id: settings.box_id.clone(), addr: settings.peers_address, nonce: fastrand::u64(..) };
     let value = serde_json::to_vec(&record).expect("our own types always serialize");
@@ -264,7 +264,7 @@
     log::info!("event=stopped_scheduling box={} fence={fence} why={ended}", settings.box_id);
     fitness.note(ended);
     if matches!(ended, Ended::Resigned | Ended::NotRestored)
-        && let Err(e) = cx.store.end(lease).await
+        && let Err(e) = cx.store.revoke_lease(lease).await
     {
         log::warn!("event=lease_not_ended fence={fence} why={e}");
     }
@@ -311,7 +311,7 @@
         pause(RENEWAL_LIMIT).await;
         Err(StoreError::Lost { why: format!("nothing came within {RENEWAL_LIMIT}") })
     };
-    futures_lite::FutureExt::or(cx.store.keep(lease), late).await
+    futures_lite::FutureExt::or(cx.store.keep_alive(lease), late).await
 }
 
 /// Waits until the box leaves.
--- a/crates/runtime/src/probe.rs
+++ b/crates/runtime/src/probe.rs
@@ -37,7 +37,7 @@
         asked = now;
         let (store, view) = (Arc::clone(&store), Arc::clone(&view));
         let ask = async move {
-            if let Ok(item) = store.peek(keys::SCHEDULER.to_owned(), LIMIT).await {
+            if let Ok(item) = store.get_stale(keys::SCHEDULER.to_owned(), LIMIT).await {
                 view.record_store_response();
                 take(&view, item.as_ref());
             }
--- a/crates/runtime/src/telemetry.rs
+++ b/crates/runtime/src/telemetry.rs
@@ -122,8 +122,8 @@
         Box::pin(measured("get", self.0.get(key)))
     }
 
-    fn peek(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
-        Box::pin(measured("peek", self.0.peek(key, limit)))
+    fn get_stale(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
+        Box::pin(measured("peek", self.0.get_stale(key, limit)))
     }
 
     fn page(&self, prefix: String, after: Option<String>) -> BoxFuture<'_, Result<Page, StoreError>> {
@@ -138,15 +138,15 @@
         Box::pin(measured("commit", self.0.commit(transaction, limit)))
     }
 
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
-        Box::pin(measured("grant", self.0.grant(ttl)))
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
+        Box::pin(measured("grant", self.0.grant_lease(ttl)))
     }
 
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
-        Box::pin(measured("keep", self.0.keep(lease)))
+    fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
+        Box::pin(measured("keep", self.0.keep_alive(lease)))
     }
 
-    fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
-        Box::pin(measured("end", self.0.end(lease)))
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
+        Box::pin(measured("end", self.0.revoke_lease(lease)))
     }
 }
