--- a/crates/outside/src/coordination.rs
+++ b/crates/outside/src/coordination.rs
@@ -53,7 +53,7 @@
         at: Revision,
     },
     /// The store has forgotten what happened since: read everything again.
-    Forgotten,
+    Compacted,
 }
 
 /// A write of one key.
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -122,7 +122,7 @@
             }
             Ok(Some(at))
         }
-        Watched::Forgotten => {
+        Watched::Compacted => {
             log::info!("event=history_lost prefix={prefix} at={at}");
             Ok(None)
         }
