--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -18,10 +18,10 @@
 };
 use smol::net::TcpListener;
 use users_platform::{
-    advice::UsersAdviser,
     decode::UsersDecoder,
     front::{Front, Readiness},
     machines::UsersMachines,
+    permits::HttpPermitService,
     servers::Servers,
     store::Store,
 };
@@ -81,7 +81,7 @@
 
 /// The platform's adviser and machines, if the settings name them.
 fn optional_services(settings: &DeploymentSettings) -> OptionalServices {
-    let permit_service = |addr| Arc::new(UsersAdviser::new(Client::default(), addr)) as Arc<dyn PermitService>;
+    let permit_service = |addr| Arc::new(HttpPermitService::new(Client::default(), addr)) as Arc<dyn PermitService>;
     let machines = |addr| Arc::new(UsersMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
     OptionalServices {
         permit_service: settings.adviser_address.map(permit_service),
