--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -20,7 +20,7 @@
 use users_platform::{
     decode::UsersDecoder,
     front::{Front, Readiness},
-    machines::UsersMachines,
+    machines::HttpMachines,
     permits::HttpPermitService,
     servers::Servers,
     store::Store,
@@ -82,7 +82,7 @@
 /// The platform's adviser and machines, if the settings name them.
 fn optional_services(settings: &DeploymentSettings) -> OptionalServices {
     let permit_service = |addr| Arc::new(HttpPermitService::new(Client::default(), addr)) as Arc<dyn PermitService>;
-    let machines = |addr| Arc::new(UsersMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
+    let machines = |addr| Arc::new(HttpMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
     OptionalServices {
         permit_service: settings.adviser_address.map(permit_service),
         machines: settings.machines_address.map(machines),
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -26,7 +26,7 @@
 };
 use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
-use users_platform::{decode::UsersDecoder, machines::UsersMachines, servers::Servers, store::Store};
+use users_platform::{decode::UsersDecoder, machines::HttpMachines, servers::Servers, store::Store};
 use users_platform_standin::{Padding, Setup, Work, free_addrs};
 
 const WORK: Work = Work { tasks: 1, accelerators: 1, work_ms: 20_000, gang: false };
@@ -97,7 +97,7 @@
 
 /// Machines whose list comes once the gate opens.
 struct GatedMachines {
-    machines: UsersMachines,
+    machines: HttpMachines,
     gate: channel::Receiver<()>,
     listed: AtomicUsize,
     begun: AtomicUsize,
@@ -190,7 +190,7 @@
         world.platform.ask_for_upkeep(1, 1);
         let (open, gate) = channel::bounded::<()>(1);
         let machines = Arc::new(GatedMachines {
-            machines: UsersMachines::new(Client::default(), world.platform.machines_addr),
+            machines: HttpMachines::new(Client::default(), world.platform.machines_addr),
             gate,
             listed: AtomicUsize::new(0),
             begun: AtomicUsize::new(0),
