--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -18,7 +18,7 @@
 };
 use smol::net::TcpListener;
 use users_platform::{
-    decode::UsersDecoder,
+    decode::PlatformDecoder,
     front::{Front, Readiness},
     machines::HttpMachines,
     permits::HttpPermitService,
@@ -56,7 +56,7 @@
         peers,
         Store::new(Client::new(Purpose::Store), settings.store_address),
         Arc::new(Servers::with_order_connections(settings.runtime.capacity.order_connections)),
-        Arc::new(UsersDecoder),
+        Arc::new(PlatformDecoder),
         optional_services(&settings),
         Arc::clone(&clock),
     ));
