--- a/crates/martend/tests/deployment.rs
+++ b/crates/martend/tests/deployment.rs
@@ -130,7 +130,7 @@
 #[test]
 fn jobs_of_a_queue_with_advice_run_only_where_it_is_given() {
     smol::block_on(async {
-        let setup = Setup { servers: 4, key: KEY.to_owned(), advice: true, ..Setup::default() };
+        let setup = Setup { servers: 4, key: KEY.to_owned(), permits: true, ..Setup::default() };
         let world = World::start_on(1, &setup).await;
         for id in 1..=4 {
             world.submit(JobId(id), WORK).await;
