--- a/crates/martend/tests/deployment.rs
+++ b/crates/martend/tests/deployment.rs
@@ -146,16 +146,17 @@
 fn a_wave_of_upkeep_reaches_each_machine_once_though_the_scheduler_is_killed() {
     smol::block_on(async {
         let mut world = World::start(2, 5).await;
-        world.platform.ask_for_upkeep(7, 2);
+        world.platform.request_maintenance(7, 2);
         let platform = &world.platform;
-        until("the wave has begun", || async { platform.machines.upkeeps().iter().sum::<usize>() > 1 }).await;
+        until("the wave has begun", || async { platform.machines.maintenance_counts().iter().sum::<usize>() > 1 })
+            .await;
         let scheduler = world.scheduler().await;
         world.boxes[scheduler].child.kill().expect("it runs");
         let platform = &world.platform;
         let succeeded = || platform.read("status/wave/7").is_some_and(|value| value == br#"{"state":"succeeded"}"#);
         until("the wave has succeeded", || async { succeeded() }).await;
-        assert_eq!(platform.machines.upkeeps(), [1; 5]);
-        assert!(platform.machines.most_down() <= 2, "{} were down at once", platform.machines.most_down());
+        assert_eq!(platform.machines.maintenance_counts(), [1; 5]);
+        assert!(platform.machines.max_down() <= 2, "{} were down at once", platform.machines.max_down());
     });
 }
 
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -187,7 +187,7 @@
     smol::block_on(async {
         let mut world = World::start(1, 1).await;
         world.boxes.clear();
-        world.platform.ask_for_upkeep(1, 1);
+        world.platform.request_maintenance(1, 1);
         let (open, gate) = channel::bounded::<()>(1);
         let machines = Arc::new(GatedMachines {
             machines: HttpMachines::new(Client::default(), world.platform.machines_addr),
