--- a/crates/martend/tests/evacuation.rs
+++ b/crates/martend/tests/evacuation.rs
@@ -52,7 +52,7 @@
         let other = 1 - scheduler;
         world.until_succeeded(other, 2..=10, 2).await;
         assert_eq!(begun_in(&world, "az-2"), before, "nothing was placed there after the evacuation");
-        world.platform.take_back("az-2");
+        world.platform.end_evacuation("az-2");
         world.submit(JobId(11), Work { tasks: 4, ..WORK }).await;
         world.until_succeeded(other, 11..=11, 4).await;
         assert!(begun_in(&world, "az-2") > before, "it takes work again");
--- a/crates/martend/tests/soak/faults.rs
+++ b/crates/martend/tests/soak/faults.rs
@@ -160,7 +160,7 @@
         Fault::Evacuate(zone) => {
             world.platform.lock().await.evacuate(zone);
             smol::Timer::after(lasts).await;
-            world.platform.lock().await.take_back(zone);
+            world.platform.lock().await.end_evacuation(zone);
         }
     }
 }
