--- a/crates/martend/examples/recovery.rs
+++ b/crates/martend/examples/recovery.rs
@@ -88,7 +88,7 @@
         smol::Timer::after(Duration::from_millis(50)).await;
     }
     for i in 0..setup.servers {
-        platform.cut_server(i).await;
+        platform.disconnect_server(i).await;
     }
     for id in 0..open {
         submit(&caller, &first, 1_000_000 + id).await;
--- a/crates/martend/tests/crashing.rs
+++ b/crates/martend/tests/crashing.rs
@@ -43,7 +43,7 @@
 async fn with_an_entry_left_over(boxes: usize) -> World {
     let mut world = World::start(boxes, 2).await;
     // Only the first is there until the task runs where two entries name one address.
-    world.platform.cut_server(1).await;
+    world.platform.disconnect_server(1).await;
     world.submit(JOB, LASTING).await;
     until_running(&world).await;
     world.platform.crash_server_unnoticed(0).await.expect("its address is free");
@@ -89,7 +89,7 @@
 fn nor_does_one_that_the_crashed_life_has_written_and_that_comes_late() {
     smol::block_on(async {
         let mut world = World::start(1, 2).await;
-        world.platform.cut_server(1).await;
+        world.platform.disconnect_server(1).await;
         world.submit(JOB, LASTING).await;
         until_running(&world).await;
         let (key, entry) = (format!("servers/{}", world.platform.server(0).1), world.platform.entry(0));
--- a/crates/martend/tests/deployment.rs
+++ b/crates/martend/tests/deployment.rs
@@ -115,7 +115,7 @@
         let mut world = World::start(1, 1).await;
         world.submit(JobId(1), Work { tasks: 1, accelerators: 2, work_ms: 500, gang: false }).await;
         until("the job runs", || async { world.platform.oracle.begun() == 1 }).await;
-        world.platform.cut_server(0).await;
+        world.platform.disconnect_server(0).await;
         // Longer than the lease and all that is added to it: the box forgets the backend server.
         smol::Timer::after(Duration::from_millis(4500)).await;
         world.platform.restore_server(0).await.expect("its address is free");
--- a/crates/martend/tests/lost_together.rs
+++ b/crates/martend/tests/lost_together.rs
@@ -40,7 +40,7 @@
         let lost = (0..4).find(|&i| world.platform.server(i).1 == place).expect("it is there");
         let scheduler = world.scheduler().await;
         let addrs = world.boxes[scheduler].addrs;
-        world.platform.lose_server(lost).await;
+        world.platform.crash_server_for_good(lost).await;
         drop(world.boxes.remove(scheduler));
         smol::Timer::after(BACK_AFTER).await;
         let seeds: Vec<_> = world.boxes.iter().map(|a_box| a_box.addrs[2]).collect();
@@ -67,7 +67,7 @@
         let place = oracle.runs_where(job).expect("it runs");
         let lost = (0..4).find(|&i| world.platform.server(i).1 == place).expect("it is there");
         let scheduler = world.scheduler().await;
-        world.platform.lose_server(lost).await;
+        world.platform.crash_server_for_good(lost).await;
         drop(world.boxes.remove(scheduler));
         world.scheduler().await;
         let elected = Instant::now();
--- a/crates/martend/tests/other_writers.rs
+++ b/crates/martend/tests/other_writers.rs
@@ -20,7 +20,7 @@
 /// A task runs on the first of two backend servers.
 async fn running() -> World {
     let mut world = World::start(1, 2).await;
-    world.platform.cut_server(1).await;
+    world.platform.disconnect_server(1).await;
     world.submit(JOB, LASTING).await;
     until("the task runs", || async { world.platform.oracle.running_tasks(JOB) == 1 }).await;
     world.platform.restore_server(1).await.expect("its address is free");
--- a/crates/martend/tests/own_election.rs
+++ b/crates/martend/tests/own_election.rs
@@ -106,7 +106,7 @@
         smol::Timer::after(StdDuration::from_secs(1)).await;
         let place = oracle.runs_where(job).expect("it runs");
         let lost = (0..4).find(|&i| world.platform.server(i).1 == place).expect("it is there");
-        world.platform.lose_server(lost).await;
+        world.platform.crash_server_for_good(lost).await;
         drop(world.boxes.remove(0));
         until("the next one schedules", || async { next.status().schedules_with_fence.is_some() }).await;
         let elected = Instant::now();
--- a/crates/martend/tests/recovery.rs
+++ b/crates/martend/tests/recovery.rs
@@ -20,8 +20,8 @@
 async fn with_open_jobs(page: usize) -> World {
     let setup = Setup { servers: 2, key: KEY.to_owned(), page, ..Setup::default() };
     let mut world = World::start_on(1, &setup).await;
-    world.platform.cut_server(0).await;
-    world.platform.cut_server(1).await;
+    world.platform.disconnect_server(0).await;
+    world.platform.disconnect_server(1).await;
     for id in (1..=OPEN).map(JobId) {
         let padding = Padding { text: TEXT, body: 0 };
         let answer = world.caller.submit_padded(world.boxes[0].addrs[0], id, SMALL, padding).await;
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -128,7 +128,7 @@
 async fn with_open_jobs() -> World {
     let setup = Setup { servers: 1, key: KEY.to_owned(), ..Setup::default() };
     let mut world = World::start_on(1, &setup).await;
-    world.platform.cut_server(0).await;
+    world.platform.disconnect_server(0).await;
     for id in [1, 2].map(JobId) {
         let answer = world.caller.submit_padded(world.boxes[0].addrs[0], id, WORK, Padding::default()).await;
         assert_eq!(answer.expect("it is answered").status, StatusCode::OK);
