--- a/crates/martend/tests/crashing.rs
+++ b/crates/martend/tests/crashing.rs
@@ -74,10 +74,10 @@
 fn nor_for_one_whose_watch_has_lost_its_history() {
     smol::block_on(async {
         let world = with_an_entry_left_over(1).await;
-        world.platform.set_watches_deaf(true);
+        world.platform.suppress_watch_events(true);
         world.platform.write("elsewhere", b"{}");
         world.platform.forget_history();
-        world.platform.set_watches_deaf(false);
+        world.platform.suppress_watch_events(false);
         check_undisturbed(&world).await;
     });
 }
--- a/crates/martend/tests/deployment.rs
+++ b/crates/martend/tests/deployment.rs
@@ -204,7 +204,7 @@
         let world = World::start(3, 4).await;
         let scheduler = world.scheduler().await;
         let other = (scheduler + 1) % 3;
-        world.platform.set_watches_deaf(true);
+        world.platform.suppress_watch_events(true);
         let begun = std::time::Instant::now();
         let addr = world.boxes[other].addrs[0];
         let accepted = world.caller.submit(addr, JobId(1), Work { work_ms: 30_000, ..WORK }).await;
@@ -214,7 +214,7 @@
         assert_eq!(cancelled.status, StatusCode::OK);
         until("nothing of it runs", || async { world.platform.oracle.running_tasks(JobId(1)) == 0 }).await;
         assert!(begun.elapsed() < WITHOUT_A_WATCH, "it took {:?}", begun.elapsed());
-        world.platform.set_watches_deaf(false);
+        world.platform.suppress_watch_events(false);
         world.submit(JobId(2), WORK).await;
         world.until_succeeded(other, 2..=2, 3).await;
         assert_eq!(world.platform.oracle.begun(), 6, "nothing was run twice");
--- a/crates/martend/tests/evacuation.rs
+++ b/crates/martend/tests/evacuation.rs
@@ -72,14 +72,14 @@
         }
         // They wait for room, and the scheduler knows of them: no start is under way.
         until("they are known", || async { world.open_jobs(0).await == Some(4) }).await;
-        world.platform.set_watches_deaf(true);
+        world.platform.suppress_watch_events(true);
         world.platform.evacuate("az-1");
         let before = begun_in(&world, "az-1");
         world.until_succeeded(0, 1..=1, AT_ONCE as usize).await;
         world.until_succeeded(0, 2..=4, 2).await;
         assert_eq!(begun_in(&world, "az-1"), before);
         assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
-        world.platform.set_watches_deaf(false);
+        world.platform.suppress_watch_events(false);
     });
 }
 
--- a/crates/martend/tests/other_writers.rs
+++ b/crates/martend/tests/other_writers.rs
@@ -31,10 +31,10 @@
 async fn check_undisturbed(world: &World, what: &str) {
     for again in [false, true] {
         if again {
-            world.platform.set_watches_deaf(true);
+            world.platform.suppress_watch_events(true);
             world.platform.write("elsewhere", b"{}");
             world.platform.forget_history();
-            world.platform.set_watches_deaf(false);
+            world.platform.suppress_watch_events(false);
         }
         smol::Timer::after(Duration::from_millis(SEEN_MS)).await;
         assert_eq!(world.platform.oracle.broken(), Vec::<String>::new(), "{what}");
--- a/crates/martend/tests/soak/faults.rs
+++ b/crates/martend/tests/soak/faults.rs
@@ -221,11 +221,11 @@
 
 /// Watches hear nothing for a second at most, and then what has changed meanwhile is gone.
 async fn forget_history(world: &World, lasts: Duration) {
-    world.platform.lock().await.set_watches_deaf(true);
+    world.platform.lock().await.suppress_watch_events(true);
     smol::Timer::after(lasts.min(Duration::from_secs(1))).await;
     let platform = world.platform.lock().await;
     platform.forget_history();
-    platform.set_watches_deaf(false);
+    platform.suppress_watch_events(false);
 }
 
 async fn set(world: &World, link: Link, mode: Mode) {
