--- a/crates/martend/tests/crashing.rs
+++ b/crates/martend/tests/crashing.rs
@@ -31,8 +31,8 @@
         .await;
         smol::Timer::after(Duration::from_millis(500)).await;
         assert_eq!(world.platform.oracle.running_tasks(JOB), 0);
-        assert_eq!(world.platform.oracle.begun(), 3);
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 3);
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -54,10 +54,10 @@
 
 /// The task runs on where it is.
 async fn check_undisturbed(world: &World) {
-    let (place, begun) = (world.platform.oracle.runs_where(JOB), world.platform.oracle.begun());
+    let (place, begun) = (world.platform.oracle.running_on(JOB), world.platform.oracle.start_count());
     smol::Timer::after(Duration::from_millis(2500)).await;
-    assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
-    assert_eq!((world.platform.oracle.runs_where(JOB), world.platform.oracle.begun()), (place, begun));
+    assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
+    assert_eq!((world.platform.oracle.running_on(JOB), world.platform.oracle.start_count()), (place, begun));
 }
 
 #[test]
@@ -96,10 +96,10 @@
         world.platform.crash_server(0).await.expect("its address is free");
         until_running(&world).await;
         world.platform.restore_server(1).await.expect("its address is free");
-        let begun = world.platform.oracle.begun();
+        let begun = world.platform.oracle.start_count();
         world.platform.write(&key, entry.to_string().as_bytes());
         check_undisturbed(&world).await;
-        assert_eq!(world.platform.oracle.begun(), begun);
+        assert_eq!(world.platform.oracle.start_count(), begun);
     });
 }
 
@@ -147,7 +147,7 @@
             world.state(0, JOB).await.is_some_and(|answer| answer.state == "failed")
         })
         .await;
-        assert_eq!(world.platform.oracle.begun(), 3);
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 3);
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
--- a/crates/martend/tests/deployment.rs
+++ b/crates/martend/tests/deployment.rs
@@ -25,8 +25,8 @@
         }
         let other = (scheduler + 1) % 3;
         world.until_succeeded(other, 1..=20, 3).await;
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
-        assert_eq!(world.platform.oracle.begun(), 60, "nothing was run for nothing");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 60, "nothing was run for nothing");
     });
 }
 
@@ -44,7 +44,7 @@
         world.boxes.push(start_box(&world.platform, "box-new", addrs, &[]));
         world.until_ready(2).await;
         world.until_succeeded(2, 1..=6, 3).await;
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -53,15 +53,15 @@
     smol::block_on(async {
         let world = World::start(2, 2).await;
         world.submit(JobId(1), Work { work_ms: 1500, ..WORK }).await;
-        until("the job runs", || async { world.platform.oracle.begun() == 3 }).await;
+        until("the job runs", || async { world.platform.oracle.start_count() == 3 }).await;
         world.platform.set_store_down(true);
         let refused = world.caller.submit(world.boxes[0].addrs[0], JobId(2), WORK).await.expect("it is answered");
         assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
         smol::Timer::after(Duration::from_millis(2500)).await;
         world.platform.set_store_down(false);
         world.until_succeeded(1, 1..=1, 3).await;
-        assert_eq!(world.platform.oracle.begun(), 3, "the refused job does not run");
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 3, "the refused job does not run");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -71,7 +71,7 @@
         let world = World::start(1, 1).await;
         let addr = world.boxes[0].addrs[0];
         world.submit(JobId(1), Work { work_ms: 30_000, ..WORK }).await;
-        until("the job runs", || async { world.platform.oracle.begun() == 3 }).await;
+        until("the job runs", || async { world.platform.oracle.start_count() == 3 }).await;
         let stranger = Caller::new("no-such-key", world.platform.oracle.clone());
         let denied = stranger.state(addr, JobId(1)).await.expect("it is answered");
         assert_eq!(denied.status, StatusCode::UNAUTHORIZED);
@@ -104,8 +104,8 @@
         world.until_succeeded(1 - scheduler, 1..=1, 3).await;
         let ended = world.boxes[scheduler].child.wait().expect("it ends");
         assert!(ended.success(), "{ended}");
-        assert_eq!(world.platform.oracle.begun(), 3);
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 3);
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -114,16 +114,16 @@
     smol::block_on(async {
         let mut world = World::start(1, 1).await;
         world.submit(JobId(1), Work { tasks: 1, accelerators: 2, work_ms: 500, gang: false }).await;
-        until("the job runs", || async { world.platform.oracle.begun() == 1 }).await;
+        until("the job runs", || async { world.platform.oracle.start_count() == 1 }).await;
         world.platform.disconnect_server(0).await;
         // Longer than the lease and all that is added to it: the box forgets the backend server.
         smol::Timer::after(Duration::from_millis(4500)).await;
         world.platform.restore_server(0).await.expect("its address is free");
         world.until_succeeded(0, 1..=1, 1).await;
-        assert_eq!(world.platform.oracle.begun(), 1, "what was done while it was cut off is not done again");
+        assert_eq!(world.platform.oracle.start_count(), 1, "what was done while it was cut off is not done again");
         world.submit(JobId(2), WORK).await;
         world.until_succeeded(0, 2..=2, 3).await;
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -137,8 +137,8 @@
         }
         // The backend servers refuse a start without the right ticket.
         world.until_succeeded(0, 1..=4, 3).await;
-        assert_eq!(world.platform.oracle.begun(), 12);
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 12);
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -180,7 +180,7 @@
     smol::block_on(async {
         let world = World::start(1, 2).await;
         world.submit(JobId(1), Work { work_ms: 4000, ..WORK }).await;
-        until("the job runs", || async { world.platform.oracle.begun() == 3 }).await;
+        until("the job runs", || async { world.platform.oracle.start_count() == 3 }).await;
         world.platform.set_store_down(true);
         smol::Timer::after(Duration::from_millis(500)).await;
         world.platform.unlist_all();
@@ -189,8 +189,8 @@
         smol::Timer::after(Duration::from_millis(700)).await;
         world.platform.list_all();
         world.until_succeeded(0, 1..=2, 3).await;
-        assert_eq!(world.platform.oracle.begun(), 6, "what ran was not started again");
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 6, "what ran was not started again");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -217,7 +217,7 @@
         world.platform.suppress_watch_events(false);
         world.submit(JobId(2), WORK).await;
         world.until_succeeded(other, 2..=2, 3).await;
-        assert_eq!(world.platform.oracle.begun(), 6, "nothing was run twice");
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 6, "nothing was run twice");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
--- a/crates/martend/tests/evacuation.rs
+++ b/crates/martend/tests/evacuation.rs
@@ -20,8 +20,8 @@
 const PATIENCE: Duration = Duration::from_secs(60);
 
 /// Runs that have begun in an availability zone.
-fn begun_in(world: &World, zone: &str) -> usize {
-    world.platform.begun_in(zone)
+fn starts_in(world: &World, zone: &str) -> usize {
+    world.platform.starts_in(zone)
 }
 
 /// What the operators' address of a box answers.
@@ -38,9 +38,9 @@
         let mut world = World::start(2, 4).await;
         world.submit(JobId(1), Work { work_ms: 100, tasks: 4, ..WORK }).await;
         world.until_succeeded(0, 1..=1, 4).await;
-        assert!(begun_in(&world, "az-1") > 0 && begun_in(&world, "az-2") > 0);
+        assert!(starts_in(&world, "az-1") > 0 && starts_in(&world, "az-2") > 0);
         world.platform.evacuate("az-2");
-        let before = begun_in(&world, "az-2");
+        let before = starts_in(&world, "az-2");
         for id in 2..=6 {
             world.submit(JobId(id), WORK).await;
         }
@@ -51,12 +51,12 @@
         }
         let other = 1 - scheduler;
         world.until_succeeded(other, 2..=10, 2).await;
-        assert_eq!(begun_in(&world, "az-2"), before, "nothing was placed there after the evacuation");
+        assert_eq!(starts_in(&world, "az-2"), before, "nothing was placed there after the evacuation");
         world.platform.end_evacuation("az-2");
         world.submit(JobId(11), Work { tasks: 4, ..WORK }).await;
         world.until_succeeded(other, 11..=11, 4).await;
-        assert!(begun_in(&world, "az-2") > before, "it takes work again");
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert!(starts_in(&world, "az-2") > before, "it takes work again");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -74,11 +74,11 @@
         until("they are known", || async { world.open_jobs(0).await == Some(4) }).await;
         world.platform.suppress_watch_events(true);
         world.platform.evacuate("az-1");
-        let before = begun_in(&world, "az-1");
+        let before = starts_in(&world, "az-1");
         world.until_succeeded(0, 1..=1, AT_ONCE as usize).await;
         world.until_succeeded(0, 2..=4, 2).await;
-        assert_eq!(begun_in(&world, "az-1"), before);
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(starts_in(&world, "az-1"), before);
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
         world.platform.suppress_watch_events(false);
     });
 }
@@ -105,15 +105,15 @@
         let (status, told) = operators(&world, scheduler, Method::PUT, "/v1/evacuations/az-1").await;
         assert_eq!(status, StatusCode::OK);
         assert_eq!(told["evacuations"][0]["by"], json!(["operators"]));
-        assert_eq!(told["evacuations"][0]["running_tasks"], begun_in(&world, "az-1"));
+        assert_eq!(told["evacuations"][0]["running_tasks"], starts_in(&world, "az-1"));
         assert_eq!(world.platform.keys("marten/evacuation/"), ["marten/evacuation/az-1"]);
         let (status, why) = operators(&world, scheduler, Method::PUT, "/v1/evacuations/az-2").await;
         assert_eq!(status, StatusCode::CONFLICT, "{why}");
-        let before = begun_in(&world, "az-1");
+        let before = starts_in(&world, "az-1");
         world.submit(JobId(2), Work { tasks: 4, ..WORK }).await;
         world.until_succeeded(0, 1..=1, AT_ONCE as usize).await;
         world.until_succeeded(0, 2..=2, 4).await;
-        assert_eq!(begun_in(&world, "az-1"), before);
+        assert_eq!(starts_in(&world, "az-1"), before);
         until("nothing runs there", || async {
             let (_, told) = operators(&world, scheduler, Method::GET, "/v1/evacuations").await;
             told["evacuations"][0]["running_tasks"] == 0
@@ -124,6 +124,6 @@
         assert!(world.platform.keys("marten/evacuation/").is_empty());
         world.submit(JobId(3), Work { tasks: 4, ..WORK }).await;
         world.until_succeeded(0, 3..=3, 4).await;
-        assert!(begun_in(&world, "az-1") > before);
+        assert!(starts_in(&world, "az-1") > before);
     });
 }
--- a/crates/martend/tests/lost_together.rs
+++ b/crates/martend/tests/lost_together.rs
@@ -36,7 +36,7 @@
         until("it runs", || async { oracle.running_tasks(job) == 1 }).await;
         // A scheduler that finds nothing written about earlier ones cannot know that there were none.
         until("no earlier scheduler goes on", || async { earlier_are_known(&world) }).await;
-        let place = oracle.runs_where(job).expect("it runs");
+        let place = oracle.running_on(job).expect("it runs");
         let lost = (0..4).find(|&i| world.platform.server(i).1 == place).expect("it is there");
         let scheduler = world.scheduler().await;
         let addrs = world.boxes[scheduler].addrs;
@@ -48,7 +48,7 @@
         let since = Instant::now();
         until("it runs again", || async { oracle.running_tasks(job) == 1 }).await;
         assert!(since.elapsed() < RUNS_AGAIN_WITHIN, "it took {:?}", since.elapsed());
-        assert_eq!(oracle.broken(), Vec::<String>::new());
+        assert_eq!(oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -64,7 +64,7 @@
         until("it runs", || async { oracle.running_tasks(job) == 1 }).await;
         until("no earlier scheduler goes on", || async { earlier_are_known(&world) }).await;
         until("there are witnesses", || async { world.platform.read("marten/witnesses").is_some() }).await;
-        let place = oracle.runs_where(job).expect("it runs");
+        let place = oracle.running_on(job).expect("it runs");
         let lost = (0..4).find(|&i| world.platform.server(i).1 == place).expect("it is there");
         let scheduler = world.scheduler().await;
         world.platform.crash_server_for_good(lost).await;
@@ -73,6 +73,6 @@
         let elected = Instant::now();
         until("it runs again", || async { oracle.running_tasks(job) == 1 }).await;
         assert!(elected.elapsed() < RUNS_AGAIN_WITHIN, "it took {:?}", elected.elapsed());
-        assert_eq!(oracle.broken(), Vec::<String>::new());
+        assert_eq!(oracle.violations(), Vec::<String>::new());
     });
 }
--- a/crates/martend/tests/other_writers.rs
+++ b/crates/martend/tests/other_writers.rs
@@ -37,8 +37,8 @@
             world.platform.suppress_watch_events(false);
         }
         smol::Timer::after(Duration::from_millis(SEEN_MS)).await;
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new(), "{what}");
-        assert_eq!(world.platform.oracle.begun(), 1, "{what}");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new(), "{what}");
+        assert_eq!(world.platform.oracle.start_count(), 1, "{what}");
         assert_eq!(world.platform.oracle.running_tasks(JOB), 1, "{what}");
     }
 }
--- a/crates/martend/tests/own_election.rs
+++ b/crates/martend/tests/own_election.rs
@@ -104,7 +104,7 @@
         let store = LateStore(Store::new(Client::default(), world.platform.store_addr));
         let next = start_in_this_process(&world, &addrs, store).await;
         smol::Timer::after(StdDuration::from_secs(1)).await;
-        let place = oracle.runs_where(job).expect("it runs");
+        let place = oracle.running_on(job).expect("it runs");
         let lost = (0..4).find(|&i| world.platform.server(i).1 == place).expect("it is there");
         world.platform.crash_server_for_good(lost).await;
         drop(world.boxes.remove(0));
--- a/crates/martend/tests/power.rs
+++ b/crates/martend/tests/power.rs
@@ -54,7 +54,7 @@
     for (id, _) in refused {
         assert_eq!(world.platform.oracle.done_tasks(JobId(id)), 0, "{id} was refused");
     }
-    assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+    assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
 }
 
 #[test]
--- a/crates/martend/tests/recovery.rs
+++ b/crates/martend/tests/recovery.rs
@@ -43,7 +43,7 @@
     // Until then the box answers callers from the store, over the same link.
     world.scheduler().await;
     world.until_succeeded(0, 1..=OPEN, 1).await;
-    assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+    assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
 }
 
 #[test]
@@ -91,7 +91,7 @@
             world.platform.restore_server(i).await.expect("its address is free");
         }
         world.until_succeeded(1, 1..=OPEN, 1).await;
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -122,8 +122,8 @@
         assert_eq!(cancelled.status, StatusCode::OK);
         world.until_succeeded(other, 1..=20, 1).await;
         smol::Timer::after(Duration::from_millis(300)).await;
-        assert_eq!(world.platform.oracle.begun(), 21, "nothing ran again");
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 21, "nothing ran again");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
@@ -149,7 +149,7 @@
         let took = back.elapsed();
         // What waits for the store waits 2.6 s more if it does not learn that calls from before are lost.
         assert!(took < Duration::from_millis(1500), "{took:?}");
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
     });
 }
 
--- a/crates/martend/tests/returned.rs
+++ b/crates/martend/tests/returned.rs
@@ -20,7 +20,7 @@
         world.platform.return_server(0).await.expect("its address is free");
         world.submit(JobId(2), LONGER).await;
         world.until_succeeded(0, 2..3, 4).await;
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new());
-        assert_eq!(world.platform.oracle.begun(), 10);
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
+        assert_eq!(world.platform.oracle.start_count(), 10);
     });
 }
--- a/crates/martend/tests/silent_store.rs
+++ b/crates/martend/tests/silent_store.rs
@@ -83,6 +83,6 @@
         world.submit(job, WORK).await;
         let oracle = world.platform.oracle.clone();
         until("it has run", || async { oracle.done_tasks(job) == 1 }).await;
-        assert_eq!(oracle.broken(), Vec::<String>::new());
+        assert_eq!(oracle.violations(), Vec::<String>::new());
     });
 }
--- a/crates/martend/tests/soak/callers.rs
+++ b/crates/martend/tests/soak/callers.rs
@@ -82,7 +82,7 @@
             Ok(StatusCode::OK) => return world.ledger.handed(id, Handed::Accepted(Instant::now())),
             Ok(StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS) => {}
             Ok(StatusCode::GATEWAY_TIMEOUT) | Err(_) => doubtful = true,
-            Ok(status) => world.oracle.found(format!("{id} was answered {status}")),
+            Ok(status) => world.oracle.report_violation(format!("{id} was answered {status}")),
         }
         smol::Timer::after(Duration::from_millis(rng.u64(50..400))).await;
     }
@@ -103,13 +103,13 @@
     check_state(world, id, &answer);
     let known = matches!(before.handed, Handed::Accepted(at) if at + VISIBLE_WITHIN < asked);
     if known && answer.status == StatusCode::GONE {
-        world.oracle.found(format!("{id} was accepted and is not known"));
+        world.oracle.report_violation(format!("{id} was accepted and is not known"));
     }
 }
 
 /// Whether a job may have failed: two backend servers have crashed under one of its tasks (users' protocol page). Nothing else fails here.
 pub(crate) fn may_have_failed(world: &World, id: JobId) -> bool {
-    world.oracle.most_crashes(id) >= 2
+    world.oracle.max_crashes(id) >= 2
 }
 
 /// A state that is told is true.
@@ -118,13 +118,15 @@
     let done = world.oracle.done_tasks(id);
     match answer.state.as_str() {
         "succeeded" if done != entry.work.tasks as usize => {
-            world.oracle.found(format!("{id} is told as succeeded with {done} of {} tasks done", entry.work.tasks));
+            world
+                .oracle
+                .report_violation(format!("{id} is told as succeeded with {done} of {} tasks done", entry.work.tasks));
         }
         "failed" if !may_have_failed(world, id) => {
-            world.oracle.found(format!("{id} is told as failed, and nothing has failed"))
+            world.oracle.report_violation(format!("{id} is told as failed, and nothing has failed"))
         }
         "cancelled" if entry.cancelled == Cancelled::No => {
-            world.oracle.found(format!("{id} is told as cancelled, and no one has cancelled it"));
+            world.oracle.report_violation(format!("{id} is told as cancelled, and no one has cancelled it"));
         }
         _ => {}
     }
--- a/crates/martend/tests/soak/checks.rs
+++ b/crates/martend/tests/soak/checks.rs
@@ -50,14 +50,14 @@
 }
 
 fn check_job(world: &World, id: JobId, entry: &Entry) {
-    let Some(begun) = world.oracle.last_begun(id) else { return };
+    let Some(begun) = world.oracle.last_start(id) else { return };
     if entry.handed == Handed::Refused {
-        world.oracle.found(format!("{id} was refused and has begun"));
+        world.oracle.report_violation(format!("{id} was refused and has begun"));
     }
     if let Cancelled::Told(at) = entry.cancelled
         && begun > at + CANCELLED_WITHIN
     {
-        world.oracle.found(format!("{id} began {:?} after it was cancelled", begun - at));
+        world.oracle.report_violation(format!("{id} began {:?} after it was cancelled", begun - at));
     }
 }
 
@@ -77,7 +77,7 @@
     }
     let newest = versions.entry((i, life)).or_insert(version);
     if version < *newest {
-        world.oracle.found(format!("box {i} went back from configuration {newest} to {version}"));
+        world.oracle.report_violation(format!("box {i} went back from configuration {newest} to {version}"));
     }
     *newest = version;
 }
@@ -90,14 +90,14 @@
     for i in 0..BOXES {
         while !is_ready(world, &client, i).await {
             if begun.elapsed() > WELL_WITHIN {
-                return world.oracle.found(format!("box {i} is not ready"));
+                return world.oracle.report_violation(format!("box {i} is not ready"));
             }
             smol::Timer::after(LOOK_EVERY).await;
         }
     }
     let late = world.oracle.latest_in_evacuated();
     if late > EVACUATED_WITHIN {
-        world.oracle.found(format!("something began {late:?} after its availability zone was evacuated"));
+        world.oracle.report_violation(format!("something began {late:?} after its availability zone was evacuated"));
     }
     cancel_endless(world, &caller).await;
     for (n, (id, entry)) in world.ledger.all().into_iter().enumerate() {
@@ -147,7 +147,7 @@
             return;
         }
         if begun.elapsed() > WELL_WITHIN {
-            return world.oracle.found(format!("{id} is {told:?} in the end, with {entry:?}"));
+            return world.oracle.report_violation(format!("{id} is {told:?} in the end, with {entry:?}"));
         }
         smol::Timer::after(LOOK_EVERY).await;
     }
@@ -174,12 +174,12 @@
 fn check_end(world: &World, id: JobId, entry: &Entry) {
     let running = world.oracle.running_tasks(id);
     if running > 0 {
-        world.oracle.found(format!("{id} is over and {running} of its tasks run"));
+        world.oracle.report_violation(format!("{id} is over and {running} of its tasks run"));
     }
     let mut runs = world.oracle.done_by(id);
     let whole = runs.len() == entry.work.tasks as usize;
     runs.dedup();
     if entry.work.gang && whole && runs.len() > 1 {
-        world.oracle.found(format!("{id} is a gang and was done by runs {runs:?}"));
+        world.oracle.report_violation(format!("{id} is a gang and was done by runs {runs:?}"));
     }
 }
--- a/crates/martend/tests/soak/faults.rs
+++ b/crates/martend/tests/soak/faults.rs
@@ -170,7 +170,7 @@
     loop {
         smol::Timer::after(CRASHES_WITHIN).await;
         let crashing = world.ledger.all().into_iter().filter(|(_, entry)| crashes_servers(&entry.work));
-        for server in crashing.filter_map(|(id, _)| world.oracle.runs_where(id)) {
+        for server in crashing.filter_map(|(id, _)| world.oracle.running_on(id)) {
             let mut platform = world.platform.lock().await;
             if let Some(i) = (0..SERVERS).find(|&i| platform.server(i).1 == server) {
                 world.note(&format!("{server} crashes under a task"));
@@ -197,7 +197,7 @@
     if let Err(what) = left_in_order(&world.boxes[i], told).await
         && !world.may_be_late(i, told.at)
     {
-        world.oracle.found(what);
+        world.oracle.report_violation(what);
     }
     world.boxes[i].lock().await.start(&world.dir);
 }
--- a/crates/martend/tests/soak/world.rs
+++ b/crates/martend/tests/soak/world.rs
@@ -82,7 +82,7 @@
         crashing.cancel().await;
         watching.cancel().await;
         world.leave().await;
-        let mut broken = world.oracle.broken();
+        let mut broken = world.oracle.violations();
         broken.dedup();
         if broken.is_empty() {
             // What is left of a run that broke nothing is of no use; a file that stays does no harm.
@@ -182,7 +182,7 @@
         }
         for (a_box, told) in self.boxes.iter().zip(told) {
             if let Err(what) = left_in_order(a_box, told).await {
-                self.oracle.found(what);
+                self.oracle.report_violation(what);
             }
         }
     }
--- a/crates/martend/tests/store_silent.rs
+++ b/crates/martend/tests/store_silent.rs
@@ -29,7 +29,7 @@
         assert_eq!(oracle.running_tasks(job), 2, "leases were renewed");
         world.platform.set_store_down(false);
         smol::Timer::after(Duration::from_secs(3)).await;
-        assert_eq!((oracle.running_tasks(job), oracle.begun()), (2, 2), "nothing was begun anew");
-        assert_eq!(oracle.broken(), Vec::<String>::new());
+        assert_eq!((oracle.running_tasks(job), oracle.start_count()), (2, 2), "nothing was begun anew");
+        assert_eq!(oracle.violations(), Vec::<String>::new());
     });
 }
--- a/crates/martend/tests/unlisted.rs
+++ b/crates/martend/tests/unlisted.rs
@@ -33,7 +33,7 @@
         let since = Instant::now();
         world.until_succeeded(0, 1..=1, WORK.tasks as usize).await;
         assert!(since.elapsed() < GOES_ON_WITHIN, "it took {:?}", since.elapsed());
-        assert_eq!(oracle.begun(), 1, "it was done again");
-        assert_eq!(oracle.broken(), Vec::<String>::new());
+        assert_eq!(oracle.start_count(), 1, "it was done again");
+        assert_eq!(oracle.violations(), Vec::<String>::new());
     });
 }
