--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -26,7 +26,7 @@
     store::Store,
 };
 
-use self::operators::OperatorsPages;
+use self::operators::OperatorApi;
 
 pub use settings::{DeploymentSettings, RawDeployment, is_chosen, read};
 
@@ -66,7 +66,7 @@
     let serving = smol::spawn(serve_until(callers, Arc::new(front), Purpose::Callers, limits, stop));
     let _handlers = [
         smol::spawn(serve(readiness, Arc::new(Readiness { view: Arc::clone(&this_box.view) }))),
-        smol::spawn(serve(metrics, Arc::new(OperatorsPages { this_box: Arc::clone(&this_box) }))),
+        smol::spawn(serve(metrics, Arc::new(OperatorApi { this_box: Arc::clone(&this_box) }))),
     ];
     while let Some(signal) = signals.next().await {
         match signal {
--- a/crates/martend/src/deployment/operators.rs
+++ b/crates/martend/src/deployment/operators.rs
@@ -19,11 +19,11 @@
 const EVACUATIONS: &str = "/v1/evacuations";
 
 /// Serves operators, over HTTP without keys: the address is theirs alone.
-pub(super) struct OperatorsPages {
+pub(super) struct OperatorApi {
     pub(super) this_box: Arc<RunningBox>,
 }
 
-impl Handler for OperatorsPages {
+impl Handler for OperatorApi {
     fn handle(&self, call: Call) -> BoxFuture<'_, Option<Response<Full<Bytes>>>> {
         Box::pin(async move {
             Some(match call.path.as_str() {
@@ -45,7 +45,7 @@
     }
 }
 
-impl OperatorsPages {
+impl OperatorApi {
     fn list_evacuations(&self) -> Response<Full<Bytes>> {
         match self.this_box.evacuations() {
             Some(evacuations) => json_response(StatusCode::OK, &json!({ "evacuations": evacuations })),
