--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -28,7 +28,7 @@
 
 use self::operators::OperatorApi;
 
-pub use settings::{DeploymentSettings, RawDeployment, is_chosen, read};
+pub use settings::{DeploymentSettings, RawDeployment, has_deployment_settings, read};
 
 /// A box that leaves goes on taking connections for so long: the balancer asks every second, and takes a box
 /// out after two misses (users' protocol page).
--- a/crates/martend/src/deployment/settings.rs
+++ b/crates/martend/src/deployment/settings.rs
@@ -201,7 +201,7 @@
 }
 
 /// Whether a settings file is one for a box on the users' platform.
-pub fn is_chosen(path: &str) -> bool {
+pub fn has_deployment_settings(path: &str) -> bool {
     let text = std::fs::read(path).unwrap_or_default();
     serde_json::from_slice::<serde_json::Value>(&text).is_ok_and(|value| value.get("deployment").is_some())
 }
--- a/crates/martend/src/main.rs
+++ b/crates/martend/src/main.rs
@@ -34,7 +34,7 @@
     let Some(path) = matches.opt_str("settings").or_else(|| std::env::var(SETTINGS_VARIABLE).ok()) else {
         return fail(EXIT_SETTINGS, BRIEF);
     };
-    if deployment::is_chosen(&path) {
+    if deployment::has_deployment_settings(&path) {
         return run_deployment(&path, matches.opt_present("check"));
     }
     let settings = match read_settings(&path) {
