--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -4,7 +4,7 @@
 use model::{BackendServerId, Moment};
 
 use crate::{
-    Scheduler, candidate::Candidate, choose::Placements, fleet::FleetCapacity, guarantee::Guarantees,
+    Scheduler, candidate::Candidate, fleet_capacity::FleetCapacity, guarantee::Guarantees, placement::Placements,
     server_capacity::ServerCapacity,
 };
 
