--- a/crates/martend/tests/common/mod.rs
+++ b/crates/martend/tests/common/mod.rs
@@ -57,10 +57,15 @@
 
 /// Starts a box with settings of its own.
 pub(crate) fn start_box_with(name: &str, addrs: BoxAddrs, settings: String) -> BoxProcess {
+    start_build(env!("CARGO_BIN_EXE_martend"), name, addrs, settings)
+}
+
+/// Starts a box from a `martend` that may be another build than the one under test.
+pub(crate) fn start_build(program: &str, name: &str, addrs: BoxAddrs, settings: String) -> BoxProcess {
     let path = std::env::temp_dir().join(format!("martend-{}-{}-{name}.json", std::process::id(), addrs[0].port()));
     std::fs::write(&path, settings).expect("the temporary directory can be written");
     let log = path.with_extension("log");
-    let child = Command::new(env!("CARGO_BIN_EXE_martend"))
+    let child = Command::new(program)
         .env("MARTENSCALE_CONFIG", &path)
         .stdout(std::fs::File::create(&log).expect("the temporary directory can be written"))
         .spawn()
