--- a/crates/jobs/src/ended.rs
+++ b/crates/jobs/src/ended.rs
@@ -1,4 +1,7 @@
-//! What is kept of a job once it is over.
+//! Records of ended jobs.
+//!
+//! Callers may ask for the state of a job, or submit it again, long after it has ended. Its record holds only what
+//! these requests need.
 
 use derive_more::Display;
 use model::{CustomerId, Digest};
@@ -6,38 +9,39 @@
 
 use crate::{Job, JobState};
 
-/// Digits of a digest that are kept: two jobs under one id are told apart, no one is kept from forging it.
-const DIGITS: usize = 16;
+/// Length of a work digest, in hexadecimal digits: enough to detect another job under the same id by accident, but not
+/// to prevent forgery.
+const DIGEST_HEX_DIGITS: usize = 16;
 
-/// Tells the work of one job from that of another.
+/// Truncated SHA-256 of the work that a job requests, as 16 hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct WorkDigest(String);
 
-/// The record of a job of which nothing runs or will run: a hundredth of the job itself, so that it can be kept for
-/// as long as callers may ask.
+/// Record of a job in a final state, of which nothing runs or will run. It takes about a hundredth of the job's own
+/// size, so that it can be kept for as long as callers may ask.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EndedJob {
-    /// Whose it was; `None` on a queue that is open to all.
+    /// Customer that owned the job; `None` on a queue that is open to all.
     #[serde(rename = "c", default, skip_serializing_if = "Option::is_none")]
     pub customer: Option<CustomerId>,
-    /// How it ended.
+    /// Final state of the job.
     #[serde(rename = "s")]
     pub state: JobState,
-    /// What it was to do: a repeated submission has the same.
+    /// Digest of the job's work; a repeated submission has the same digest.
     #[serde(rename = "w")]
     pub work: WorkDigest,
 }
 
 impl Job {
-    /// The digest of the work: equal for jobs of which [`Job::same_work`] holds.
+    /// Returns the digest of the job's work. It is equal for jobs that request the same work (see [`Job::same_work`]).
     pub fn work_digest(&self) -> WorkDigest {
         let work = serde_json::to_vec(&(&self.text, &self.steps, &self.schedule));
         let digest = Digest::of(&work.expect("our own types always serialize")).to_string();
-        WorkDigest(digest[..DIGITS].to_owned())
+        WorkDigest(digest[..DIGEST_HEX_DIGITS].to_owned())
     }
 
-    /// What is kept of the job, which has ended so.
+    /// Returns the record to keep of the job after it has ended in the final `state`.
     pub fn ended(&self, state: JobState) -> EndedJob {
         EndedJob { customer: self.customer.clone(), state, work: self.work_digest() }
     }
--- a/crates/jobs/src/id.rs
+++ b/crates/jobs/src/id.rs
@@ -1,19 +1,20 @@
-//! Names of jobs, their occurrences and their tasks, and the numbers that order what is done to them.
+//! Identifiers of jobs, occurrences, steps and tasks, and the numbers that order operations on them: run numbers and
+//! fencing tokens.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Why a text names nothing.
+/// Error of parsing an identifier from text.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("{text:?} is no {kind}: allowed is {allowed}")]
+#[display("invalid {kind} {text:?}: expected {allowed}")]
 pub struct ParseNameError {
-    /// What the text was meant to name.
+    /// Kind of identifier that was expected, such as `job id`.
     pub kind: &'static str,
-    /// The text as given.
+    /// Rejected text, truncated to 80 characters.
     pub text: String,
-    /// The accepted form.
+    /// Description of the accepted form.
     pub allowed: &'static str,
 }
 
@@ -23,7 +24,7 @@
     }
 }
 
-/// A job's name, chosen by its caller: 16 hexadecimal digits.
+/// Identifier of a job, chosen by its caller. Its text form is 16 lowercase hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct JobId(pub u64);
@@ -59,7 +60,8 @@
     }
 }
 
-/// The queue that a job was handed in to: jobs of one class, with one priority and one objective.
+/// Identifier of the queue that a job was submitted to. Jobs of a queue share one class, one priority and one
+/// objective.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct QueueId(Arc<str>);
@@ -70,13 +72,14 @@
     }
 }
 
-/// One occurrence of a job: the only one of most jobs, one per due time of a timed job.
+/// Identifier of an occurrence of a job, written as `JOB.NUMBER`. A timed job has one occurrence for each due time, any
+/// other job exactly one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 #[display("{job}.{number}")]
 pub struct OccurrenceId {
-    /// The job.
+    /// Job that the occurrence belongs to.
     pub job: JobId,
-    /// From 0.
+    /// Number of the occurrence within its job, from 0.
     pub number: u32,
 }
 
@@ -89,30 +92,30 @@
     }
 }
 
-/// One step of an occurrence. Written as `JOB.OCCURRENCE.STEP`.
+/// Identifier of a step of an occurrence, written as `JOB.OCCURRENCE.STEP`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 #[display("{occurrence}.{step}")]
 pub struct StepId {
-    /// The occurrence.
+    /// Occurrence that the step belongs to.
     pub occurrence: OccurrenceId,
     /// Index of the step in the job, from 0.
     pub step: u32,
 }
 
-/// One task: a member of a step of an occurrence. Written as `JOB.OCCURRENCE.STEP.INDEX`.
+/// Identifier of a task, a member of a step of an occurrence, written as `JOB.OCCURRENCE.STEP.INDEX`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 #[display("{occurrence}.{step}.{index}")]
 pub struct TaskId {
-    /// The occurrence.
+    /// Occurrence that the task belongs to.
     pub occurrence: OccurrenceId,
     /// Index of the step in the job, from 0.
     pub step: u32,
-    /// Index in the step, from 0.
+    /// Index of the task in its step, from 0.
     pub index: u32,
 }
 
 impl TaskId {
-    /// The step that it is a member of.
+    /// Returns the step that the task is a member of.
     pub fn step_id(self) -> StepId {
         StepId { occurrence: self.occurrence, step: self.step }
     }
@@ -124,11 +127,11 @@
         let error = || ParseNameError::new("task", text, "JOB.OCCURRENCE.STEP.INDEX");
         let mut parts = text.split('.');
         let job = parts.next().ok_or_else(error)?.parse()?;
-        let mut number = || -> Option<u32> { parts.next()?.parse().ok() };
+        let mut next_number = || -> Option<u32> { parts.next()?.parse().ok() };
         let task = TaskId {
-            occurrence: OccurrenceId { job, number: number().ok_or_else(error)? },
-            step: number().ok_or_else(error)?,
-            index: number().ok_or_else(error)?,
+            occurrence: OccurrenceId { job, number: next_number().ok_or_else(error)? },
+            step: next_number().ok_or_else(error)?,
+            index: next_number().ok_or_else(error)?,
         };
         if parts.next().is_some() {
             return Err(error());
@@ -137,7 +140,7 @@
     }
 }
 
-/// Counts the starts of a task, from 1; all members of a gang share it.
+/// Number of a run of a task: the count of its starts, from 1, or 0 before the first. All members of a gang share it.
 #[derive(
     Debug,
     Clone,
@@ -157,15 +160,15 @@
 pub struct RunNumber(pub u64);
 
 impl RunNumber {
-    /// The number of the next start.
+    /// Returns the number of the following run.
     pub fn next(self) -> RunNumber {
         RunNumber(self.0 + 1)
     }
 }
 
-/// The fencing token of a scheduler: a backend server obeys none that is lower than one it has seen.
+/// Fencing token of a scheduler. A backend server rejects orders whose token is lower than the highest it has seen.
 ///
-/// It is the revision of the store at which the scheduler was elected, so that it rises with each election.
+/// The token is the store revision at which the scheduler was elected, so it rises with each election.
 #[derive(
     Debug,
     Clone,
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,4 +1,6 @@
-//! A job as its caller handed it in.
+//! Jobs as their callers submitted them.
+//!
+//! A [`Job`] is checked when it is built from a [`RawJob`], so that the rest of the system doesn't repeat the checks.
 
 use std::sync::Arc;
 
@@ -10,22 +12,22 @@
 
 pub use model::Duration;
 
-/// Longest text that a job passes to its tasks, in bytes (users' protocol page).
-const MAX_TEXT: usize = 4000;
-/// Most steps of one job: far above what the users hand in, low enough to bound a record.
+/// Longest text that a job passes to its tasks, in bytes (platform protocol).
+const MAX_TEXT_BYTES: usize = 4000;
+/// Most steps of one job: far above what callers submit, low enough to bound the size of a stored record.
 const MAX_STEPS: usize = 64;
-/// Most tasks of one occurrence: a record of its progress must fit a value of the store.
+/// Most tasks of one occurrence: the record of its progress must fit into one value of the store.
 const MAX_TASKS: u64 = 10_000;
 /// Most occurrences of a timed job.
 const MAX_TIMES: u32 = 10_000;
 
-/// Why a job cannot be taken.
+/// Error of checking a submitted job.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{field}: {why}")]
 pub struct JobError {
-    /// The field at fault, as a path such as `steps[1].count`.
+    /// Path of the invalid field, such as `steps[1].count`.
     pub field: String,
-    /// What is allowed there.
+    /// Description of the values that the field accepts.
     pub why: String,
 }
 
@@ -35,43 +37,44 @@
     }
 }
 
-/// What one task needs of a backend server while it runs.
+/// Amounts of processor, memory and accelerators: those that one task takes while it runs, or those of a backend
+/// server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Resources {
-    /// Thousandths of a core.
+    /// Processor share, in thousandths of a core.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub cpu_milli: u64,
-    /// Megabytes of memory.
+    /// Memory, in megabytes.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub memory_mb: u64,
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     #[serde(default, skip_serializing_if = "is_zero")]
     pub accelerators: u64,
 }
 
 impl Resources {
-    /// Whether this holds `other` in every part.
+    /// Returns whether every amount is at least that of `other`.
     pub fn contains(&self, other: &Resources) -> bool {
         self.cpu_milli >= other.cpu_milli
             && self.memory_mb >= other.memory_mb
             && self.accelerators >= other.accelerators
     }
 
-    /// Adds `other`.
+    /// Adds the amounts of `other`.
     pub fn add(&mut self, other: &Resources) {
         self.cpu_milli += other.cpu_milli;
         self.memory_mb += other.memory_mb;
         self.accelerators += other.accelerators;
     }
 
-    /// Takes `other` away; nothing falls below zero.
+    /// Subtracts the amounts of `other`; each stops at zero.
     pub fn remove(&mut self, other: &Resources) {
         self.cpu_milli = self.cpu_milli.saturating_sub(other.cpu_milli);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
         self.accelerators = self.accelerators.saturating_sub(other.accelerators);
     }
 
-    /// The larger of both in each part.
+    /// Returns the larger of both amounts, for each kind of resource.
     pub fn max(&self, other: &Resources) -> Resources {
         Resources {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
@@ -80,131 +83,132 @@
         }
     }
 
-    /// How many tasks of `each` fit in.
+    /// Returns how many tasks that take `each` fit; `u64::MAX` if `each` is zero.
     pub fn count_of(&self, each: &Resources) -> u64 {
-        let part = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
-        part(self.cpu_milli, each.cpu_milli)
-            .min(part(self.memory_mb, each.memory_mb))
-            .min(part(self.accelerators, each.accelerators))
+        let count = |have: u64, want: u64| have.checked_div(want).unwrap_or(u64::MAX);
+        count(self.cpu_milli, each.cpu_milli)
+            .min(count(self.memory_mb, each.memory_mb))
+            .min(count(self.accelerators, each.accelerators))
     }
 
-    /// The need of `n` such tasks.
+    /// Returns the amounts that `n` such tasks take together.
     pub fn times(&self, n: u64) -> Resources {
         Resources { cpu_milli: self.cpu_milli * n, memory_mb: self.memory_mb * n, accelerators: self.accelerators * n }
     }
 }
 
-/// Tasks that are alike.
+/// Step of a job: tasks that are alike.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Step {
-    /// How many tasks.
+    /// Number of tasks, at least 1.
     pub count: u32,
-    /// What each needs.
+    /// Resources that each task takes while it runs.
     pub need: Resources,
-    /// The caller's guess of a task's run time; it may be far off.
+    /// Caller's estimate of a task's run time, which may be far off.
     pub estimate: Duration,
-    /// Steps, by index, of which every task must be done before this one starts.
+    /// Indices of the earlier steps whose tasks must all be done before this step starts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<usize>,
-    /// Its tasks save checkpoints, from which a later run goes on.
+    /// Whether its tasks write checkpoints, from which a later run resumes.
     #[serde(default, skip_serializing_if = "is_false")]
     pub checkpoints: bool,
-    /// Its tasks run together or not at all.
+    /// Whether its tasks form a gang: they run together or not at all.
     #[serde(default, skip_serializing_if = "is_false")]
     pub gang: bool,
-    /// Its tasks are much slower when spread over several racks.
+    /// Whether its tasks are much slower when they are spread over several racks.
     #[serde(default, skip_serializing_if = "is_false")]
     pub same_rack: bool,
-    /// A label that the backend server must have.
+    /// Label that the backend server must have; `None` for any.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub label: Option<Arc<str>>,
-    /// The rack that holds its data; elsewhere its tasks are much slower.
+    /// Rack that holds its data; its tasks are much slower on other racks.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub data_rack: Option<Arc<str>>,
-    /// Most of its tasks on one backend server.
+    /// Most of its tasks on one backend server, at least 1; `None` for no bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_per_server: Option<u32>,
-    /// Copies of a task may run side by side.
+    /// Whether copies of a task may run at the same time.
     #[serde(default, skip_serializing_if = "is_false")]
     pub speculative: bool,
-    /// Its tasks run until the job is cancelled and are started again however they end.
+    /// Whether its tasks run until the job is cancelled, and are restarted after any completion.
     #[serde(default, skip_serializing_if = "is_false")]
     pub long_running: bool,
-    /// Most of a long-running step's tasks that the system may take away at once.
+    /// Most tasks of a long-running step that the system may keep stopped at the same time; `None` for no bound.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_absent: Option<u32>,
-    /// What its tasks run; tasks of one image behave alike.
+    /// Image that its tasks run; tasks of one image behave alike.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub image: Option<Arc<str>>,
-    /// Objective for the tail latency of what its tasks serve themselves.
+    /// Tail latency objective of the requests that its tasks serve; `None` if they have none.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub target: Option<Duration>,
-    /// Its processor need is not counted: its tasks live on what others leave.
+    /// Whether its processor share is not counted: its tasks use only what the other tasks leave idle.
     #[serde(default, skip_serializing_if = "is_false")]
     pub best_effort: bool,
 }
 
 impl Step {
-    /// What a task takes of a backend server's room.
+    /// Returns the resources that a task takes from a backend server's capacity.
     pub fn counted_resources(&self) -> Resources {
         if self.best_effort { Resources { cpu_milli: 0, ..self.need } } else { self.need }
     }
 }
 
-/// When the occurrences of a timed job are due.
+/// Due times of the occurrences of a timed job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
-    /// How many occurrences, at least one.
+    /// Number of occurrences, at least 1.
     pub times: u32,
-    /// When the first is due, in wall-clock milliseconds since 1970.
+    /// Due time of the first occurrence, in wall-clock milliseconds since the Unix epoch.
     pub first_ms: u64,
-    /// From one to the next, in milliseconds.
+    /// Time between the due times of successive occurrences, in milliseconds.
     pub interval_ms: u64,
 }
 
-/// A job, checked.
+/// Checked job. It doesn't change after it is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "RawJob", into = "RawJob")]
 pub struct Job {
-    /// Its name.
+    /// Identifier, chosen by the caller.
     pub id: JobId,
-    /// Where it was handed in.
+    /// Queue that the job was submitted to.
     pub queue: QueueId,
-    /// Whose it is; `None` on a queue that is open to all.
+    /// Customer that owns the job; `None` on a queue that is open to all.
     pub customer: Option<CustomerId>,
-    /// Given to each of its tasks as it is.
+    /// Text that is passed unchanged to each task, at most `MAX_TEXT_BYTES`.
     pub text: Arc<str>,
-    /// At least one.
+    /// Steps of the job, 1 to `MAX_STEPS`.
     pub steps: Vec<Step>,
-    /// When its occurrences are due; `None` for one occurrence that is due at once.
+    /// Due times of its occurrences; `None` for one occurrence that is due at once.
     pub schedule: Option<Schedule>,
-    /// When it was accepted, in wall-clock milliseconds since 1970.
+    /// Time at which the job was accepted, in wall-clock milliseconds since the Unix epoch.
     pub accepted_ms: u64,
 }
 
 impl Job {
-    /// How many occurrences it has.
+    /// Returns the number of occurrences.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.times)
     }
 
-    /// When an occurrence is due, in wall-clock milliseconds since 1970; 0 for at once.
+    /// Returns the due time of an occurrence, in wall-clock milliseconds since the Unix epoch; 0 if it is due at once.
     pub fn due_ms(&self, occurrence: u32) -> u64 {
         self.schedule.map_or(0, |schedule| schedule.first_ms + schedule.interval_ms * u64::from(occurrence))
     }
 
-    /// Whether it runs until it is cancelled.
+    /// Returns whether the job runs until it is cancelled.
     pub fn long_running(&self) -> bool {
         self.steps.iter().any(|step| step.long_running)
     }
 
-    /// Whether `other` asks for the same work, so that a second submission is a repetition of the first.
+    /// Returns whether `other` requests the same work. A second submission under the same id is then a repetition of
+    /// the first.
     pub fn same_work(&self, other: &Job) -> bool {
         self.text == other.text && self.steps == other.steps && self.schedule == other.schedule
     }
 }
 
-/// A job as it stands in the store and between boxes.
+/// Job as it is stored and sent between boxes, not yet checked.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[expect(missing_docs, reason = "the fields are those of `Job`")]
 pub struct RawJob {
@@ -219,18 +223,18 @@
     pub accepted_ms: u64,
 }
 
-/// A step before it is checked.
+/// Step of a [`RawJob`], not yet checked.
 pub type RawStep = Step;
 
 impl TryFrom<RawJob> for Job {
     type Error = JobError;
     fn try_from(raw: RawJob) -> Result<Job, JobError> {
-        if raw.text.len() > MAX_TEXT {
-            return Err(JobError::new("text", format!("allowed are {MAX_TEXT} bytes")));
+        if raw.text.len() > MAX_TEXT_BYTES {
+            return Err(JobError::new("text", format!("must have at most {MAX_TEXT_BYTES} bytes")));
         }
         check_steps(&raw.steps)?;
         if raw.schedule.is_some_and(|schedule| schedule.times == 0 || schedule.times > MAX_TIMES) {
-            return Err(JobError::new("schedule.times", format!("allowed is 1 to {MAX_TIMES}")));
+            return Err(JobError::new("schedule.times", format!("must be between 1 and {MAX_TIMES}")));
         }
         Ok(Job {
             id: raw.id,
@@ -260,21 +264,21 @@
 
 fn check_steps(steps: &[Step]) -> Result<(), JobError> {
     if steps.is_empty() || steps.len() > MAX_STEPS {
-        return Err(JobError::new("steps", format!("allowed are 1 to {MAX_STEPS}")));
+        return Err(JobError::new("steps", format!("must have 1 to {MAX_STEPS} elements")));
     }
     let tasks: u64 = steps.iter().map(|step| u64::from(step.count)).sum();
     if tasks > MAX_TASKS {
-        return Err(JobError::new("steps", format!("allowed are {MAX_TASKS} tasks in all")));
+        return Err(JobError::new("steps", format!("must have at most {MAX_TASKS} tasks in total")));
     }
     for (i, step) in steps.iter().enumerate() {
         if step.count == 0 {
-            return Err(JobError::new(format!("steps[{i}].count"), "allowed is 1 or more"));
+            return Err(JobError::new(format!("steps[{i}].count"), "must be at least 1"));
         }
         if step.after.iter().any(|&earlier| earlier >= i) {
-            return Err(JobError::new(format!("steps[{i}].after"), "allowed are indices of earlier steps"));
+            return Err(JobError::new(format!("steps[{i}].after"), "must be indices of earlier steps"));
         }
         if step.max_per_server == Some(0) {
-            return Err(JobError::new(format!("steps[{i}].max_per_server"), "allowed is 1 or more"));
+            return Err(JobError::new(format!("steps[{i}].max_per_server"), "must be at least 1"));
         }
     }
     Ok(())
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Jobs of several steps: what a caller hands in, and what must be remembered of its progress.
+//! Jobs of several steps, as callers submit them, and their stored progress.
 //!
-//! A [`Job`] never changes once it is stored. Each of its occurrences (a timed job has several) has
-//! one [`Progress`], which only the active scheduler writes. Nothing here does I/O.
+//! A [`Job`] doesn't change after it is stored. Each of its occurrences (a timed job has several) has one [`Progress`],
+//! which only the active scheduler writes. The crate does no I/O.
 
 mod ended;
 mod id;
--- a/crates/jobs/src/progress.rs
+++ b/crates/jobs/src/progress.rs
@@ -1,4 +1,6 @@
-//! What must be remembered of an occurrence, so that another scheduler can go on from it.
+//! Stored progress of an occurrence, from which another scheduler can continue it.
+//!
+//! The serialized field names are short: the progress of up to 10,000 tasks has to fit into one value of the store.
 
 use std::sync::Arc;
 
@@ -7,108 +9,110 @@
 
 use crate::{Job, JobState, RunNumber};
 
-/// A checkpoint, opaque to the scheduler.
+/// Checkpoint that a task wrote, opaque to the scheduler.
 pub type Checkpoint = Arc<str>;
 
-/// Where one task was told to run, or is about to be told.
+/// Backend server that a task was ordered to run on, or is about to be ordered to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Placement {
-    /// The task's index in its step.
+    /// Index of the task in its step.
     #[serde(rename = "i")]
     pub index: u32,
-    /// The backend server.
+    /// Backend server that runs the task.
     #[serde(rename = "on")]
     pub server: BackendServerId,
-    /// In which of its lives; `None` on a platform where each life has an id of its own.
+    /// Incarnation of the backend server; `None` on a platform that gives each incarnation an id of its own.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub incarnation: Option<Incarnation>,
-    /// Where it is reached: the platform may list it no more when another scheduler has to call it. Empty if that is not known.
+    /// Address that the backend server is called at; empty if unknown. It is stored because the platform may no longer
+    /// list the backend server when another scheduler has to call it.
     #[serde(rename = "at", default, skip_serializing_if = "str::is_empty")]
     pub address: Arc<str>,
 }
 
-/// A backend server crashed while a task ran there.
+/// Crash of a backend server while a task ran on it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// The task's index in its step.
+    /// Index of the task in its step.
     #[serde(rename = "i")]
     pub index: u32,
-    /// Which run of it.
+    /// Run of the task that the crash ended.
     #[serde(rename = "r")]
     pub run: RunNumber,
-    /// The run is known to have begun: its start was answered, or it was listed.
+    /// Whether the run is known to have started: its start was confirmed, or the backend server listed it.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub started: bool,
-    /// The run is not known to have outlived its start.
+    /// Whether the run is not known to have continued after its start.
     #[serde(rename = "e", default, skip_serializing_if = "is_false")]
     pub early: bool,
-    /// Where: the backend server's place, which its next life has again. Empty if it is not known.
+    /// Address of the backend server, which its next incarnation has too; empty if unknown.
     #[serde(rename = "at", default, skip_serializing_if = "str::is_empty")]
     pub address: Arc<str>,
 }
 
-/// The progress of a group: tasks that start and end together. A gang is one group; any other task is
-/// a group of its own.
+/// Progress of a group of tasks that start and end together. A gang is one group; any other task is a group of its own.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct GroupProgress {
-    /// All its tasks have ended well.
+    /// Whether all its tasks have succeeded.
     #[serde(rename = "d", default, skip_serializing_if = "is_false")]
     pub done: bool,
-    /// A member has begun at some time.
+    /// Whether any of its tasks has ever started.
     #[serde(rename = "b", default, skip_serializing_if = "is_false")]
     pub started: bool,
-    /// Runs that have failed: each counts against the budget, whichever of its members failed first.
+    /// Runs that have failed. Each counts once against the retry budget, whichever of its members failed first.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_runs: Vec<RunNumber>,
-    /// Crashes under its tasks. A crash is no end that a backend server could list, so it is kept here to count.
+    /// Crashes of backend servers under its tasks. They are counted here because a backend server cannot list a crash
+    /// as a completion.
     #[serde(rename = "c", default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<Crash>,
-    /// The number of the latest run; 0 if there was none.
-    #[serde(rename = "r", default, skip_serializing_if = "no_run")]
+    /// Number of the latest run; 0 if there was none.
+    #[serde(rename = "r", default, skip_serializing_if = "is_run_zero")]
     pub run: RunNumber,
-    /// The latest checkpoint of an earlier run.
+    /// Latest checkpoint of an earlier run; `None` if there is none.
     #[serde(rename = "s", default, skip_serializing_if = "Option::is_none")]
     pub checkpoint: Option<Checkpoint>,
-    /// Where the latest run was placed; empty once it is known to be over.
+    /// Backend servers of the latest run, one entry for each task; empty after the run is known to have ended.
     #[serde(rename = "p", default, skip_serializing_if = "Vec::is_empty")]
     pub placed: Vec<Placement>,
 }
 
-/// The progress of one occurrence: its groups, by step.
+/// Progress of one occurrence.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Progress {
-    /// By step, then by group.
+    /// Progress of each group, by index of the step, then by index of the group in the step.
     #[serde(rename = "g")]
     pub groups: Vec<Vec<GroupProgress>>,
-    /// The occurrence can never succeed.
+    /// Whether the occurrence can no longer succeed.
     #[serde(rename = "x", default, skip_serializing_if = "is_false")]
     pub failed: bool,
 }
 
 impl Progress {
-    /// Nothing has happened yet.
+    /// Returns the progress of an occurrence of `job` before anything has started.
     pub fn new(job: &Job) -> Progress {
-        let groups_of = |step: &crate::Step| if step.gang { 1 } else { step.count as usize };
-        let groups = job.steps.iter().map(|step| vec![GroupProgress::default(); groups_of(step)]).collect();
+        let group_count = |step: &crate::Step| if step.gang { 1 } else { step.count as usize };
+        let groups = job.steps.iter().map(|step| vec![GroupProgress::default(); group_count(step)]).collect();
         Progress { groups, failed: false }
     }
 
-    /// Whether every task has ended well.
+    /// Returns whether every task has succeeded.
     pub fn done(&self) -> bool {
         self.groups.iter().flatten().all(|group| group.done)
     }
 
-    /// Whether a task has begun.
+    /// Returns whether any task has started.
     pub fn started(&self) -> bool {
         self.groups.iter().flatten().any(|group| group.started || group.done)
     }
 
-    /// Whether every task of a step has ended well.
+    /// Returns whether every task of a step has succeeded. Panics if there is no such step.
     pub fn step_done(&self, step: usize) -> bool {
         self.groups[step].iter().all(|group| group.done)
     }
 
-    /// The state of a job whose occurrences have come this far.
+    /// Returns the state of a job from the progress of all its occurrences, and from whether its caller has cancelled
+    /// it.
     pub fn job_state<'a>(all: impl Iterator<Item = &'a Progress> + Clone, cancelled: bool) -> JobState {
         if all.clone().any(|progress| progress.failed) {
             return JobState::Failed;
@@ -127,6 +131,6 @@
     !*b
 }
 
-fn no_run(run: &RunNumber) -> bool {
+fn is_run_zero(run: &RunNumber) -> bool {
     run.0 == 0
 }
--- a/crates/jobs/src/state.rs
+++ b/crates/jobs/src/state.rs
@@ -1,27 +1,27 @@
-//! What a caller is told of its job.
+//! State of a job, as reported to its caller.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub enum JobState {
-    /// Accepted, and none of its tasks has begun.
+    /// The job is accepted, and none of its tasks has started.
     Queued,
-    /// A task has begun.
+    /// At least one task has started.
     Running,
-    /// Every task has ended well.
+    /// Every task has succeeded.
     Succeeded,
-    /// A task, or a gang, has failed as often as its queue allows.
+    /// A task or gang has failed as often as its queue allows.
     Failed,
-    /// Its caller does not want it any more.
+    /// The caller has cancelled the job.
     Cancelled,
 }
 
 impl JobState {
-    /// Whether nothing of the job will run any more.
+    /// Returns whether the state is final: no task of the job will run again.
     pub fn is_final(self) -> bool {
         matches!(self, JobState::Succeeded | JobState::Failed | JobState::Cancelled)
     }
