--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -1,26 +1,28 @@
-//! Errors of checked construction: the JSON path, the value there, and what is allowed.
+//! Errors of checked construction.
+//!
+//! An error names the JSON path, the value there and what is allowed, so that the operator finds the field to correct.
 
 use std::fmt;
 
 use derive_more::Error;
 use serde::de::DeserializeOwned;
 
-/// A place in a JSON document, written like `customers[2].share`.
+/// Path of a value in a JSON document, written like `customers[2].share`.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct JsonPath(String);
 
 impl JsonPath {
-    /// The document itself.
+    /// Returns the path of the whole document.
     pub fn root() -> JsonPath {
         JsonPath::default()
     }
 
-    /// The field of that name below this place.
+    /// Returns the path of the field `name` of the value at this path.
     pub fn field(&self, name: &str) -> JsonPath {
         if self.0.is_empty() { JsonPath(name.to_owned()) } else { JsonPath(format!("{}.{name}", self.0)) }
     }
 
-    /// The element of that index below this place.
+    /// Returns the path of element `i` of the list at this path.
     pub fn index(&self, i: usize) -> JsonPath {
         JsonPath(format!("{}[{i}]", self.0))
     }
@@ -32,14 +34,14 @@
     }
 }
 
-/// Why a document was refused.
+/// Error of checking a document.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct CheckError {
-    /// Where.
+    /// Path of the invalid value.
     pub path: JsonPath,
-    /// What stands there, as text; empty if `allowed` says it.
+    /// Invalid value as text; empty if `allowed` already names it.
     pub value: String,
-    /// What may stand there instead.
+    /// Description of the allowed values.
     pub allowed: String,
 }
 
@@ -49,19 +51,21 @@
         match (*path == JsonPath::root(), value.is_empty()) {
             (true, true) => f.write_str(allowed),
             (false, true) => write!(f, "{path}: {allowed}"),
-            _ => write!(f, "{path}: {value} is refused: {allowed}"),
+            _ => write!(f, "{path}: {value} is invalid: {allowed}"),
         }
     }
 }
 
 impl CheckError {
-    /// An error at `path`.
+    /// Creates an error about `value` at `path`.
     pub fn new(path: &JsonPath, value: impl fmt::Display, allowed: impl Into<String>) -> CheckError {
         CheckError { path: path.clone(), value: value.to_string(), allowed: allowed.into() }
     }
 }
 
-/// Reads a checked type from JSON text; the error names the path.
+/// Parses JSON text into a checked type.
+///
+/// Returns an error that names the path if the text isn't valid JSON, fails a check or is followed by more text.
 pub fn from_json<T: DeserializeOwned>(text: &[u8]) -> Result<T, CheckError> {
     let mut de = serde_json::Deserializer::from_slice(text);
     let value = serde_path_to_error::deserialize(&mut de).map_err(|e| {
--- a/crates/model/src/digest.rs
+++ b/crates/model/src/digest.rs
@@ -1,4 +1,4 @@
-//! The digest by which a whole answer is told from a damaged or foreign one.
+//! Digest of an answer, which detects a truncated, damaged or foreign answer.
 
 use std::{fmt::Write, str::FromStr};
 
@@ -8,13 +8,13 @@
 
 use crate::QuantityError;
 
-/// SHA-256 of a byte string, as 64 hexadecimal digits.
+/// SHA-256 of a byte string, as 64 lowercase hexadecimal digits.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct Digest(String);
 
 impl Digest {
-    /// The digest of these bytes.
+    /// Computes the digest of `bytes`.
     pub fn of(bytes: &[u8]) -> Digest {
         let mut hex = String::with_capacity(64);
         for byte in Sha256::digest(bytes) {
--- a/crates/model/src/file.rs
+++ b/crates/model/src/file.rs
@@ -1,8 +1,8 @@
-//! The operators' file: customers, guaranteed shapes, classes, weights and backend servers.
+//! Operators' file: customers, guaranteed gangs, classes, weights and backend servers.
 //!
-//! The file is applied whole. [`RawOperatorFile`] is what stands in JSON, [`OperatorFile`] what the
-//! rest of the system sees; whether the guarantees can all be held at once is arithmetic over the
-//! whole file and is checked by `policy::cells`.
+//! The file is applied as a whole. [`RawOperatorFile`] is its JSON form, [`OperatorFile`] the checked form that the
+//! rest of the system uses. Whether all guarantees can be met at the same time depends on the whole file and is checked
+//! by `policy::cells`.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -13,16 +13,16 @@
     Resources,
 };
 
-/// Highest share of a customer.
+/// Highest share of a customer, a weight without unit.
 const MAX_SHARE: u32 = 1000;
-/// Highest bound of a queue, in jobs.
+/// Highest queue limit, in jobs.
 const MAX_QUEUE_LIMIT: u32 = 100_000;
-/// Highest weight.
+/// Highest weight of a measure in [`Weights`].
 const MAX_WEIGHT: f64 = 100.0;
 /// Most gangs in one guarantee.
 const MAX_GUARANTEED_GANGS: u32 = 1000;
 
-/// The operators' file as it stands in JSON.
+/// JSON form of the operators' file, not yet checked.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[expect(missing_docs, reason = "the fields are those of `OperatorFile`")]
@@ -33,7 +33,7 @@
     pub backend_servers: Vec<BackendServerEntry>,
 }
 
-/// A customer as it stands in JSON.
+/// JSON form of a customer, not yet checked.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[expect(missing_docs, reason = "the fields are those of `CustomerEntry`")]
@@ -46,103 +46,103 @@
     pub guarantees: Vec<Guarantee>,
 }
 
-/// The operators' file, checked.
+/// Checked operators' file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(try_from = "RawOperatorFile", into = "RawOperatorFile")]
 pub struct OperatorFile {
-    /// What placement and order strive for.
+    /// Weights of the measures that placement and ordering optimize.
     pub weights: Weights,
-    /// Classes by id.
+    /// Classes of jobs, at least one, by id.
     pub classes: BTreeMap<ClassId, ClassEntry>,
-    /// Customers by id.
+    /// Customers, at least one, by id.
     pub customers: BTreeMap<CustomerId, CustomerEntry>,
-    /// Backend servers by id.
+    /// Backend servers, possibly none, by id.
     pub backend_servers: BTreeMap<BackendServerId, BackendServerEntry>,
 }
 
-/// How much each measure counts; both 0 to `MAX_WEIGHT`, not both 0.
+/// Relative weights of the optimized measures, each 0 to `MAX_WEIGHT` and not both 0.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Weights {
-    /// Of short completion times.
+    /// Weight of short completion times.
     pub completion_time: f64,
-    /// Of unbroken racks and workers.
+    /// Weight of low fragmentation, that is of keeping whole racks and workers free.
     pub fragmentation: f64,
 }
 
 impl Weights {
-    /// The part of all weight that lies on fragmentation, 0 to 1.
+    /// Returns the fraction of the total weight that is on fragmentation, 0 to 1.
     pub fn fragmentation_part(&self) -> f64 {
         self.fragmentation / (self.fragmentation + self.completion_time)
     }
 }
 
-/// A class of jobs.
+/// Class of jobs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassEntry {
-    /// Its id.
+    /// Identifier, unique in the file.
     pub id: ClassId,
-    /// Whether its jobs go before others and may take borrowed capacity back at once.
+    /// Whether its jobs are ordered before others and may reclaim lent capacity immediately.
     #[serde(default)]
     pub urgent: bool,
-    /// Most waiting jobs of a customer in this class, per box: 1 to `MAX_QUEUE_LIMIT`.
+    /// Most waiting jobs of one customer in this class on one box, 1 to `MAX_QUEUE_LIMIT`.
     pub queue_limit: u32,
 }
 
-/// A customer.
+/// Customer with its share, quota and guarantees.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CustomerEntry {
-    /// Its id.
+    /// Identifier, unique in the file.
     pub id: CustomerId,
-    /// Weight in the fair order, 1 to `MAX_SHARE`.
+    /// Weight in fair sharing, 1 to `MAX_SHARE`.
     pub share: u32,
-    /// Most that its jobs may hold at once in one availability zone; `None` for no bound.
+    /// Most resources that its jobs may use at the same time in one availability zone; `None` for no bound.
     pub quota: Option<Resources>,
-    /// Shapes that it can always reclaim.
+    /// Gangs whose resources it can always reclaim.
     pub guarantees: Vec<Guarantee>,
 }
 
-/// So many gangs of one shape that a customer can always have at once in one availability zone.
+/// Guaranteed number of equal gangs that a customer can always run at the same time in one availability zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Guarantee {
-    /// Where.
+    /// Availability zone that the guarantee applies to.
     pub availability_zone: AvailabilityZoneId,
-    /// How many gangs at once, 1 to `MAX_GUARANTEED_GANGS`.
+    /// Number of gangs at the same time, 1 to `MAX_GUARANTEED_GANGS`.
     pub gangs: u32,
-    /// The shape of each.
+    /// Tasks, resources and extent of each gang.
     pub gang: Gang,
 }
 
-/// Whether a backend server takes new work.
+/// Mode of a backend server, set by operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Default, derive_more::Display)]
 #[serde(rename_all = "snake_case")]
 pub enum ServerMode {
-    /// It takes new work.
+    /// The backend server accepts new work.
     #[default]
     #[display("active")]
     Active,
-    /// It finishes what it has and takes no new work.
+    /// The backend server finishes its current work and accepts no new work.
     #[display("draining")]
     Draining,
 }
 
-/// A backend server and the worker under it.
+/// Backend server and the worker that it runs tasks on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BackendServerEntry {
-    /// Its id.
+    /// Identifier, unique in the file.
     pub id: BackendServerId,
-    /// Its availability zone.
+    /// Availability zone of the backend server.
     pub availability_zone: AvailabilityZoneId,
-    /// Its rack; the same rack id in two availability zones names two racks.
+    /// Rack of the worker. The same rack id in two availability zones denotes two racks.
     pub rack: RackId,
-    /// Where it answers.
+    /// Address that the backend server listens on.
     pub address: SocketAddr,
-    /// What its worker has.
+    /// Resources of the worker, not all zero.
     pub resources: Resources,
-    /// Whether it takes new work.
+    /// Mode, active by default.
     #[serde(default)]
     pub mode: ServerMode,
 }
@@ -179,25 +179,25 @@
 fn check_weights(weights: &Weights, path: &JsonPath) -> Result<(), CheckError> {
     for (name, weight) in [("completion_time", weights.completion_time), ("fragmentation", weights.fragmentation)] {
         if !(0.0..=MAX_WEIGHT).contains(&weight) {
-            return Err(CheckError::new(&path.field(name), weight, format!("allowed is 0 to {MAX_WEIGHT}")));
+            return Err(CheckError::new(&path.field(name), weight, format!("must be between 0 and {MAX_WEIGHT}")));
         }
     }
     if weights.completion_time + weights.fragmentation <= 0.0 {
-        return Err(CheckError::new(path, "both weights at 0", "one of them has to be above 0"));
+        return Err(CheckError::new(path, "both weights at 0", "at least one must be above 0"));
     }
     Ok(())
 }
 
 fn check_classes(raw: Vec<ClassEntry>, path: &JsonPath) -> Result<BTreeMap<ClassId, ClassEntry>, CheckError> {
     if raw.is_empty() {
-        return Err(CheckError::new(path, "an empty list", "at least one class"));
+        return Err(CheckError::new(path, "an empty list", "must have at least one class"));
     }
     let mut classes = BTreeMap::new();
     for (i, class) in raw.into_iter().enumerate() {
         let path = path.index(i);
         check_range(class.queue_limit, MAX_QUEUE_LIMIT, &path.field("queue_limit"))?;
-        if let Some(twice) = classes.insert(class.id.clone(), class) {
-            return Err(duplicate(&path, twice.id.as_str()));
+        if let Some(earlier) = classes.insert(class.id.clone(), class) {
+            return Err(duplicate(&path, earlier.id.as_str()));
         }
     }
     Ok(classes)
@@ -208,7 +208,7 @@
     path: &JsonPath,
 ) -> Result<BTreeMap<CustomerId, CustomerEntry>, CheckError> {
     if raw.is_empty() {
-        return Err(CheckError::new(path, "an empty list", "at least one customer"));
+        return Err(CheckError::new(path, "an empty list", "must have at least one customer"));
     }
     let mut customers = BTreeMap::new();
     for (i, customer) in raw.into_iter().enumerate() {
@@ -224,8 +224,8 @@
             quota: customer.quota.map(Resources::from),
             guarantees: customer.guarantees,
         };
-        if let Some(twice) = customers.insert(customer.id, entry) {
-            return Err(duplicate(&path, twice.id.as_str()));
+        if let Some(earlier) = customers.insert(customer.id, entry) {
+            return Err(duplicate(&path, earlier.id.as_str()));
         }
     }
     Ok(customers)
@@ -239,11 +239,11 @@
     for (i, server) in raw.into_iter().enumerate() {
         let path = path.index(i);
         if server.resources == Resources::default() {
-            let allowed = "at least one of accelerators, cores, memory_gb above 0";
+            let allowed = "at least one of accelerators, cores, memory_gb must be above 0";
             return Err(CheckError::new(&path.field("resources"), server.resources, allowed));
         }
-        if let Some(twice) = servers.insert(server.id.clone(), server) {
-            return Err(duplicate(&path, twice.id.as_str()));
+        if let Some(earlier) = servers.insert(server.id.clone(), server) {
+            return Err(duplicate(&path, earlier.id.as_str()));
         }
     }
     Ok(servers)
@@ -251,11 +251,11 @@
 
 fn check_range(value: u32, max: u32, path: &JsonPath) -> Result<(), CheckError> {
     if value == 0 || value > max {
-        return Err(CheckError::new(path, value, format!("allowed is 1 to {max}")));
+        return Err(CheckError::new(path, value, format!("must be between 1 and {max}")));
     }
     Ok(())
 }
 
 fn duplicate(path: &JsonPath, id: &str) -> CheckError {
-    CheckError::new(&path.field("id"), id, "an id that stands only once in its list")
+    CheckError::new(&path.field("id"), id, "must be unique in its list")
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -1,4 +1,4 @@
-//! Identifiers, each a type of its own so that none can stand in another's place.
+//! Identifiers, each a type of its own, so that they can't be mixed up.
 
 use std::{fmt, str::FromStr, sync::Arc};
 
@@ -8,22 +8,22 @@
 use crate::Duration;
 
 /// Longest identifier, in bytes.
-const MAX_ID_LEN: usize = 64;
+const MAX_ID_BYTES: usize = 64;
 
-/// Why a text is no identifier.
+/// Error of parsing an identifier from text.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("{text:?} is no {kind}: allowed are 1 to {MAX_ID_LEN} characters of a-z, A-Z, 0-9, '-' and '_'")]
+#[display("invalid {kind} {text:?}: expected 1 to {MAX_ID_BYTES} characters of a-z, A-Z, 0-9, '-' and '_'")]
 pub struct IdError {
-    /// What the text was meant to name.
+    /// Kind of identifier that was expected, such as `class id`.
     pub kind: &'static str,
-    /// The text as given.
+    /// Rejected text; a long one may be truncated to `MAX_ID_BYTES` characters.
     pub text: String,
 }
 
 fn check_id(kind: &'static str, text: &str) -> Result<Arc<str>, IdError> {
     let allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    if text.is_empty() || text.len() > MAX_ID_LEN || !text.chars().all(allowed) {
-        return Err(IdError { kind, text: text.chars().take(MAX_ID_LEN).collect() });
+    if text.is_empty() || text.len() > MAX_ID_BYTES || !text.chars().all(allowed) {
+        return Err(IdError { kind, text: text.chars().take(MAX_ID_BYTES).collect() });
     }
     Ok(Arc::from(text))
 }
@@ -36,7 +36,7 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// The identifier as text.
+            /// Returns the identifier as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -77,70 +77,71 @@
 }
 
 text_id!(
-    /// A customer (brief: a tenant that may hold a guarantee).
+    /// Identifier of a customer, a tenant that may have guarantees.
     CustomerId,
     "customer id"
 );
 text_id!(
-    /// A class of jobs, such as `labelling` or `archive`.
+    /// Identifier of a class of jobs, such as `labelling` or `archive`.
     ClassId,
     "class id"
 );
 text_id!(
-    /// An availability zone.
+    /// Identifier of an availability zone.
     AvailabilityZoneId,
     "availability zone id"
 );
 text_id!(
-    /// A rack of workers inside an availability zone.
+    /// Identifier of a rack of workers, unique within its availability zone.
     RackId,
     "rack id"
 );
 text_id!(
-    /// A backend server: the service that runs tasks on one worker.
+    /// Identifier of a backend server, the service that runs tasks on one worker.
     BackendServerId,
     "backend server id"
 );
 text_id!(
-    /// An entry box; the order of these ids decides which box plans.
+    /// Identifier of an entry box. The order of these ids decides which box plans.
     BoxId,
     "box id"
 );
 text_id!(
-    /// The caller's own name for its request, unique within its customer.
+    /// Identifier of a request, chosen by the caller and unique within its customer.
     RequestId,
     "request id"
 );
 text_id!(
-    /// A nonce of one `apply`, by which a lost answer is settled.
+    /// Nonce of one `apply`, by which its outcome can be determined after the response was lost.
     ApplyId,
     "apply id"
 );
 
-/// One life of a process, of a box or of a backend server: wall-clock milliseconds at its start, higher for later lives.
+/// Incarnation of a process of a box or backend server: the wall-clock time of its start, in milliseconds since the
+/// Unix epoch. A later incarnation has a higher number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// A job's ticket: the box that accepted it, that box's incarnation, and a serial number.
+/// Ticket of a job: the box that accepted it, the incarnation of that box, and a serial number.
 ///
-/// Only the process that minted a ticket may make the first start for it, which is what keeps a
-/// job from being started twice while the platform cannot be asked. Written as
-/// `box.incarnation.serial`, the incarnation in hexadecimal.
+/// Only the process that issued a ticket may send the first start for it, so that a job isn't started twice while the
+/// platform is unreachable. Written as `box.incarnation.serial`, with the incarnation in hexadecimal.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct JobId {
-    /// The box that accepted the job.
+    /// Box that accepted the job.
     pub minted_by: BoxId,
-    /// The life of that box.
+    /// Incarnation of that box.
     pub incarnation: Incarnation,
-    /// Rises with each ticket of that life, and is at least the life's age in milliseconds when the
-    /// ticket was minted, so that the ticket's own age can be bounded.
+    /// Serial number, which rises with each ticket of the incarnation. It is at least the incarnation's age in
+    /// milliseconds when the ticket was issued, so that the ticket's age can be bounded.
     pub serial: u64,
 }
 
 impl JobId {
-    /// The ticket's age at a wall-clock time, never too low but for the skew between clocks.
+    /// Returns an upper bound of the ticket's age at a wall-clock time in milliseconds since the Unix epoch, apart from
+    /// clock skew.
     pub fn age_at(&self, wall_ms: u64) -> Duration {
         Duration::from_millis(wall_ms.saturating_sub(self.incarnation.0.saturating_add(self.serial)))
     }
@@ -161,17 +162,17 @@
 impl FromStr for JobId {
     type Err = IdError;
     fn from_str(text: &str) -> Result<Self, IdError> {
-        let bad = || IdError { kind: "job id (box.incarnation.serial)", text: text.to_owned() };
+        let error = || IdError { kind: "job id (box.incarnation.serial)", text: text.to_owned() };
         let mut parts = text.split('.');
         let (Some(minted_by), Some(incarnation), Some(serial), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
-            return Err(bad());
+            return Err(error());
         };
         Ok(JobId {
             minted_by: minted_by.parse()?,
-            incarnation: Incarnation(u64::from_str_radix(incarnation, 16).map_err(|_| bad())?),
-            serial: serial.parse().map_err(|_| bad())?,
+            incarnation: Incarnation(u64::from_str_radix(incarnation, 16).map_err(|_| error())?),
+            serial: serial.parse().map_err(|_| error())?,
         })
     }
 }
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -1,41 +1,41 @@
-//! What a caller asks for: a gang of equal tasks, and what may be done with it.
+//! Requests of callers: a gang of equal tasks, and whether it may be repeated or interrupted.
 
 use derive_more::{Add, AddAssign, Display, Sum};
 use serde::{Deserialize, Serialize};
 
 use crate::{BackendServerId, CheckError, ClassId, CustomerId, Duration, JsonPath, RequestId, quantity::QuantityError};
 
-/// Most tasks in a gang (letter 1: gangs to 64).
-const MAX_GANG: u32 = 64;
-/// Longest declared run time.
+/// Most tasks in a gang, as the platform's requirements state.
+const MAX_GANG_TASKS: u32 = 64;
+/// Longest run time that a caller may declare.
 const MAX_DECLARED: Duration = Duration::from_secs(30 * 24 * 3600);
-/// Longest payload, in bytes: a job's record must fit a value of the platform's store with room to spare.
-const MAX_PAYLOAD: usize = 256 * 1024;
+/// Longest payload, in bytes. A job's record must fit into one value of the platform's store, with some reserve.
+const MAX_PAYLOAD_BYTES: usize = 256 * 1024;
 
-/// What a task needs, or what a backend server has.
+/// Amounts of accelerators, processor cores and memory: those that a task takes, or those of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default, Serialize, Deserialize, Add, AddAssign, Sum, Display)]
 #[display("{accelerators} accelerators, {cores} cores, {memory_gb} GB")]
 pub struct Resources {
-    /// Whole accelerators.
+    /// Number of whole accelerators.
     pub accelerators: u32,
-    /// Processor cores.
+    /// Number of whole processor cores.
     pub cores: u32,
-    /// Memory in gigabytes.
+    /// Memory, in gigabytes.
     pub memory_gb: u32,
 }
 
 impl Resources {
-    /// The three sizes at once.
+    /// Creates the three amounts.
     pub const fn new(accelerators: u32, cores: u32, memory_gb: u32) -> Resources {
         Resources { accelerators, cores, memory_gb }
     }
 
-    /// Whether `other` fits into this.
+    /// Returns whether every amount is at least that of `other`.
     pub fn contains(&self, other: &Resources) -> bool {
         self.accelerators >= other.accelerators && self.cores >= other.cores && self.memory_gb >= other.memory_gb
     }
 
-    /// What is left after `other` is taken; each size stops at zero.
+    /// Returns the amounts left after subtracting `other`; each stops at zero.
     pub fn less(&self, other: &Resources) -> Resources {
         Resources {
             accelerators: self.accelerators.saturating_sub(other.accelerators),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The sizes times `n`.
+    /// Returns the amounts multiplied by `n`; each stops at `u32::MAX`.
     pub fn times(&self, n: u32) -> Resources {
         Resources {
             accelerators: self.accelerators.saturating_mul(n),
@@ -53,26 +53,26 @@
         }
     }
 
-    /// How many times `per_task` fits into this.
+    /// Returns how many tasks that take `per_task` fit; `u32::MAX` if `per_task` is zero.
     pub fn count_of(&self, per_task: &Resources) -> u32 {
-        let of = |have: u32, need: u32| have.checked_div(need).unwrap_or(u32::MAX);
-        of(self.accelerators, per_task.accelerators)
-            .min(of(self.cores, per_task.cores))
-            .min(of(self.memory_gb, per_task.memory_gb))
+        let count = |have: u32, need: u32| have.checked_div(need).unwrap_or(u32::MAX);
+        count(self.accelerators, per_task.accelerators)
+            .min(count(self.cores, per_task.cores))
+            .min(count(self.memory_gb, per_task.memory_gb))
     }
 }
 
-/// How close together a gang's tasks must run.
+/// Extent of a gang: how close together its tasks must run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Default, Display)]
 #[serde(rename_all = "snake_case")]
 pub enum Within {
-    /// All tasks on one worker.
+    /// All tasks run on one worker.
     #[display("worker")]
     Worker,
-    /// All tasks in one rack.
+    /// All tasks run in one rack.
     #[display("rack")]
     Rack,
-    /// Anywhere in one availability zone.
+    /// The tasks run anywhere in one availability zone.
     #[default]
     #[display("availability_zone")]
     AvailabilityZone,
@@ -94,36 +94,36 @@
     }
 }
 
-/// Equal tasks that run together or not at all.
+/// Gang: equal tasks that run together or not at all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize, Display)]
 #[serde(try_from = "RawGang", into = "RawGang")]
 #[display("{tasks} x ({per_task}) within one {within}")]
 pub struct Gang {
-    /// How many tasks, 1 to `MAX_GANG`.
+    /// Number of tasks, 1 to `MAX_GANG_TASKS`.
     pub tasks: u32,
-    /// What each task needs; at least one size is not zero.
+    /// Resources that each task takes, not all zero.
     pub per_task: Resources,
-    /// How close together.
+    /// Extent within which all tasks must run.
     pub within: Within,
 }
 
 impl Gang {
-    /// What the whole gang needs.
+    /// Returns the resources that all tasks take together.
     pub fn total(&self) -> Resources {
         self.per_task.times(self.tasks)
     }
 }
 
-/// The part of a gang that runs on one backend server.
+/// Member of a gang: those of its tasks that run on one backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// Where.
+    /// Backend server that runs the tasks.
     pub server: BackendServerId,
-    /// How many of the gang's tasks, at least 1.
+    /// Number of the gang's tasks, at least 1.
     pub tasks: u32,
 }
 
-/// Resources as they stand in JSON.
+/// JSON form of [`Resources`]; a missing field is 0.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[expect(missing_docs, reason = "the fields are those of `Resources`")]
@@ -148,7 +148,7 @@
     }
 }
 
-/// A gang as it stands in JSON.
+/// JSON form of a gang, not yet checked.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[expect(missing_docs, reason = "the fields are those of `Gang`")]
@@ -163,12 +163,16 @@
     type Error = CheckError;
     fn try_from(raw: RawGang) -> Result<Gang, CheckError> {
         let path = JsonPath::root();
-        if raw.tasks == 0 || raw.tasks > MAX_GANG {
-            return Err(CheckError::new(&path.field("tasks"), raw.tasks, format!("allowed is 1 to {MAX_GANG}")));
+        if raw.tasks == 0 || raw.tasks > MAX_GANG_TASKS {
+            return Err(CheckError::new(
+                &path.field("tasks"),
+                raw.tasks,
+                format!("must be between 1 and {MAX_GANG_TASKS}"),
+            ));
         }
         let per_task = Resources::from(raw.per_task);
         if per_task == Resources::default() {
-            let allowed = "at least one of accelerators, cores, memory_gb above 0";
+            let allowed = "at least one of accelerators, cores, memory_gb must be above 0";
             return Err(CheckError::new(&path.field("per_task"), per_task, allowed));
         }
         Ok(Gang { tasks: raw.tasks, per_task, within: raw.within })
@@ -181,83 +185,83 @@
     }
 }
 
-/// One try at running a whole gang: rises by one with each try of a job.
+/// Number of an attempt to run a whole gang. It rises by one with each attempt of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct Attempt(pub u32);
 
 impl Attempt {
-    /// Above every attempt a job can make: a fence that ends the ticket.
+    /// Number above every real attempt, used in the token that fences a ticket.
     pub const MAX: Attempt = Attempt(u32::MAX);
 
-    /// The attempt that follows.
+    /// Returns the number of the following attempt.
     pub fn next(self) -> Attempt {
         Attempt(self.0.saturating_add(1))
     }
 }
 
-/// Counts the boxes that have held an attempt in turn: rises by one with each adoption.
+/// Number of a holder of an attempt. It rises by one each time another box adopts the attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct Epoch(pub u32);
 
 impl Epoch {
-    /// Above every epoch: used by a fence, which yields to no holder.
+    /// Number above every real epoch, used in the token that fences a ticket, so that no later holder supersedes it.
     pub const MAX: Epoch = Epoch(u32::MAX);
 
-    /// The epoch that follows.
+    /// Returns the number of the following epoch.
     pub fn next(self) -> Epoch {
         Epoch(self.0.saturating_add(1))
     }
 }
 
-/// What a backend server compares before it obeys; older tokens are refused.
+/// Fencing token of a lease. A backend server rejects a request whose token is older than the newest it has seen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize, Display)]
 #[display("attempt {attempt} epoch {epoch}")]
 pub struct LeaseToken {
-    /// The try that this is about.
+    /// Attempt that the request belongs to.
     pub attempt: Attempt,
-    /// The holder within that try.
+    /// Holder of the attempt that sent the request.
     pub epoch: Epoch,
 }
 
 impl LeaseToken {
-    /// Newer than every token a job can have: a stop with it ends the ticket for good.
+    /// Token newer than every real token of a job: a stop that carries it ends the ticket permanently.
     pub const FENCE: LeaseToken = LeaseToken { attempt: Attempt::MAX, epoch: Epoch::MAX };
 }
 
-/// A caller's request, checked.
+/// Checked request of a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "RawJobSpec", into = "RawJobSpec")]
 pub struct JobSpec {
-    /// On whose behalf.
+    /// Customer that the request is made for.
     pub customer: CustomerId,
-    /// The caller's name for it.
+    /// Identifier of the request, chosen by the caller.
     pub request: RequestId,
-    /// Its class, which the operators' file must know.
+    /// Class of the job, which must be in the operators' file.
     pub class: ClassId,
-    /// The gang to run.
+    /// Gang to run.
     pub gang: Gang,
-    /// The run time that the caller expects; often far off (brief).
+    /// Run time that the caller expects, which is often far off: 1 ms to `MAX_DECLARED`.
     pub declared: Duration,
-    /// After this long the caller no longer wants the answer.
+    /// Time after which the caller no longer needs the answer, at least 1 ms; `None` for no deadline.
     pub deadline: Option<Duration>,
-    /// Whether it may run more than once.
+    /// Whether the job may run more than once.
     pub repeatable: bool,
-    /// Whether a stopped attempt can go on from a checkpoint.
+    /// Whether a stopped attempt can resume from a checkpoint.
     pub checkpointable: bool,
-    /// For the tasks; martenscale does not read it.
+    /// Opaque text for the tasks, at most `MAX_PAYLOAD_BYTES`.
     pub payload: String,
 }
 
 impl JobSpec {
-    /// Whether it may be stopped for another job: work that could neither go on nor start again may not.
+    /// Returns whether the job may be stopped in favour of another one, that is whether it can resume or run again.
     pub fn preemptible(&self) -> bool {
         self.repeatable || self.checkpointable
     }
 }
 
-/// A request as it stands in JSON.
+/// JSON form of a request, not yet checked.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[expect(missing_docs, reason = "the fields are those of `JobSpec`, times in milliseconds")]
@@ -281,14 +285,18 @@
         let path = JsonPath::root();
         let declared = Duration::from_millis(raw.declared_ms);
         if declared == Duration::ZERO || declared > MAX_DECLARED {
-            let allowed = format!("allowed is 1 to {} (30 days)", MAX_DECLARED.millis());
+            let allowed = format!("must be between 1 and {} (30 days)", MAX_DECLARED.millis());
             return Err(CheckError::new(&path.field("declared_ms"), raw.declared_ms, allowed));
         }
         if raw.deadline_ms == Some(0) {
-            return Err(CheckError::new(&path.field("deadline_ms"), 0, "allowed is 1 or more, or no such field"));
+            return Err(CheckError::new(
+                &path.field("deadline_ms"),
+                0,
+                "must be at least 1, or the field must be absent",
+            ));
         }
-        if raw.payload.len() > MAX_PAYLOAD {
-            let allowed = format!("allowed are {MAX_PAYLOAD} bytes");
+        if raw.payload.len() > MAX_PAYLOAD_BYTES {
+            let allowed = format!("must have at most {MAX_PAYLOAD_BYTES} bytes");
             return Err(CheckError::new(&path.field("payload"), format!("{} bytes", raw.payload.len()), allowed));
         }
         Ok(JobSpec {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,8 +1,7 @@
-//! The checked vocabulary of martenscale: ids, sizes, durations, jobs, outcomes and the operators' file.
+//! Checked types of martenscale: identifiers, resources, durations, jobs, outcomes and the operators' file.
 //!
-//! Everything that crosses a border arrives as raw JSON and is turned into these types with
-//! `TryFrom`. A value of a type in this crate is therefore already within its bounds, and no other
-//! crate repeats the checks. The crate does no I/O and reads no clock.
+//! External input arrives as raw JSON and is converted into these types with `TryFrom`. A value of a type of this crate
+//! is therefore within its bounds, and no other crate repeats the checks. The crate does no I/O and reads no clock.
 //!
 //! ```
 //! use model::{JobSpec, Resources};
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -1,92 +1,94 @@
-//! The closed set of ends that a job can come to.
+//! Final outcomes of a job.
+//!
+//! The set is closed, so that every caller handles each outcome.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
 use crate::{Digest, Duration};
 
-/// Why a job was not run.
+/// Reason why a job was not run.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(tag = "code", rename_all = "snake_case")]
 pub enum NotRunReason {
-    /// The customer's queue for the class is full.
+    /// The queue of the customer for the class is full.
     #[display("the queue of {class} is full at {limit} jobs")]
     QueueFull {
-        /// The class.
+        /// Class whose queue is full.
         class: String,
-        /// The bound that was reached.
+        /// Queue limit that was reached, in jobs.
         limit: u32,
     },
-    /// No backend server of the availability zone could ever hold it.
-    #[display("it can never run: {why}")]
+    /// The backend servers of the availability zone can never run the job, whatever else they run.
+    #[display("the job can never run: {why}")]
     CanNeverRun {
-        /// The arithmetic.
+        /// Explanation with the amounts that are requested and available.
         why: String,
     },
-    /// The request names something that the configuration does not know.
+    /// The request names something that the configuration doesn't contain.
     #[display("unknown {what}")]
     Unknown {
-        /// What is not known.
+        /// Kind and name of the unknown item.
         what: String,
     },
-    /// The platform's store cannot be reached, and the request may run only once.
-    #[display("the platform's store does not answer, so that a request which may run only once cannot be claimed")]
+    /// The platform's store is unreachable, and the request may run only once.
+    #[display("the platform's store is unreachable, so a request that may run only once cannot be claimed")]
     StoreUnavailable,
-    /// The box is leaving and takes no new work.
-    #[display("the box is leaving")]
+    /// The box is draining and accepts no new work.
+    #[display("the box is draining")]
     Leaving,
-    /// Its deadline passed while it waited.
-    #[display("its deadline passed while it waited")]
+    /// The deadline passed while the job was waiting.
+    #[display("the deadline passed while the job was waiting")]
     DeadlinePassed,
     /// The box has no configuration yet.
-    #[display("no configuration is known yet")]
+    #[display("the box has no configuration yet")]
     NoConfiguration,
 }
 
-/// The end of a job. `NotRun` is said only when no task ever ran and none can later;
-/// every doubt is `Unknown`.
+/// Final outcome of a job. `NotRun` is reported only if no task has run and none can run later; any uncertainty is
+/// reported as `Unknown`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(tag = "outcome", rename_all = "snake_case")]
 pub enum Outcome {
-    /// It ran, and the whole answer is here.
+    /// The job ran, and its whole answer is available.
     #[display("done")]
     Done {
-        /// The whole answer.
+        /// Whole answer of the job.
         answer: String,
-        /// Of the answer's bytes.
+        /// Digest of the bytes of `answer`.
         digest: Digest,
     },
-    /// It never ran and never will under this ticket.
+    /// The job has not run and will not run under this ticket.
     #[display("not run: {reason}")]
     NotRun {
-        /// Why.
+        /// Reason why it was not run.
         reason: NotRunReason,
-        /// When asking again may help; `None` if it never will.
+        /// Time after which a retry may succeed; `None` if no retry will.
         retry_after: Option<Duration>,
     },
-    /// It ran and failed by its own fault, or used up its tries.
+    /// The job ran and failed by its own fault, or used up its attempts.
     #[display("failed: {why}")]
     Failed {
-        /// What the last try reported.
+        /// Error that the last attempt reported.
         why: String,
     },
-    /// The caller took it back; it may have run in part.
+    /// The caller cancelled the job, which may have run in part.
     #[display("cancelled")]
     Cancelled {
-        /// Whether any task had begun under this ticket. A repeatable request that was sent more
-        /// than once may have had other tickets.
+        /// Whether any task had started under this ticket. A repeatable request that was sent more than once may have
+        /// other tickets.
         ran: bool,
     },
-    /// Whether it ran cannot be told.
+    /// It cannot be determined whether the job ran.
     #[display("unknown: {why}")]
     Unknown {
-        /// What could not be settled.
+        /// Description of what could not be determined.
         why: String,
     },
 }
 
 impl Outcome {
-    /// A short fixed name, for metrics and tables.
+    /// Returns a short fixed name, for metrics and tables.
     pub fn name(&self) -> &'static str {
         match self {
             Outcome::Done { .. } => "done",
--- a/crates/model/src/quantity.rs
+++ b/crates/model/src/quantity.rs
@@ -1,4 +1,4 @@
-//! Times, revisions and rates, with their units in the type.
+//! Durations, moments, revisions and rates, with their units in the type.
 
 use std::{
     fmt,
@@ -9,19 +9,21 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Why a text is no quantity.
+/// Error of parsing a quantity, digest or keyword from text.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("{text:?} is no {kind}: allowed is {allowed}")]
+#[display("invalid {kind} {text:?}: expected {allowed}")]
 pub struct QuantityError {
-    /// What the text was meant to give.
+    /// Kind of value that was expected, such as `duration`.
     pub kind: &'static str,
-    /// The text as given.
+    /// Rejected text.
     pub text: String,
-    /// The accepted form.
+    /// Description of the accepted form.
     pub allowed: &'static str,
 }
 
-/// A span of time in whole milliseconds.
+/// Span of time, in whole milliseconds.
+///
+/// Parsed from a whole number with the unit `ms`, `s`, `m` or `h`.
 #[derive(
     Debug,
     Clone,
@@ -42,30 +44,30 @@
 pub struct Duration(u64);
 
 impl Duration {
-    /// No time at all.
+    /// Span of zero milliseconds.
     pub const ZERO: Duration = Duration(0);
 
-    /// A span of whole milliseconds.
+    /// Creates a span from milliseconds.
     pub const fn from_millis(ms: u64) -> Duration {
         Duration(ms)
     }
 
-    /// A span of whole seconds.
+    /// Creates a span from seconds.
     pub const fn from_secs(s: u64) -> Duration {
         Duration(s * 1000)
     }
 
-    /// The span in milliseconds.
+    /// Returns the span in milliseconds.
     pub const fn millis(self) -> u64 {
         self.0
     }
 
-    /// The span in seconds, with fraction.
+    /// Returns the span in seconds, with fraction.
     pub fn secs_f64(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// The span times a factor, rounded down; never negative.
+    /// Returns the span multiplied by `factor`, rounded down; zero if the factor is negative.
     pub fn scaled(self, factor: f64) -> Duration {
         Duration((self.0 as f64 * factor).max(0.0) as u64)
     }
@@ -89,48 +91,48 @@
 impl FromStr for Duration {
     type Err = QuantityError;
     fn from_str(text: &str) -> Result<Self, QuantityError> {
-        let bad = || QuantityError {
+        let error = || QuantityError {
             kind: "duration",
             text: text.to_owned(),
             allowed: "a whole number with the unit ms, s, m or h",
         };
-        let split = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(bad)?;
+        let split = text.find(|c: char| !c.is_ascii_digit()).ok_or_else(error)?;
         let (number, unit) = text.split_at(split);
-        let number: u64 = number.parse().map_err(|_| bad())?;
+        let number: u64 = number.parse().map_err(|_| error())?;
         let factor = match unit {
             "ms" => 1,
             "s" => 1000,
             "m" => 60_000,
             "h" => 3_600_000,
-            _ => return Err(bad()),
+            _ => return Err(error()),
         };
-        number.checked_mul(factor).map(Duration).ok_or_else(bad)
+        number.checked_mul(factor).map(Duration).ok_or_else(error)
     }
 }
 
-/// A point on one process's monotonic clock, in milliseconds since an origin of its own.
+/// Point in time on the monotonic clock of one process, in milliseconds since an origin of that process.
 ///
-/// Moments of two processes are never compared; only durations cross a border.
+/// Moments of two processes must not be compared; only durations are sent to other processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 #[display("t+{_0}ms")]
 pub struct Moment(u64);
 
 impl Moment {
-    /// The clock's origin.
+    /// Origin of the clock.
     pub const ZERO: Moment = Moment(0);
 
-    /// The moment so many milliseconds after the origin.
+    /// Creates the moment `ms` milliseconds after the origin.
     pub const fn from_millis(ms: u64) -> Moment {
         Moment(ms)
     }
 
-    /// Milliseconds since the origin.
+    /// Returns the milliseconds since the origin.
     pub const fn millis(self) -> u64 {
         self.0
     }
 
-    /// The time since `earlier`, zero when that lies ahead.
+    /// Returns the time since `earlier`; zero if `earlier` is later than this moment.
     pub fn since(self, earlier: Moment) -> Duration {
         Duration(self.0.saturating_sub(earlier.0))
     }
@@ -150,7 +152,8 @@
     }
 }
 
-/// The revision of the operators' configuration: 0 before the first, then rising by one.
+/// Revision of the operators' configuration, which rises by one with each change, or of the coordination store, which
+/// rises with each write; 0 before the first.
 #[derive(
     Debug,
     Clone,
@@ -170,13 +173,13 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// The revision that follows.
+    /// Returns the following revision.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
 }
 
-/// Events per second.
+/// Rate in events per second. Parsed from a positive number with the unit `/s`.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 #[display("{_0}/s")]
@@ -185,12 +188,12 @@
 impl FromStr for Rate {
     type Err = QuantityError;
     fn from_str(text: &str) -> Result<Self, QuantityError> {
-        let bad =
+        let error =
             || QuantityError { kind: "rate", text: text.to_owned(), allowed: "a positive number with the unit /s" };
-        let number = text.strip_suffix("/s").ok_or_else(bad)?;
-        let number: f64 = number.parse().map_err(|_| bad())?;
+        let number = text.strip_suffix("/s").ok_or_else(error)?;
+        let number: f64 = number.parse().map_err(|_| error())?;
         if !number.is_finite() || number <= 0.0 {
-            return Err(bad());
+            return Err(error());
         }
         Ok(Rate(number))
     }
--- a/crates/model/tests/files.rs
+++ b/crates/model/tests/files.rs
@@ -1,6 +1,7 @@
-//! Operators' files that must be accepted or refused, one per file under `test_data`.
+//! Operators' files that must be accepted or rejected: the examples, and one file for each error under
+//! `test_data/refused`.
 //!
-//! A refused file's first line is a JSON string: the error that must come.
+//! The first line of a rejected file is a JSON string with the expected error.
 
 use std::path::Path;
 
@@ -10,7 +11,7 @@
     let file: OperatorFile = model::from_json(&std::fs::read(path)?)?;
     let text = serde_json::to_string(&file)?;
     let again: OperatorFile = model::from_json(text.as_bytes())?;
-    assert_eq!(file, again, "what was written must read back the same");
+    assert_eq!(file, again, "a file must be equal after it is serialized and parsed again");
     Ok(())
 }
 
