--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,9 +1,9 @@
-//! Which boxes of an availability zone are live, and which of them plans.
+//! Failure detector of the boxes of an availability zone, and choice of the box that plans.
 //!
-//! Each box tells every other that it is live; a box not heard for [`Limits::dead_after`] is taken
-//! for dead. The planner is the lowest live box that has been steady for a while. Two boxes may
-//! disagree; nothing unsafe follows from it, since backend servers decide on each reservation.
-//! The platform is not asked, so that a cut-off availability zone goes on alone.
+//! Each box sends heartbeats to all others. A box without a heartbeat for [`Limits::dead_after`] is considered dead.
+//! The planner is the live box with the lowest id that has been steady for a while. Two boxes may disagree about it,
+//! which is safe because backend servers decide on each reservation. The platform is not involved, so that an
+//! availability zone that is cut off from it continues to work.
 //!
 //! ```
 //! use membership::{Limits, View};
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,21 +1,24 @@
-//! One box's view of the boxes of its availability zone.
+//! View that one box has of the boxes of its availability zone.
+//!
+//! The view is driven by heartbeats and by the passage of time, both of which its caller reports. It does no I/O.
 
 use std::collections::BTreeMap;
 
 use model::{BoxId, Duration, Incarnation, Moment};
 
-/// Times of the failure detector.
+/// Timing of the failure detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// A heartbeat goes to each peer this often.
+    /// Interval between the heartbeats that are sent to each peer.
     pub heartbeat_every: Duration,
-    /// A box not heard for this long is taken for dead.
+    /// Time without a heartbeat after which a box is considered dead.
     pub dead_after: Duration,
-    /// A box must be heard without a gap for this long before it may plan.
+    /// Time of heartbeats without a gap after which a box is steady and may plan. It doubles with each return of the
+    /// box.
     pub steady_after: Duration,
-    /// The longest that `steady_after` grows to for a box that comes and goes.
+    /// Upper bound of `steady_after` for a box that returns repeatedly.
     pub steady_max: Duration,
-    /// A box that was steady for this long has its coming and going forgiven.
+    /// Time of heartbeats without a gap after which earlier returns of a box no longer count.
     pub forgive_after: Duration,
 }
 
@@ -31,51 +34,51 @@
     }
 }
 
-/// A box as another sees it.
+/// Status of a box as another box sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Status {
-    /// The life last heard of.
+    /// Latest observed incarnation.
     pub incarnation: Incarnation,
-    /// When it was last heard.
+    /// Time of the last heartbeat.
     pub last_heard: Moment,
-    /// Since when it has been heard without a gap.
+    /// Start of the current period of heartbeats without a gap.
     pub steady_since: Moment,
-    /// Whether it said that it is leaving.
+    /// Whether the box has announced that it is draining.
     pub leaving: bool,
-    /// How often it came back after a gap or with a new life.
+    /// Number of returns after a gap or with a new incarnation.
     pub returns: u32,
 }
 
-/// One box's view.
+/// View that one box has of itself and its peers.
 #[derive(Debug)]
 pub struct View {
-    me: BoxId,
+    own_id: BoxId,
     limits: Limits,
     own: Status,
     peers: BTreeMap<BoxId, Status>,
 }
 
 impl View {
-    /// A view that knows only its own box.
-    pub fn new(me: BoxId, limits: Limits, now: Moment) -> View {
+    /// Creates a view that contains only the own box.
+    pub fn new(own_id: BoxId, limits: Limits, now: Moment) -> View {
         let own =
             Status { incarnation: Incarnation(0), last_heard: now, steady_since: now, leaving: false, returns: 0 };
-        View { me, limits, own, peers: BTreeMap::new() }
+        View { own_id, limits, own, peers: BTreeMap::new() }
     }
 
-    /// The times in use.
+    /// Returns the timing of the failure detector.
     pub fn limits(&self) -> Limits {
         self.limits
     }
 
-    /// Lets time pass. A gap longer than `dead_after` means that this process was paused: others
-    /// have taken it for dead, and it counts as having come back.
+    /// Advances the view to `now`. A gap of more than `dead_after` since the last call means that this process was
+    /// paused: other boxes have considered it dead, so it counts as returned.
     pub fn tick(&mut self, now: Moment) {
         let paused = now.since(self.own.last_heard) > self.limits.dead_after;
         if paused {
-            come_back(&mut self.own, self.limits, now);
-            // What was heard before the pause says nothing about the present; give each peer the
-            // time of one heartbeat to be heard again.
+            record_return(&mut self.own, self.limits, now);
+            // Heartbeats from before the pause don't tell which peers are live now: give each peer
+            // time to send another one.
             for peer in self.peers.values_mut() {
                 peer.last_heard = peer.last_heard.max(now - self.limits.heartbeat_every - self.limits.heartbeat_every);
             }
@@ -83,9 +86,9 @@
         self.own.last_heard = now;
     }
 
-    /// Takes a heartbeat. One of an earlier life than is known is ignored.
+    /// Records a heartbeat of `peer`. Heartbeats of an incarnation earlier than the latest observed one are ignored.
     pub fn heard(&mut self, peer: &BoxId, incarnation: Incarnation, leaving: bool, now: Moment) {
-        if *peer == self.me {
+        if *peer == self.own_id {
             return;
         }
         let limits = self.limits;
@@ -96,77 +99,84 @@
         }
         let gap = now.since(status.last_heard) > limits.dead_after;
         if gap || incarnation > status.incarnation {
-            come_back(status, limits, now);
+            record_return(status, limits, now);
         }
         status.incarnation = incarnation;
         status.last_heard = now;
         status.leaving = leaving;
     }
 
-    /// This box is leaving, or no longer.
+    /// Sets whether this box is draining.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.own.leaving = leaving;
     }
 
-    /// Whether a box is live, this one included.
+    /// Returns whether a box is live. This box always is.
     pub fn is_live(&self, id: &BoxId, now: Moment) -> bool {
-        *id == self.me || self.peers.get(id).is_some_and(|s| self.is_fresh(s, now))
+        *id == self.own_id || self.peers.get(id).is_some_and(|s| self.has_recent_heartbeat(s, now))
     }
 
-    /// Whether this very life of a box is live; `own` is this process's life.
+    /// Returns whether the given incarnation of a box is live; `own` is the incarnation of this process.
     pub fn is_live_life(&self, id: &BoxId, incarnation: Incarnation, own: Incarnation, now: Moment) -> bool {
-        if *id == self.me {
+        if *id == self.own_id {
             return incarnation == own;
         }
-        self.peers.get(id).is_some_and(|s| s.incarnation == incarnation && self.is_fresh(s, now))
+        self.peers.get(id).is_some_and(|s| s.incarnation == incarnation && self.has_recent_heartbeat(s, now))
     }
 
-    /// Whether this box has run long enough without a pause to take another's silence for death.
+    /// Returns whether this box has run without a pause for long enough to conclude from missing heartbeats that a box
+    /// is dead.
     pub fn may_judge(&self, now: Moment) -> bool {
         now.since(self.own.steady_since) >= self.limits.dead_after + self.limits.heartbeat_every
     }
 
-    /// Live boxes in the order of their ids, this one included.
+    /// Returns the live boxes in the order of their ids, including this one.
     pub fn live(&self, now: Moment) -> Vec<BoxId> {
         let mut live: Vec<BoxId> =
-            self.peers.iter().filter(|(_, s)| self.is_fresh(s, now)).map(|(id, _)| id.clone()).collect();
-        live.push(self.me.clone());
+            self.peers.iter().filter(|(_, s)| self.has_recent_heartbeat(s, now)).map(|(id, _)| id.clone()).collect();
+        live.push(self.own_id.clone());
         live.sort();
         live
     }
 
-    /// Every peer ever heard of.
+    /// Returns all peers that have ever sent a heartbeat, including dead ones.
     pub fn peers(&self) -> &BTreeMap<BoxId, Status> {
         &self.peers
     }
 
-    /// The box that plans: the lowest that is live, staying and steady; else the lowest that is live
-    /// and staying; else the lowest that is live.
+    /// Returns the box that plans. It is the one with the lowest id among the live, steady boxes that aren't draining;
+    /// if there are none, among the live boxes that aren't draining; otherwise among all live boxes.
     pub fn planner(&self, now: Moment) -> &BoxId {
-        let own = (&self.me, &self.own);
-        let all = || self.peers.iter().chain(std::iter::once(own)).filter(|(_, s)| !s.leaving && self.is_fresh(s, now));
-        let steady = all().filter(|(_, s)| now.since(s.steady_since) >= self.steady_time(s));
-        let lowest_live = self.peers.iter().filter(|(_, s)| self.is_fresh(s, now)).map(|(id, _)| id).min();
+        let own = (&self.own_id, &self.own);
+        let all = || {
+            self.peers
+                .iter()
+                .chain(std::iter::once(own))
+                .filter(|(_, s)| !s.leaving && self.has_recent_heartbeat(s, now))
+        };
+        let steady = all().filter(|(_, s)| now.since(s.steady_since) >= self.required_steady_time(s));
+        let lowest_live = self.peers.iter().filter(|(_, s)| self.has_recent_heartbeat(s, now)).map(|(id, _)| id).min();
         steady
             .map(|(id, _)| id)
             .min()
             .or_else(|| all().map(|(id, _)| id).min())
-            .or(lowest_live.filter(|id| **id < self.me))
-            .unwrap_or(&self.me)
+            .or(lowest_live.filter(|id| **id < self.own_id))
+            .unwrap_or(&self.own_id)
     }
 
-    fn is_fresh(&self, status: &Status, now: Moment) -> bool {
+    fn has_recent_heartbeat(&self, status: &Status, now: Moment) -> bool {
         now.since(status.last_heard) <= self.limits.dead_after
     }
 
-    /// Doubles with each return, so that a box that comes and goes does not drag the planning along.
-    fn steady_time(&self, status: &Status) -> Duration {
+    /// Returns how long a box must have been live without a gap to plan. The time doubles with each return, so that the
+    /// planner doesn't change each time an unstable box returns.
+    fn required_steady_time(&self, status: &Status) -> Duration {
         let doubled = self.limits.steady_after.millis() << status.returns.min(10);
         Duration::from_millis(doubled.min(self.limits.steady_max.millis()))
     }
 }
 
-fn come_back(status: &mut Status, limits: Limits, now: Moment) {
+fn record_return(status: &mut Status, limits: Limits, now: Moment) {
     let steady_for = status.last_heard.since(status.steady_since);
     status.returns = if steady_for >= limits.forgive_after { 1 } else { status.returns + 1 };
     status.steady_since = now;
