--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1 connection, and the calls made on it.
+//! HTTP/1 client connection and the calls on it.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,81 +20,82 @@
     within,
 };
 
-/// How long a connection may take to stand.
+/// Time limit of establishing a connection.
 const CONNECT_LIMIT: Duration = Duration::from_secs(1);
 
-/// How long a call that reads may take. A large reply over a slow link takes long and is no fault; a link that has
-/// stopped carrying is one.
+/// Time limits of a call that reads a large reply. The total time isn't limited, since a large reply over a slow link
+/// takes long without a fault; a link that has stopped transferring data is detected by `silence`.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadLimits {
-    /// Connecting, sending, and the head of the reply.
+    /// Limit for connecting, sending the request and receiving the head of the reply.
     pub head: Duration,
-    /// From one piece of the reply's body to the next.
+    /// Limit between two pieces of the reply's body.
     pub silence: Duration,
 }
 
-/// What a call brought back.
+/// Reply to a call.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// The status code.
+    /// Status code.
     pub status: StatusCode,
-    /// The whole body.
+    /// Whole body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Reads the body as JSON; the error names what is wrong.
+    /// Parses the body as JSON. Returns [`NetError::Lost`] if it isn't valid: the request may have taken effect.
     pub fn json<T: DeserializeOwned>(&self) -> Result<T, NetError> {
         serde_json::from_slice(&self.body)
-            .map_err(|e| NetError::Lost { why: format!("status {}, body is not as agreed: {e}", self.status) })
+            .map_err(|e| NetError::Lost { why: format!("status {}, invalid body: {e}", self.status) })
     }
 }
 
-/// A connection. All its calls reach the same process, the one that took it.
+/// HTTP/1 connection. All its calls reach the process that accepted it.
 ///
-/// One that has left a call without its answer must be dropped: nothing more is to be expected of it.
+/// A connection on which a call received no reply must be dropped, since later calls on it are unlikely to receive one
+/// either.
 pub struct Connection {
     addr: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
 }
 
 impl Connection {
-    /// Connects to an address.
+    /// Connects to `addr` within one second.
     pub async fn open(addr: SocketAddr, purpose: Purpose) -> Result<Connection, NetError> {
         let stream = within(CONNECT_LIMIT, async { connect(addr).await.map_err(|e| connect_error(addr, &e)) })
             .await
-            .map_err(not_connected)?;
+            .map_err(to_unsent)?;
         let handshake = http1::handshake(FuturesIo::new(Counted::new(stream, purpose))).await;
         let (sender, conn) = handshake.map_err(|e| NetError::Unsent { why: format!("{addr}: {e}") })?;
         smol::spawn(async move {
-            // The error of a broken connection reaches the caller through its sender.
+            // The caller receives the error of a broken connection through its sender.
             let _ = conn.await;
         })
         .detach();
         Ok(Connection { addr, sender })
     }
 
-    /// The same, within a limit of the caller's.
+    /// Connects as [`Connection::open`] does, and also within `limit`.
     pub async fn open_within(addr: SocketAddr, purpose: Purpose, limit: Duration) -> Result<Connection, NetError> {
-        within(limit, Connection::open(addr, purpose)).await.map_err(not_connected)
+        within(limit, Connection::open(addr, purpose)).await.map_err(to_unsent)
     }
 
-    /// Whether the other side has not closed it, as far as is known.
+    /// Returns whether the connection is open, as far as is known: whether no close by the peer has been received.
     pub async fn is_open(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends one request and reads the whole reply within `limit`.
+    /// Sends one request and reads the whole reply, of at most [`MAX_BODY`], within `limit`.
     pub async fn send(&mut self, req: Request<Bytes>, limit: Duration) -> Result<Reply, NetError> {
         let host = self.addr.to_string();
         self.send_as(&host, req, limit).await
     }
 
-    /// Sends one request that names `host`, as [`Connection::send`] does.
+    /// Sends one request as [`Connection::send`] does, with `host` as its `Host` header.
     pub async fn send_as(&mut self, host: &str, req: Request<Bytes>, limit: Duration) -> Result<Reply, NetError> {
-        let req = addressed(req, host)?;
+        let req = with_headers(req, host)?;
         within(limit, async {
-            // The answer before may have come while its connection was not yet ready for another call.
+            // The reply to the previous call may have been received before the connection is ready for another one.
             self.sender.ready().await.map_err(|e| NetError::Unsent { why: e.to_string() })?;
             let res = self.sender.send_request(req).await.map_err(unsent_or_lost)?;
             let status = res.status();
@@ -104,31 +105,31 @@
         .await
     }
 
-    /// Sends one request without a body, and reads a reply of any size for as long as it keeps coming.
+    /// Sends one `GET` request and reads the reply, of at most [`MAX_BODY`], for as long as data keeps arriving.
     pub async fn read(&mut self, path: &str, limits: ReadLimits) -> Result<Reply, NetError> {
         let req = Request::builder().method(Method::GET).uri(path).body(Bytes::new());
-        let req = addressed(req.map_err(|e| NetError::Unsent { why: e.to_string() })?, &self.addr.to_string())?;
+        let req = with_headers(req.map_err(|e| NetError::Unsent { why: e.to_string() })?, &self.addr.to_string())?;
         let res = within(limits.head, async { self.sender.send_request(req).await.map_err(unsent_or_lost) }).await?;
         let status = res.status();
-        let body = read_while_it_comes(res.into_body(), limits.silence).await?;
+        let body = read_body(res.into_body(), limits.silence).await?;
         Ok(Reply { status, body })
     }
 }
 
-/// Reads a body of at most [`MAX_BODY`], each piece of which comes within `silence` of the one before.
-async fn read_while_it_comes(body: Incoming, silence: Duration) -> Result<Bytes, NetError> {
+/// Reads a body of at most [`MAX_BODY`]. Fails if no piece of it arrives for `silence`.
+async fn read_body(body: Incoming, silence: Duration) -> Result<Bytes, NetError> {
     let mut body = Limited::new(body, MAX_BODY);
-    let mut read = BytesMut::new();
+    let mut buf = BytesMut::new();
     while let Some(frame) = within(silence, async { body.frame().await.transpose().map_err(lost) }).await? {
         if let Ok(data) = frame.into_data() {
-            read.extend_from_slice(&data);
+            buf.extend_from_slice(&data);
         }
     }
-    Ok(read.freeze())
+    Ok(buf.freeze())
 }
 
-/// Adds the headers that every request bears.
-fn addressed(req: Request<Bytes>, host: &str) -> Result<Request<Full<Bytes>>, NetError> {
+/// Adds the headers that all requests have.
+fn with_headers(req: Request<Bytes>, host: &str) -> Result<Request<Full<Bytes>>, NetError> {
     let host = HeaderValue::from_str(host).map_err(|e| NetError::Unsent { why: e.to_string() })?;
     let mut req = req.map(Full::new);
     req.headers_mut().insert(HOST, host);
@@ -141,15 +142,15 @@
     if e.kind() == std::io::ErrorKind::ConnectionRefused { NetError::Refused { why } } else { NetError::Unsent { why } }
 }
 
-/// Whatever kept a connection from being made, the request did not leave.
-fn not_connected(e: NetError) -> NetError {
+/// Converts an error of connecting: whatever its cause, the request wasn't sent.
+fn to_unsent(e: NetError) -> NetError {
     match e {
         NetError::Lost { why } => NetError::Unsent { why },
         other => other,
     }
 }
 
-/// A request that `hyper` gave back was never written.
+/// Converts an error of sending. A request that `hyper` cancelled was never written to the connection.
 fn unsent_or_lost(e: hyper::Error) -> NetError {
     if e.is_canceled() { NetError::Unsent { why: e.to_string() } } else { lost(e) }
 }
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1: a client that reuses connections, and a server that answers from a handler.
+//! HTTP/1 client that reuses connections, and HTTP/1 server that passes requests to a handler.
 
 use std::{
     collections::HashMap,
@@ -27,28 +27,28 @@
 
 pub use crate::connection::{Connection, ReadLimits, Reply};
 
-/// Longest body that is read, in bytes: the platform's values reach 1 MB, with room for framing.
+/// Longest body that is read, in bytes. Values of the platform are up to 1 MB long, and their encoding adds to that.
 pub const MAX_BODY: usize = 4 * 1024 * 1024;
-/// `hyper` takes no smaller buffer for the head of a request, in bytes.
-const MIN_HEAD_BUFFER: usize = 8192;
-/// Most idle connections kept per address.
+/// Smallest buffer for the head of a request that `hyper` accepts, in bytes.
+const MIN_HEAD_BUFFER_BYTES: usize = 8192;
+/// Most idle connections that a client keeps for each address.
 const MAX_IDLE: usize = 8;
-/// How long the head of a request may take to arrive, unless a server says otherwise. It is long, since it also
-/// bounds how long a connection may stand idle.
+/// Default time limit of receiving the head of a request. It is long because it also limits how long a connection may
+/// be idle.
 const HEAD_LIMIT: Duration = Duration::from_secs(30);
-/// Longest head of a request in bytes, unless a server says otherwise: well above what our callers send.
-const MAX_HEAD: usize = 64 * 1024;
-/// A server that is stopping looks this often whether its last connection has closed.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
-/// Pause after a connection could not be taken: time for some descriptors to be freed.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// Most connections that a server holds open at once; more are closed on arrival.
+/// Default length limit of the head of a request, in bytes: well above what callers send.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+/// Interval at which a stopping server checks whether its last connection has closed.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Delay after a failed accept, which gives time for file descriptors to be freed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Default limit of the connections that a server has open at the same time; further ones are closed on arrival.
 pub const MAX_CONNECTIONS: usize = 4096;
 
-/// The content type of JSON.
+/// Content type of JSON.
 pub(crate) const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// A client that keeps idle connections by address. Cheap to clone.
+/// Client that keeps idle connections for each address. Cheap to clone; clones share the connections.
 #[derive(Clone, Default)]
 pub struct Client {
     purpose: Purpose,
@@ -56,14 +56,14 @@
 }
 
 impl Client {
-    /// A client whose calls are all for one purpose.
+    /// Creates a client whose traffic is counted under `purpose`.
     pub fn new(purpose: Purpose) -> Client {
         Client { purpose, ..Client::default() }
     }
 
     /// Sends one request and reads the whole reply.
     ///
-    /// `limit` covers connecting, sending and reading.
+    /// `limit` applies to connecting, sending and reading together.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -82,12 +82,12 @@
 
     /// Sends one request with its own headers and reads the whole reply, as [`Client::call`] does.
     ///
-    /// A connection whose reply did not come in time is closed: nothing more is to be expected of it.
+    /// A connection without a reply in time is closed, since later calls on it are unlikely to receive one either.
     pub async fn send(&self, addr: SocketAddr, req: Request<Bytes>, limit: Duration) -> Result<Reply, NetError> {
         self.send_as(addr, &addr.to_string(), req, limit).await
     }
 
-    /// Sends one request that names `host`, as [`Client::send`] does.
+    /// Sends one request as [`Client::send`] does, with `host` as its `Host` header.
     pub async fn send_as(
         &self,
         addr: SocketAddr,
@@ -95,19 +95,19 @@
         req: Request<Bytes>,
         limit: Duration,
     ) -> Result<Reply, NetError> {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let mut connection = self.connection(addr, limit).await?;
-        let reply = connection.send_as(host, req, limit.saturating_sub(begun.elapsed())).await;
-        self.after_call(addr, connection, reply)
+        let reply = connection.send_as(host, req, limit.saturating_sub(started.elapsed())).await;
+        self.finish_call(addr, connection, reply)
     }
 
-    /// Sends one request without a body, and reads a reply of any size for as long as it keeps coming.
+    /// Sends one `GET` request and reads the reply, of at most [`MAX_BODY`], for as long as data keeps arriving.
     pub async fn read(&self, addr: SocketAddr, path: &str, limits: ReadLimits) -> Result<Reply, NetError> {
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let mut connection = self.connection(addr, limits.head).await?;
-        let head = limits.head.saturating_sub(begun.elapsed());
+        let head = limits.head.saturating_sub(started.elapsed());
         let reply = connection.read(path, ReadLimits { head, ..limits }).await;
-        self.after_call(addr, connection, reply)
+        self.finish_call(addr, connection, reply)
     }
 
     /// Closes the idle connections to an address.
@@ -115,7 +115,7 @@
         self.idle.lock().expect("no holder panics").remove(&addr);
     }
 
-    /// Posts a JSON value and reads a JSON value, whatever the status.
+    /// Posts a JSON value and parses the reply as JSON, whatever its status.
     pub async fn post_json<T: DeserializeOwned>(
         &self,
         addr: SocketAddr,
@@ -127,10 +127,9 @@
         self.call(addr, Method::POST, path, body.into(), limit).await?.json()
     }
 
-    /// Keeps a connection that has answered. After a call without an answer, all idle ones to the address are closed:
-    /// what made this one silent may have silenced those that stood at the time as well, and each would cost a call its
-    /// whole limit.
-    fn after_call(
+    /// Keeps the connection of a call that received a reply. After a call without a reply, closes all idle connections
+    /// to the address: the same fault may have made them unresponsive, and each would delay a call by its whole limit.
+    fn finish_call(
         &self,
         addr: SocketAddr,
         connection: Connection,
@@ -146,7 +145,7 @@
 
     async fn connection(&self, addr: SocketAddr, limit: Duration) -> Result<Connection, NetError> {
         while let Some(mut connection) = self.take_idle(addr) {
-            // A connection that the other side closed while idle is found out here and dropped.
+            // Drops connections that the peer closed while they were idle.
             if connection.is_open().await {
                 return Ok(connection);
             }
@@ -167,34 +166,34 @@
     }
 }
 
-/// A request whose body has been read.
+/// Request whose body has been read.
 #[derive(Debug)]
 pub struct Call {
-    /// The method.
+    /// Method of the request.
     pub method: Method,
-    /// The path without the query.
+    /// Path without the query.
     pub path: String,
-    /// The query, without `?`; empty if there is none.
+    /// Query without `?`; empty if there is none.
     pub query: String,
-    /// The headers.
+    /// Headers of the request.
     pub headers: HeaderMap,
-    /// The whole body.
+    /// Whole body.
     pub body: Bytes,
 }
 
-/// Answers requests.
+/// Handler of the requests that a server receives.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers one request; `None` closes the connection without a reply.
+    /// Returns the response to a request; `None` closes the connection without a response.
     fn handle(&self, call: Call) -> BoxFuture<'_, Option<Response<Full<Bytes>>>>;
 }
 
-/// A JSON response.
+/// Creates a response with `value` as JSON.
 pub fn json_response(status: StatusCode, value: &impl Serialize) -> Response<Full<Bytes>> {
     let body = serde_json::to_vec(value).expect("our own types always serialize");
     response(status, JSON, body.into())
 }
 
-/// A response of plain text.
+/// Creates a response of plain text in UTF-8.
 pub fn text_response(status: StatusCode, text: String) -> Response<Full<Bytes>> {
     response(status, HeaderValue::from_static("text/plain; charset=utf-8"), text.into())
 }
@@ -206,33 +205,38 @@
     res
 }
 
-/// Limits of a server.
+/// Limits of an HTTP server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Connections held open at once; more are closed on arrival.
+    /// Most connections open at the same time; further ones are closed on arrival.
     pub connections: usize,
-    /// How long the head of a request may take to arrive, also on an idle connection.
+    /// Time limit of receiving the head of a request, which includes the time that the connection is idle before.
     pub head: Duration,
-    /// Longest head, in bytes.
+    /// Longest head of a request, in bytes; values below 8192 act as 8192.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Longest body of a request, in bytes; a longer one is answered with status 413.
     pub body_bytes: usize,
 }
 
 impl Default for ServerLimits {
     fn default() -> ServerLimits {
-        ServerLimits { connections: MAX_CONNECTIONS, head: HEAD_LIMIT, head_bytes: MAX_HEAD, body_bytes: MAX_BODY }
+        ServerLimits {
+            connections: MAX_CONNECTIONS,
+            head: HEAD_LIMIT,
+            head_bytes: MAX_HEAD_BYTES,
+            body_bytes: MAX_BODY,
+        }
     }
 }
 
-/// Serves connections until the future is dropped, which also closes every connection.
+/// Serves connections with default limits until the future is dropped, which also closes every connection.
 pub async fn serve(listener: TcpListener, handler: Arc<dyn Handler>) {
     let (_never, stop) = smol::channel::bounded(1);
     serve_until(listener, handler, Purpose::Other, ServerLimits::default(), stop).await;
 }
 
-/// Serves connections until `stop` is closed; then no more are taken, each is closed once its request is
-/// answered, and the future ends with the last of them.
+/// Serves connections until `stop` is closed, then stops gracefully: no more connections are accepted, each open one is
+/// closed after its current request is answered, and the future completes when the last one has closed.
 pub async fn serve_until(
     listener: TcpListener,
     handler: Arc<dyn Handler>,
@@ -245,8 +249,8 @@
     let accept = async {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // Out of descriptors, most likely: wait for some to be closed.
-                smol::Timer::after(ACCEPT_PAUSE).await;
+                // Most likely no file descriptors are left: wait until some are closed.
+                smol::Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             if open.load(Ordering::Relaxed) >= limits.connections {
@@ -266,12 +270,12 @@
     };
     ex.run(accept.or(stopped)).await;
     drop(listener);
-    let emptied = async {
+    let all_closed = async {
         while open.load(Ordering::Relaxed) > 0 {
-            smol::Timer::after(LOOK_EVERY).await;
+            smol::Timer::after(STOP_POLL_INTERVAL).await;
         }
     };
-    ex.run(emptied).await;
+    ex.run(all_closed).await;
 }
 
 async fn serve_connection(
@@ -288,10 +292,10 @@
     let conn = hyper::server::conn::http1::Builder::new()
         .timer(SmolTimer::new())
         .header_read_timeout(limits.head)
-        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(Counted::new(stream, purpose)), service);
     let mut conn = std::pin::pin!(conn);
-    // A connection that breaks ends here; the caller sees the break.
+    // An error here means that the connection broke, which the caller detects too.
     let ended = async {
         let _ = conn.as_mut().await;
         true
@@ -309,11 +313,14 @@
 async fn answer(
     req: Request<Incoming>,
     handler: &Arc<dyn Handler>,
-    most: usize,
+    max_body_bytes: usize,
 ) -> std::io::Result<Response<Full<Bytes>>> {
     let (parts, body) = req.into_parts();
-    let Ok(body) = Limited::new(body, most).collect().await else {
-        return Ok(text_response(StatusCode::PAYLOAD_TOO_LARGE, format!("a body may have {most} bytes\n")));
+    let Ok(body) = Limited::new(body, max_body_bytes).collect().await else {
+        return Ok(text_response(
+            StatusCode::PAYLOAD_TOO_LARGE,
+            format!("the body must have at most {max_body_bytes} bytes\n"),
+        ));
     };
     let call = Call {
         method: parts.method,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,7 @@
-//! Plumbing between libraries: HTTP/1 client and server, and gRPC over HTTP/2, on `smol`.
+//! HTTP/1 client and server, and gRPC over HTTP/2, on `smol`.
 //!
-//! `hyper` speaks the protocols and `smol-hyper` adapts its traits; what is here is connection
-//! reuse, deadlines and limits, which `hyper`'s connection types leave to their user.
-//! There is no routing, discovery or proxying.
+//! `hyper` implements the protocols and `smol-hyper` adapts its traits. This crate adds what `hyper`'s connection types
+//! leave to their user: connection reuse, deadlines and limits. It has no routing, discovery or proxying.
 
 pub mod grpc;
 pub mod http;
@@ -23,30 +22,30 @@
     turns::Turns,
 };
 
-/// A boxed future that can move between threads.
+/// Boxed future that can be sent between threads.
 pub type BoxFuture<'a, T> = std::pin::Pin<Box<dyn Future<Output = T> + Send + 'a>>;
 
-/// A connection that has carried nothing for so long is probed, and again after as long.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// A connection on which nothing is acknowledged for so long is broken off. With the probes, a peer that has gone silent
-/// is found out about 2 s after it was last heard, also by a call that waits longer than that for its answer.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1500);
+/// Idle time after which TCP keep-alive probes are sent, and the interval between them.
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time without acknowledgement after which a connection is closed. With the probes, an unresponsive peer is detected
+/// about 2 s after its last packet, even by a call that waits longer than that for its reply.
+const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Connects with Nagle's algorithm off: with it on, small messages wait about 40 ms for a delayed
-/// acknowledgement. A peer that falls silent for good breaks the connection.
+/// Connects with Nagle's algorithm disabled, which would delay small messages by about 40 ms until a delayed
+/// acknowledgement arrives. The connection is closed if the peer becomes unresponsive.
 pub async fn connect(addr: SocketAddr) -> std::io::Result<TcpStream> {
     let stream = TcpStream::connect(addr).await?;
     stream.set_nodelay(true)?;
-    if let Err(e) = probe_when_silent(&stream) {
-        // Calls are bounded by their own limits all the same.
+    if let Err(e) = enable_probes(&stream) {
+        // The limits of calls still apply.
         log::debug!("event=not_probed addr={addr} why={e}");
     }
     Ok(stream)
 }
 
-fn probe_when_silent(stream: &TcpStream) -> rustix::io::Result<()> {
+fn enable_probes(stream: &TcpStream) -> rustix::io::Result<()> {
     sockopt::set_socket_keepalive(stream, true)?;
-    sockopt::set_tcp_keepidle(stream, PROBE_AFTER)?;
-    sockopt::set_tcp_keepintvl(stream, PROBE_AFTER)?;
-    sockopt::set_tcp_user_timeout(stream, SILENCE_LIMIT.as_millis() as u32)
+    sockopt::set_tcp_keepidle(stream, PROBE_INTERVAL)?;
+    sockopt::set_tcp_keepintvl(stream, PROBE_INTERVAL)?;
+    sockopt::set_tcp_user_timeout(stream, TCP_USER_TIMEOUT.as_millis() as u32)
 }
--- a/crates/net/src/traffic.rs
+++ b/crates/net/src/traffic.rs
@@ -1,6 +1,6 @@
-//! Bytes that this process has sent and received, by what its connections are for.
+//! Counts of the bytes that this process has sent and received, by purpose of the connection.
 //!
-//! Counted where sockets take and give them: heads of messages are in, those of packets are not.
+//! The bytes are counted at the sockets: headers of messages are included, those of packets are not.
 
 use std::{
     fmt, io,
@@ -14,71 +14,71 @@
     net::TcpStream,
 };
 
-/// What a connection is for.
+/// Purpose of a connection, by which its traffic is counted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "snake_case")]
 pub enum Purpose {
-    /// Calls to the store.
+    /// Calls to the platform's store.
     Store,
-    /// Renewals of leases, and what backend servers list.
+    /// Heartbeats to backend servers, which renew leases and return listings.
     Listings,
-    /// Orders to backend servers.
+    /// Orders to backend servers, such as starts and stops.
     Orders,
     /// Calls between boxes.
     Boxes,
-    /// Callers' requests.
+    /// Requests of callers.
     Callers,
-    /// Anything else.
+    /// Any other purpose.
     #[default]
     Other,
 }
 
 impl Purpose {
-    /// All of them.
+    /// All purposes, in the order of their counters.
     pub const ALL: [Purpose; 6] =
         [Purpose::Store, Purpose::Listings, Purpose::Orders, Purpose::Boxes, Purpose::Callers, Purpose::Other];
 
-    /// What has gone over its connections since the process began.
+    /// Returns the traffic of all connections of this purpose since the process started.
     pub fn traffic(self) -> Traffic {
-        let count = &COUNTS[self as usize];
-        Traffic { sent: count.sent.load(Ordering::Relaxed), received: count.received.load(Ordering::Relaxed) }
+        let counters = &COUNTERS[self as usize];
+        Traffic { sent: counters.sent.load(Ordering::Relaxed), received: counters.received.load(Ordering::Relaxed) }
     }
 }
 
-/// Bytes.
+/// Traffic of connections, in bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Traffic {
-    /// To the other side.
+    /// Bytes sent to the peer.
     pub sent: u64,
-    /// From the other side.
+    /// Bytes received from the peer.
     pub received: u64,
 }
 
-/// Shows the traffic of all purposes as the fields of a line in the log.
+/// Formats the traffic of all purposes as the `key=value` fields of a log line.
 #[derive(Debug)]
 pub struct AllTraffic;
 
 impl fmt::Display for AllTraffic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, purpose) in Purpose::ALL.into_iter().enumerate() {
+        for (i, purpose) in Purpose::ALL.into_iter().enumerate() {
             let Traffic { sent, received } = purpose.traffic();
-            let gap = if place == 0 { "" } else { " " };
-            write!(f, "{gap}{purpose}_sent={sent} {purpose}_received={received}")?;
+            let separator = if i == 0 { "" } else { " " };
+            write!(f, "{separator}{purpose}_sent={sent} {purpose}_received={received}")?;
         }
         Ok(())
     }
 }
 
-struct Count {
+struct Counters {
     sent: AtomicU64,
     received: AtomicU64,
 }
 
-/// By purpose, in the order of [`Purpose::ALL`].
-static COUNTS: [Count; Purpose::ALL.len()] =
-    [const { Count { sent: AtomicU64::new(0), received: AtomicU64::new(0) } }; Purpose::ALL.len()];
+/// Counters of each purpose, in the order of [`Purpose::ALL`].
+static COUNTERS: [Counters; Purpose::ALL.len()] =
+    [const { Counters { sent: AtomicU64::new(0), received: AtomicU64::new(0) } }; Purpose::ALL.len()];
 
-/// A stream whose bytes are counted.
+/// TCP stream whose bytes are counted.
 pub(crate) struct Counted {
     stream: TcpStream,
     purpose: Purpose,
@@ -89,13 +89,13 @@
         Counted { stream, purpose }
     }
 
-    fn count(&self) -> &'static Count {
-        &COUNTS[self.purpose as usize]
+    fn counters(&self) -> &'static Counters {
+        &COUNTERS[self.purpose as usize]
     }
 
-    fn sent(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    fn count_sent(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(n)) = &result {
-            self.count().sent.fetch_add(*n as u64, Ordering::Relaxed);
+            self.counters().sent.fetch_add(*n as u64, Ordering::Relaxed);
         }
         result
     }
@@ -105,7 +105,7 @@
     fn poll_read(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_read(cx, buf);
         if let Poll::Ready(Ok(n)) = &result {
-            self.count().received.fetch_add(*n as u64, Ordering::Relaxed);
+            self.counters().received.fetch_add(*n as u64, Ordering::Relaxed);
         }
         result
     }
@@ -114,7 +114,7 @@
 impl AsyncWrite for Counted {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.sent(result)
+        self.count_sent(result)
     }
 
     fn poll_write_vectored(
@@ -123,7 +123,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.sent(result)
+        self.count_sent(result)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/net/src/turns.rs
+++ b/crates/net/src/turns.rs
@@ -1,36 +1,36 @@
-//! Many calls that become due at once, made a few at a time.
+//! Limit on concurrent calls, for many calls that become due at the same time.
 
 use std::time::Duration;
 
 use smol::lock::Semaphore;
 
-/// Lets a bounded number of calls be under way. A call's turn is over when it is answered, or after a while: those that get no
-/// answer must not hold up the others.
+/// Limits the number of calls in flight. A call occupies a slot until it completes, but not longer than a time limit,
+/// so that calls without a response don't delay the others. After that it continues without a slot.
 #[derive(Debug)]
 pub struct Turns {
-    free: Semaphore,
-    longest: Duration,
+    slots: Semaphore,
+    slot_limit: Duration,
 }
 
 impl Turns {
-    /// `at_once` calls have their turn at once, each for `longest` at most.
-    pub fn new(at_once: usize, longest: Duration) -> Turns {
-        Turns { free: Semaphore::new(at_once), longest }
+    /// Creates a limit of `slots` concurrent calls, each of which occupies its slot for at most `slot_limit`.
+    pub fn new(slots: usize, slot_limit: Duration) -> Turns {
+        Turns { slots: Semaphore::new(slots), slot_limit }
     }
 
-    /// Makes a call in its turn; calls get theirs in the order in which they ask for it.
+    /// Runs `call` after a slot is free. Slots are assigned in the order of the calls to this method.
     pub async fn take<T>(&self, call: impl Future<Output = T>) -> T {
         let mut call = std::pin::pin!(call);
-        let turn = self.free.acquire().await;
-        let answered = async { Some(call.as_mut().await) };
-        let over = async {
-            smol::Timer::after(self.longest).await;
+        let slot = self.slots.acquire().await;
+        let completed = async { Some(call.as_mut().await) };
+        let expired = async {
+            smol::Timer::after(self.slot_limit).await;
             None
         };
-        if let Some(answer) = futures_lite::FutureExt::or(answered, over).await {
-            return answer;
+        if let Some(output) = futures_lite::FutureExt::or(completed, expired).await {
+            return output;
         }
-        drop(turn);
+        drop(slot);
         call.await
     }
 }
--- a/crates/net/tests/turns.rs
+++ b/crates/net/tests/turns.rs
@@ -1,4 +1,4 @@
-//! Calls that take turns.
+//! Limit on concurrent calls.
 
 use std::{
     cell::Cell,
@@ -7,19 +7,19 @@
 
 use net::Turns;
 
-const AT_ONCE: usize = 8;
+const SLOTS: usize = 8;
 const CALLS: usize = 100;
 
 #[test]
-fn no_more_are_under_way_than_have_their_turn() {
-    let turns = Turns::new(AT_ONCE, Duration::from_secs(60));
-    let (under_way, most, answered) = (Cell::new(0), Cell::new(0), Cell::new(0));
+fn no_more_calls_are_in_flight_than_there_are_slots() {
+    let turns = Turns::new(SLOTS, Duration::from_secs(60));
+    let (in_flight, most, completed) = (Cell::new(0), Cell::new(0), Cell::new(0));
     let call = async || {
-        under_way.set(under_way.get() + 1);
-        most.set(most.get().max(under_way.get()));
+        in_flight.set(in_flight.get() + 1);
+        most.set(most.get().max(in_flight.get()));
         smol::Timer::after(Duration::from_millis(2)).await;
-        under_way.set(under_way.get() - 1);
-        answered.set(answered.get() + 1);
+        in_flight.set(in_flight.get() - 1);
+        completed.set(completed.get() + 1);
     };
     let ex = smol::LocalExecutor::new();
     let calls: Vec<_> = (0..CALLS).map(|_| ex.spawn(turns.take(call()))).collect();
@@ -28,26 +28,26 @@
             call.await;
         }
     }));
-    assert_eq!((most.get(), answered.get()), (AT_ONCE, CALLS));
+    assert_eq!((most.get(), completed.get()), (SLOTS, CALLS));
 }
 
 #[test]
-fn calls_without_an_answer_hold_up_the_others_for_their_turn_only() {
-    let turns = Turns::new(AT_ONCE, Duration::from_millis(5));
-    let begun = Cell::new(0);
-    let silent = async || {
-        begun.set(begun.get() + 1);
+fn calls_without_a_response_delay_others_only_by_their_slot_limit() {
+    let turns = Turns::new(SLOTS, Duration::from_millis(5));
+    let started = Cell::new(0);
+    let unanswered = async || {
+        started.set(started.get() + 1);
         std::future::pending::<()>().await;
     };
     let ex = smol::LocalExecutor::new();
-    let _silent: Vec<_> = (0..CALLS).map(|_| ex.spawn(turns.take(silent()))).collect();
-    let asked = Instant::now();
+    let _unanswered: Vec<_> = (0..CALLS).map(|_| ex.spawn(turns.take(unanswered()))).collect();
+    let begin = Instant::now();
     smol::block_on(ex.run(async {
-        while begun.get() < CALLS {
+        while started.get() < CALLS {
             smol::Timer::after(Duration::from_millis(1)).await;
         }
         turns.take(async {}).await;
     }));
-    // 100 calls without an answer, 8 at once, 5 ms each: 65 ms. Far below the minute that a call may take in all.
-    assert!(asked.elapsed() < Duration::from_secs(20), "{:?}", asked.elapsed());
+    // 100 calls without a response, 8 at a time, 5 ms each: 65 ms, far below the minute that a whole call may take.
+    assert!(begin.elapsed() < Duration::from_secs(20), "{:?}", begin.elapsed());
 }
