--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -19,7 +19,7 @@
 pub use crate::{
     deadline::{NetError, within},
     traffic::{AllTraffic, Purpose, Traffic},
-    turns::Turns,
+    turns::CallLimiter,
 };
 
 /// Boxed future that can be sent between threads.
--- a/crates/net/src/turns.rs
+++ b/crates/net/src/turns.rs
@@ -7,19 +7,19 @@
 /// Limits the number of calls in flight. A call occupies a slot until it completes, but not longer than a time limit,
 /// so that calls without a response don't delay the others. After that it continues without a slot.
 #[derive(Debug)]
-pub struct Turns {
+pub struct CallLimiter {
     slots: Semaphore,
     slot_limit: Duration,
 }
 
-impl Turns {
+impl CallLimiter {
     /// Creates a limit of `slots` concurrent calls, each of which occupies its slot for at most `slot_limit`.
-    pub fn new(slots: usize, slot_limit: Duration) -> Turns {
-        Turns { slots: Semaphore::new(slots), slot_limit }
+    pub fn new(slots: usize, slot_limit: Duration) -> CallLimiter {
+        CallLimiter { slots: Semaphore::new(slots), slot_limit }
     }
 
     /// Runs `call` after a slot is free. Slots are assigned in the order of the calls to this method.
-    pub async fn take<T>(&self, call: impl Future<Output = T>) -> T {
+    pub async fn run<T>(&self, call: impl Future<Output = T>) -> T {
         let mut call = std::pin::pin!(call);
         let slot = self.slots.acquire().await;
         let completed = async { Some(call.as_mut().await) };
--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -7,7 +7,7 @@
 
 use jobs::{RunNumber, TaskId};
 use model::{BackendServerId, Duration, Moment};
-use net::{NetError, Turns};
+use net::{CallLimiter, NetError};
 use scheduler::{CallFailure, Order, Scheduler, StartReply};
 use smol::channel::Receiver;
 
@@ -41,7 +41,7 @@
     /// Weak, since the scheduler's links own the loops.
     pub(crate) active: Weak<Active>,
     /// For the first call of all.
-    pub(crate) first_calls: Arc<Turns>,
+    pub(crate) first_calls: Arc<CallLimiter>,
 }
 
 /// Renews leases, takes listings in and acknowledges ends, until the backend server or the scheduler is gone.
@@ -58,7 +58,7 @@
         let _ = stored.try_recv();
         let sent = worker.now();
         let call = worker.cx.servers.heartbeat(target, heartbeat);
-        let reply = if std::mem::take(&mut first) { worker.first_calls.take(call).await } else { call.await };
+        let reply = if std::mem::take(&mut first) { worker.first_calls.run(call).await } else { call.await };
         telemetry::count_server_call("hold", heartbeat_outcome(&reply));
         match reply {
             Ok(HeartbeatReply::Listing(listing)) => {
--- a/crates/runtime/src/links.rs
+++ b/crates/runtime/src/links.rs
@@ -6,7 +6,7 @@
 };
 
 use model::{BackendServerId, Moment};
-use net::Turns;
+use net::CallLimiter;
 use scheduler::Order;
 use smol::channel::Sender;
 
@@ -45,7 +45,7 @@
     /// Most links, but for those to backend servers that run something.
     most: usize,
     table: Mutex<Table>,
-    first_calls: Arc<Turns>,
+    first_calls: Arc<CallLimiter>,
 }
 
 #[derive(Default)]
@@ -56,7 +56,7 @@
 
 impl Links {
     pub(crate) fn new(cx: Context, most: usize) -> Links {
-        Links { cx, most, table: Mutex::default(), first_calls: Arc::new(Turns::new(FIRST_CALLS, FIRST_TURN)) }
+        Links { cx, most, table: Mutex::default(), first_calls: Arc::new(CallLimiter::new(FIRST_CALLS, FIRST_TURN)) }
     }
 
     fn lock(&self) -> MutexGuard<'_, Table> {
