--- a/crates/entry/src/adopt.rs
+++ b/crates/entry/src/adopt.rs
@@ -58,7 +58,9 @@
         }
         match self.view.peers().get(&holder.box_id) {
             Some(status) if status.incarnation > holder.incarnation => true,
-            Some(status) => now.since(status.last_heard) > self.limits.adopt_after + self.limits.membership.dead_after,
+            Some(status) => {
+                now.since(status.last_heartbeat) > self.limits.adopt_after + self.limits.membership.dead_after
+            }
             // Never heard: this process is young, or the box was gone before it began.
             None => self.view.may_judge(now),
         }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -84,7 +84,7 @@
         now: Moment,
     ) {
         let before = self.view.peers().get(peer).map(|s| s.incarnation);
-        self.view.heard(peer, incarnation, leaving, now);
+        self.view.record_heartbeat(peer, incarnation, leaving, now);
         if before.is_some_and(|it| it < incarnation) {
             // A new life: what the old one held is orphaned.
             self.recover_at.get_or_insert(now + self.limits.adopt_after);
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -15,7 +15,7 @@
 //! for _ in 0..20 {
 //!     now = now + Duration::from_millis(500);
 //!     view.tick(now);
-//!     view.heard(&other, Incarnation(7), false, now);
+//!     view.record_heartbeat(&other, Incarnation(7), false, now);
 //! }
 //! assert_eq!(view.planner(now), &other);
 //! ```
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -40,7 +40,7 @@
     /// Latest observed incarnation.
     pub incarnation: Incarnation,
     /// Time of the last heartbeat.
-    pub last_heard: Moment,
+    pub last_heartbeat: Moment,
     /// Start of the current period of heartbeats without a gap.
     pub steady_since: Moment,
     /// Whether the box has announced that it is draining.
@@ -62,7 +62,7 @@
     /// Creates a view that contains only the own box.
     pub fn new(own_id: BoxId, limits: Limits, now: Moment) -> View {
         let own =
-            Status { incarnation: Incarnation(0), last_heard: now, steady_since: now, leaving: false, returns: 0 };
+            Status { incarnation: Incarnation(0), last_heartbeat: now, steady_since: now, leaving: false, returns: 0 };
         View { own_id, limits, own, peers: BTreeMap::new() }
     }
 
@@ -74,35 +74,36 @@
     /// Advances the view to `now`. A gap of more than `dead_after` since the last call means that this process was
     /// paused: other boxes have considered it dead, so it counts as returned.
     pub fn tick(&mut self, now: Moment) {
-        let paused = now.since(self.own.last_heard) > self.limits.dead_after;
+        let paused = now.since(self.own.last_heartbeat) > self.limits.dead_after;
         if paused {
             record_return(&mut self.own, self.limits, now);
             // Heartbeats from before the pause don't tell which peers are live now: give each peer
             // time to send another one.
             for peer in self.peers.values_mut() {
-                peer.last_heard = peer.last_heard.max(now - self.limits.heartbeat_every - self.limits.heartbeat_every);
+                peer.last_heartbeat =
+                    peer.last_heartbeat.max(now - self.limits.heartbeat_every - self.limits.heartbeat_every);
             }
         }
-        self.own.last_heard = now;
+        self.own.last_heartbeat = now;
     }
 
     /// Records a heartbeat of `peer`. Heartbeats of an incarnation earlier than the latest observed one are ignored.
-    pub fn heard(&mut self, peer: &BoxId, incarnation: Incarnation, leaving: bool, now: Moment) {
+    pub fn record_heartbeat(&mut self, peer: &BoxId, incarnation: Incarnation, leaving: bool, now: Moment) {
         if *peer == self.own_id {
             return;
         }
         let limits = self.limits;
-        let fresh = Status { incarnation, last_heard: now, steady_since: now, leaving, returns: 0 };
+        let fresh = Status { incarnation, last_heartbeat: now, steady_since: now, leaving, returns: 0 };
         let status = self.peers.entry(peer.clone()).or_insert(fresh);
         if incarnation < status.incarnation {
             return;
         }
-        let gap = now.since(status.last_heard) > limits.dead_after;
+        let gap = now.since(status.last_heartbeat) > limits.dead_after;
         if gap || incarnation > status.incarnation {
             record_return(status, limits, now);
         }
         status.incarnation = incarnation;
-        status.last_heard = now;
+        status.last_heartbeat = now;
         status.leaving = leaving;
     }
 
@@ -165,7 +166,7 @@
     }
 
     fn has_recent_heartbeat(&self, status: &Status, now: Moment) -> bool {
-        now.since(status.last_heard) <= self.limits.dead_after
+        now.since(status.last_heartbeat) <= self.limits.dead_after
     }
 
     /// Returns how long a box must have been live without a gap to plan. The time doubles with each return, so that the
@@ -177,7 +178,7 @@
 }
 
 fn record_return(status: &mut Status, limits: Limits, now: Moment) {
-    let steady_for = status.last_heard.since(status.steady_since);
+    let steady_for = status.last_heartbeat.since(status.steady_since);
     status.returns = if steady_for >= limits.forgive_after { 1 } else { status.returns + 1 };
     status.steady_since = now;
 }
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -17,7 +17,7 @@
         clock.0 = clock.0 + every;
         view.tick(clock.0);
         for (name, incarnation) in live {
-            view.heard(&id(name), Incarnation(*incarnation), false, clock.0);
+            view.record_heartbeat(&id(name), Incarnation(*incarnation), false, clock.0);
         }
     }
 }
@@ -61,7 +61,7 @@
 fn a_draining_box_does_not_plan() {
     let (mut view, mut clock) = view();
     advance(&mut view, &mut clock, Duration::from_secs(10), &[("box-1", 1)]);
-    view.heard(&id("box-1"), Incarnation(1), true, clock.0);
+    view.record_heartbeat(&id("box-1"), Incarnation(1), true, clock.0);
     assert_eq!(view.planner(clock.0), &id("box-2"));
 }
 
@@ -69,7 +69,7 @@
 fn heartbeats_of_an_earlier_incarnation_are_ignored() {
     let (mut view, mut clock) = view();
     advance(&mut view, &mut clock, Duration::from_secs(1), &[("box-1", 5)]);
-    view.heard(&id("box-1"), Incarnation(4), true, clock.0);
+    view.record_heartbeat(&id("box-1"), Incarnation(4), true, clock.0);
     assert_eq!(view.peers()[&id("box-1")].incarnation, Incarnation(5));
     assert!(!view.peers()[&id("box-1")].leaving);
 }
