--- a/crates/entry/src/adopt.rs
+++ b/crates/entry/src/adopt.rs
@@ -53,7 +53,7 @@
         if holder.box_id == self.id.box_id {
             return holder.incarnation < self.id.incarnation;
         }
-        if self.view.is_live_life(&holder.box_id, holder.incarnation, self.id.incarnation, now) {
+        if self.view.is_live_incarnation(&holder.box_id, holder.incarnation, self.id.incarnation, now) {
             return false;
         }
         match self.view.peers().get(&holder.box_id) {
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/intake.rs
@@ -191,7 +191,7 @@
             };
         }
         let minter = &ticket.minted_by;
-        let live = self.view.is_live_life(minter, ticket.incarnation, self.id.incarnation, now);
+        let live = self.view.is_live_incarnation(minter, ticket.incarnation, self.id.incarnation, now);
         let elsewhere = self.directory.get(minter).is_some_and(|b| b.availability_zone != self.id.availability_zone);
         if live || elsewhere {
             let minter = minter.clone();
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -109,7 +109,7 @@
     }
 
     pub(crate) fn is_live_holder(&self, holder: &Holder, now: Moment) -> bool {
-        self.view.is_live_life(&holder.box_id, holder.incarnation, self.id.incarnation, now)
+        self.view.is_live_incarnation(&holder.box_id, holder.incarnation, self.id.incarnation, now)
     }
 
     /// Answers another box: from here alone, or from wherever the request is held.
@@ -282,7 +282,7 @@
     }
 
     pub(crate) fn is_live_ticket(&self, ticket: &JobId, now: Moment) -> bool {
-        self.view.is_live_life(&ticket.minted_by, ticket.incarnation, self.id.incarnation, now)
+        self.view.is_live_incarnation(&ticket.minted_by, ticket.incarnation, self.id.incarnation, now)
     }
 }
 
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns whether the given incarnation of a box is live; `own` is the incarnation of this process.
-    pub fn is_live_life(&self, id: &BoxId, incarnation: Incarnation, own: Incarnation, now: Moment) -> bool {
+    pub fn is_live_incarnation(&self, id: &BoxId, incarnation: Incarnation, own: Incarnation, now: Moment) -> bool {
         if *id == self.own_id {
             return incarnation == own;
         }
