--- a/crates/entry/src/adopt.rs
+++ b/crates/entry/src/adopt.rs
@@ -17,7 +17,7 @@
             return;
         }
         self.adopted_at = Some(now);
-        let plans = *self.view.planner(now) == self.id.box_id && self.view.may_judge(now) && !self.draining;
+        let plans = *self.view.planner(now) == self.id.box_id && self.view.can_detect_failures(now) && !self.draining;
         let orphans: Vec<(JobId, BTreeMap<BackendServerId, Lease>)> = self
             .replicas
             .by_job()
@@ -62,7 +62,7 @@
                 now.since(status.last_heartbeat) > self.limits.adopt_after + self.limits.membership.dead_after
             }
             // Never heard: this process is young, or the box was gone before it began.
-            None => self.view.may_judge(now),
+            None => self.view.can_detect_failures(now),
         }
     }
 }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -207,7 +207,7 @@
                 PeerRequest::Lookup { customer, request, wait, ticket: Some(standing.ticket), pass_on: false },
             );
         }
-        if !self.view.may_judge(now) {
+        if !self.view.can_detect_failures(now) {
             return self.reply(op.to, CallerReply::Job(moved_answer()));
         }
         let ticket = (standing.ticket, standing.repeatable);
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -250,7 +250,7 @@
             return self.reply(route.to, CallerReply::Job(JobAnswer::Over { outcome }));
         }
         // Nobody holds it, also if the box that minted the ticket lives: it gave the ticket up.
-        if route.ask == Ask::Cancel && self.view.may_judge(now) {
+        if route.ask == Ask::Cancel && self.view.can_detect_failures(now) {
             return self.cancel_orphan(route.name, route.to, claim, version, now);
         }
         self.reply(route.to, CallerReply::Job(orphan_answer()));
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/settle.rs
@@ -134,7 +134,7 @@
 
     /// The planner looks for durable jobs whose box is gone.
     fn recover_if_due(&mut self, now: Moment) {
-        if self.recover_at.is_none_or(|at| at > now) || self.draining || !self.view.may_judge(now) {
+        if self.recover_at.is_none_or(|at| at > now) || self.draining || !self.view.can_detect_failures(now) {
             return;
         }
         self.recover_at = None;
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -127,7 +127,7 @@
 
     /// Returns whether this box has run without a pause for long enough to conclude from missing heartbeats that a box
     /// is dead.
-    pub fn may_judge(&self, now: Moment) -> bool {
+    pub fn can_detect_failures(&self, now: Moment) -> bool {
         now.since(self.own.steady_since) >= self.limits.dead_after + self.limits.heartbeat_every
     }
 
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -80,6 +80,6 @@
     advance(&mut view, &mut clock, Duration::from_secs(10), &[("box-1", 1)]);
     clock.0 = clock.0 + Duration::from_secs(60);
     view.tick(clock.0);
-    assert!(!view.may_judge(clock.0));
+    assert!(!view.can_detect_failures(clock.0));
     assert!(view.is_live(&id("box-1"), clock.0), "it has time to send another heartbeat");
 }
