--- a/crates/entry/src/handover.rs
+++ b/crates/entry/src/handover.rs
@@ -25,7 +25,7 @@
     /// Begins to leave.
     pub(crate) fn drain(&mut self) {
         self.draining = true;
-        self.view.set_leaving(true);
+        self.view.set_draining(true);
         // Peers hear of it at once.
         self.last_heartbeat = None;
     }
@@ -135,7 +135,7 @@
 
     /// A live box of the availability zone that is staying.
     fn successor(&self, except: &[BoxId], now: Moment) -> Option<BoxId> {
-        let staying = |id: &BoxId| self.view.peers().get(id).is_some_and(|status| !status.leaving);
+        let staying = |id: &BoxId| self.view.peers().get(id).is_some_and(|status| !status.draining);
         self.view.live(now).into_iter().find(|id| staying(id) && !except.contains(id))
     }
 }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -88,7 +88,7 @@
         let peers = self.view.peers().iter().map(|(id, status)| BoxStatus {
             id: id.clone(),
             live: self.view.is_live(id, now),
-            leaving: status.leaving,
+            leaving: status.draining,
             returns: status.returns,
         });
         StatusReport {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -44,7 +44,7 @@
     /// Start of the current period of heartbeats without a gap.
     pub steady_since: Moment,
     /// Whether the box has announced that it is draining.
-    pub leaving: bool,
+    pub draining: bool,
     /// Number of returns after a gap or with a new incarnation.
     pub returns: u32,
 }
@@ -62,7 +62,7 @@
     /// Creates a view that contains only the own box.
     pub fn new(own_id: BoxId, limits: Limits, now: Moment) -> View {
         let own =
-            Status { incarnation: Incarnation(0), last_heartbeat: now, steady_since: now, leaving: false, returns: 0 };
+            Status { incarnation: Incarnation(0), last_heartbeat: now, steady_since: now, draining: false, returns: 0 };
         View { own_id, limits, own, peers: BTreeMap::new() }
     }
 
@@ -88,12 +88,12 @@
     }
 
     /// Records a heartbeat of `peer`. Heartbeats of an incarnation earlier than the latest observed one are ignored.
-    pub fn record_heartbeat(&mut self, peer: &BoxId, incarnation: Incarnation, leaving: bool, now: Moment) {
+    pub fn record_heartbeat(&mut self, peer: &BoxId, incarnation: Incarnation, draining: bool, now: Moment) {
         if *peer == self.own_id {
             return;
         }
         let limits = self.limits;
-        let fresh = Status { incarnation, last_heartbeat: now, steady_since: now, leaving, returns: 0 };
+        let fresh = Status { incarnation, last_heartbeat: now, steady_since: now, draining, returns: 0 };
         let status = self.peers.entry(peer.clone()).or_insert(fresh);
         if incarnation < status.incarnation {
             return;
@@ -104,12 +104,12 @@
         }
         status.incarnation = incarnation;
         status.last_heartbeat = now;
-        status.leaving = leaving;
+        status.draining = draining;
     }
 
     /// Sets whether this box is draining.
-    pub fn set_leaving(&mut self, leaving: bool) {
-        self.own.leaving = leaving;
+    pub fn set_draining(&mut self, draining: bool) {
+        self.own.draining = draining;
     }
 
     /// Returns whether a box is live. This box always is.
@@ -153,7 +153,7 @@
             self.peers
                 .iter()
                 .chain(std::iter::once(own))
-                .filter(|(_, s)| !s.leaving && self.has_recent_heartbeat(s, now))
+                .filter(|(_, s)| !s.draining && self.has_recent_heartbeat(s, now))
         };
         let steady = all().filter(|(_, s)| now.since(s.steady_since) >= self.required_steady_time(s));
         let lowest_live = self.peers.iter().filter(|(_, s)| self.has_recent_heartbeat(s, now)).map(|(id, _)| id).min();
--- a/crates/membership/tests/view.rs
+++ b/crates/membership/tests/view.rs
@@ -71,7 +71,7 @@
     advance(&mut view, &mut clock, Duration::from_secs(1), &[("box-1", 5)]);
     view.record_heartbeat(&id("box-1"), Incarnation(4), true, clock.0);
     assert_eq!(view.peers()[&id("box-1")].incarnation, Incarnation(5));
-    assert!(!view.peers()[&id("box-1")].leaving);
+    assert!(!view.peers()[&id("box-1")].draining);
 }
 
 #[test]
