--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -111,7 +111,7 @@
     }
 
     /// Closes the idle connections to an address.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn close_idle(&self, addr: SocketAddr) {
         self.idle.lock().expect("no holder panics").remove(&addr);
     }
 
@@ -137,7 +137,7 @@
     ) -> Result<Reply, NetError> {
         match &reply {
             Ok(_) => self.put_back(addr, connection),
-            Err(NetError::Lost { .. }) => self.forget(addr),
+            Err(NetError::Lost { .. }) => self.close_idle(addr),
             Err(NetError::Unsent { .. } | NetError::Refused { .. }) => {}
         }
         reply
