--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -36,7 +36,7 @@
     }
 
     /// Returns the amounts left after subtracting `other`; each stops at zero.
-    pub fn less(&self, other: &Resources) -> Resources {
+    pub fn saturating_sub(&self, other: &Resources) -> Resources {
         Resources {
             accelerators: self.accelerators.saturating_sub(other.accelerators),
             cores: self.cores.saturating_sub(other.cores),
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -85,7 +85,7 @@
         if let Some(own) = self.by_place[i].get(&customer) {
             spoken_for += own.pinned;
         }
-        room.capacity(i).less(&spoken_for)
+        room.capacity(i).saturating_sub(&spoken_for)
     }
 }
 
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -113,7 +113,7 @@
     pub fn take(&mut self, members: &[Member], per_task: &Resources) {
         for member in members {
             if let Some(i) = self.position(&member.server) {
-                self.free[i] = self.free[i].less(&per_task.times(member.tasks));
+                self.free[i] = self.free[i].saturating_sub(&per_task.times(member.tasks));
             }
         }
     }
--- a/crates/standins/src/lease_table.rs
+++ b/crates/standins/src/lease_table.rs
@@ -122,7 +122,7 @@
     /// Free resources.
     pub fn free(&self) -> Resources {
         let held: Resources = self.rows.values().filter(|r| r.state.holds()).map(|r| r.task.resources()).sum();
-        self.info.resources.less(&held)
+        self.info.resources.saturating_sub(&held)
     }
 
     /// When [`LeaseTable::advance`] next has something to do.
