--- a/crates/model/src/file.rs
+++ b/crates/model/src/file.rs
@@ -71,8 +71,8 @@
 }
 
 impl Weights {
-    /// Returns the fraction of the total weight that is on fragmentation, 0 to 1.
-    pub fn fragmentation_part(&self) -> f64 {
+    /// Returns the share of the total weight that is on fragmentation, 0 to 1.
+    pub fn fragmentation_share(&self) -> f64 {
         self.fragmentation / (self.fragmentation + self.completion_time)
     }
 }
--- a/crates/policy/src/order.rs
+++ b/crates/policy/src/order.rs
@@ -30,7 +30,7 @@
         return (standing.claim, -standing.waited.secs_f64());
     }
     let likely = standing.likely.secs_f64().max(1.0);
-    let fragmentation = weights.fragmentation_part();
+    let fragmentation = weights.fragmentation_share();
     // With all weight on completion time this is the response ratio, with none the order of arrival.
     let ratio = (standing.waited.secs_f64() + likely) / likely.powf(1.0 - fragmentation);
     let size = f64::from(standing.tasks).powf(fragmentation);
