--- a/crates/jobs/src/id.rs
+++ b/crates/jobs/src/id.rs
@@ -8,7 +8,7 @@
 
 /// Error of parsing an identifier from text.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("invalid {kind} {text:?}: expected {allowed}")]
+#[display("{text:?} is no {kind}: allowed is {allowed}")]
 pub struct ParseNameError {
     /// Kind of identifier that was expected, such as `job id`.
     pub kind: &'static str,
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -230,11 +230,11 @@
     type Error = JobError;
     fn try_from(raw: RawJob) -> Result<Job, JobError> {
         if raw.text.len() > MAX_TEXT_BYTES {
-            return Err(JobError::new("text", format!("must have at most {MAX_TEXT_BYTES} bytes")));
+            return Err(JobError::new("text", format!("allowed are {MAX_TEXT_BYTES} bytes")));
         }
         check_steps(&raw.steps)?;
         if raw.schedule.is_some_and(|schedule| schedule.times == 0 || schedule.times > MAX_TIMES) {
-            return Err(JobError::new("schedule.times", format!("must be between 1 and {MAX_TIMES}")));
+            return Err(JobError::new("schedule.times", format!("allowed is 1 to {MAX_TIMES}")));
         }
         Ok(Job {
             id: raw.id,
@@ -264,21 +264,21 @@
 
 fn check_steps(steps: &[Step]) -> Result<(), JobError> {
     if steps.is_empty() || steps.len() > MAX_STEPS {
-        return Err(JobError::new("steps", format!("must have 1 to {MAX_STEPS} elements")));
+        return Err(JobError::new("steps", format!("allowed are 1 to {MAX_STEPS}")));
     }
     let tasks: u64 = steps.iter().map(|step| u64::from(step.count)).sum();
     if tasks > MAX_TASKS {
-        return Err(JobError::new("steps", format!("must have at most {MAX_TASKS} tasks in total")));
+        return Err(JobError::new("steps", format!("allowed are {MAX_TASKS} tasks in all")));
     }
     for (i, step) in steps.iter().enumerate() {
         if step.count == 0 {
-            return Err(JobError::new(format!("steps[{i}].count"), "must be at least 1"));
+            return Err(JobError::new(format!("steps[{i}].count"), "allowed is 1 or more"));
         }
         if step.after.iter().any(|&earlier| earlier >= i) {
-            return Err(JobError::new(format!("steps[{i}].after"), "must be indices of earlier steps"));
+            return Err(JobError::new(format!("steps[{i}].after"), "allowed are indices of earlier steps"));
         }
         if step.max_per_server == Some(0) {
-            return Err(JobError::new(format!("steps[{i}].max_per_server"), "must be at least 1"));
+            return Err(JobError::new(format!("steps[{i}].max_per_server"), "allowed is 1 or more"));
         }
     }
     Ok(())
--- a/crates/model/src/check.rs
+++ b/crates/model/src/check.rs
@@ -51,7 +51,7 @@
         match (*path == JsonPath::root(), value.is_empty()) {
             (true, true) => f.write_str(allowed),
             (false, true) => write!(f, "{path}: {allowed}"),
-            _ => write!(f, "{path}: {value} is invalid: {allowed}"),
+            _ => write!(f, "{path}: {value} is refused: {allowed}"),
         }
     }
 }
--- a/crates/model/src/file.rs
+++ b/crates/model/src/file.rs
@@ -179,18 +179,18 @@
 fn check_weights(weights: &Weights, path: &JsonPath) -> Result<(), CheckError> {
     for (name, weight) in [("completion_time", weights.completion_time), ("fragmentation", weights.fragmentation)] {
         if !(0.0..=MAX_WEIGHT).contains(&weight) {
-            return Err(CheckError::new(&path.field(name), weight, format!("must be between 0 and {MAX_WEIGHT}")));
+            return Err(CheckError::new(&path.field(name), weight, format!("allowed is 0 to {MAX_WEIGHT}")));
         }
     }
     if weights.completion_time + weights.fragmentation <= 0.0 {
-        return Err(CheckError::new(path, "both weights at 0", "at least one must be above 0"));
+        return Err(CheckError::new(path, "both weights at 0", "one of them has to be above 0"));
     }
     Ok(())
 }
 
 fn check_classes(raw: Vec<ClassEntry>, path: &JsonPath) -> Result<BTreeMap<ClassId, ClassEntry>, CheckError> {
     if raw.is_empty() {
-        return Err(CheckError::new(path, "an empty list", "must have at least one class"));
+        return Err(CheckError::new(path, "an empty list", "at least one class"));
     }
     let mut classes = BTreeMap::new();
     for (i, class) in raw.into_iter().enumerate() {
@@ -208,7 +208,7 @@
     path: &JsonPath,
 ) -> Result<BTreeMap<CustomerId, CustomerEntry>, CheckError> {
     if raw.is_empty() {
-        return Err(CheckError::new(path, "an empty list", "must have at least one customer"));
+        return Err(CheckError::new(path, "an empty list", "at least one customer"));
     }
     let mut customers = BTreeMap::new();
     for (i, customer) in raw.into_iter().enumerate() {
@@ -239,7 +239,7 @@
     for (i, server) in raw.into_iter().enumerate() {
         let path = path.index(i);
         if server.resources == Resources::default() {
-            let allowed = "at least one of accelerators, cores, memory_gb must be above 0";
+            let allowed = "at least one of accelerators, cores, memory_gb above 0";
             return Err(CheckError::new(&path.field("resources"), server.resources, allowed));
         }
         if let Some(earlier) = servers.insert(server.id.clone(), server) {
@@ -251,11 +251,11 @@
 
 fn check_range(value: u32, max: u32, path: &JsonPath) -> Result<(), CheckError> {
     if value == 0 || value > max {
-        return Err(CheckError::new(path, value, format!("must be between 1 and {max}")));
+        return Err(CheckError::new(path, value, format!("allowed is 1 to {max}")));
     }
     Ok(())
 }
 
 fn duplicate(path: &JsonPath, id: &str) -> CheckError {
-    CheckError::new(&path.field("id"), id, "must be unique in its list")
+    CheckError::new(&path.field("id"), id, "an id that stands only once in its list")
 }
--- a/crates/model/src/id.rs
+++ b/crates/model/src/id.rs
@@ -12,7 +12,7 @@
 
 /// Error of parsing an identifier from text.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("invalid {kind} {text:?}: expected 1 to {MAX_ID_BYTES} characters of a-z, A-Z, 0-9, '-' and '_'")]
+#[display("{text:?} is no {kind}: allowed are 1 to {MAX_ID_BYTES} characters of a-z, A-Z, 0-9, '-' and '_'")]
 pub struct IdError {
     /// Kind of identifier that was expected, such as `class id`.
     pub kind: &'static str,
--- a/crates/model/src/job.rs
+++ b/crates/model/src/job.rs
@@ -164,15 +164,11 @@
     fn try_from(raw: RawGang) -> Result<Gang, CheckError> {
         let path = JsonPath::root();
         if raw.tasks == 0 || raw.tasks > MAX_GANG_TASKS {
-            return Err(CheckError::new(
-                &path.field("tasks"),
-                raw.tasks,
-                format!("must be between 1 and {MAX_GANG_TASKS}"),
-            ));
+            return Err(CheckError::new(&path.field("tasks"), raw.tasks, format!("allowed is 1 to {MAX_GANG_TASKS}")));
         }
         let per_task = Resources::from(raw.per_task);
         if per_task == Resources::default() {
-            let allowed = "at least one of accelerators, cores, memory_gb must be above 0";
+            let allowed = "at least one of accelerators, cores, memory_gb above 0";
             return Err(CheckError::new(&path.field("per_task"), per_task, allowed));
         }
         Ok(Gang { tasks: raw.tasks, per_task, within: raw.within })
@@ -285,18 +281,14 @@
         let path = JsonPath::root();
         let declared = Duration::from_millis(raw.declared_ms);
         if declared == Duration::ZERO || declared > MAX_DECLARED {
-            let allowed = format!("must be between 1 and {} (30 days)", MAX_DECLARED.millis());
+            let allowed = format!("allowed is 1 to {} (30 days)", MAX_DECLARED.millis());
             return Err(CheckError::new(&path.field("declared_ms"), raw.declared_ms, allowed));
         }
         if raw.deadline_ms == Some(0) {
-            return Err(CheckError::new(
-                &path.field("deadline_ms"),
-                0,
-                "must be at least 1, or the field must be absent",
-            ));
+            return Err(CheckError::new(&path.field("deadline_ms"), 0, "allowed is 1 or more, or no such field"));
         }
         if raw.payload.len() > MAX_PAYLOAD_BYTES {
-            let allowed = format!("must have at most {MAX_PAYLOAD_BYTES} bytes");
+            let allowed = format!("allowed are {MAX_PAYLOAD_BYTES} bytes");
             return Err(CheckError::new(&path.field("payload"), format!("{} bytes", raw.payload.len()), allowed));
         }
         Ok(JobSpec {
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -20,7 +20,7 @@
         limit: u32,
     },
     /// The backend servers of the availability zone can never run the job, whatever else they run.
-    #[display("the job can never run: {why}")]
+    #[display("it can never run: {why}")]
     CanNeverRun {
         /// Explanation with the amounts that are requested and available.
         why: String,
@@ -32,16 +32,16 @@
         what: String,
     },
     /// The platform's store is unreachable, and the request may run only once.
-    #[display("the platform's store is unreachable, so a request that may run only once cannot be claimed")]
+    #[display("the platform's store does not answer, so that a request which may run only once cannot be claimed")]
     StoreUnavailable,
     /// The box is draining and accepts no new work.
-    #[display("the box is draining")]
+    #[display("the box is leaving")]
     Leaving,
     /// The deadline passed while the job was waiting.
-    #[display("the deadline passed while the job was waiting")]
+    #[display("its deadline passed while it waited")]
     DeadlinePassed,
     /// The box has no configuration yet.
-    #[display("the box has no configuration yet")]
+    #[display("no configuration is known yet")]
     NoConfiguration,
 }
 
--- a/crates/model/src/quantity.rs
+++ b/crates/model/src/quantity.rs
@@ -11,7 +11,7 @@
 
 /// Error of parsing a quantity, digest or keyword from text.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("invalid {kind} {text:?}: expected {allowed}")]
+#[display("{text:?} is no {kind}: allowed is {allowed}")]
 pub struct QuantityError {
     /// Kind of value that was expected, such as `duration`.
     pub kind: &'static str,
--- a/crates/net/src/http.rs
+++ b/crates/net/src/http.rs
@@ -317,10 +317,7 @@
 ) -> std::io::Result<Response<Full<Bytes>>> {
     let (parts, body) = req.into_parts();
     let Ok(body) = Limited::new(body, max_body_bytes).collect().await else {
-        return Ok(text_response(
-            StatusCode::PAYLOAD_TOO_LARGE,
-            format!("the body must have at most {max_body_bytes} bytes\n"),
-        ));
+        return Ok(text_response(StatusCode::PAYLOAD_TOO_LARGE, format!("a body may have {max_body_bytes} bytes\n")));
     };
     let call = Call {
         method: parts.method,
