--- a/crates/entry/src/adopt.rs
+++ b/crates/entry/src/adopt.rs
@@ -17,7 +17,7 @@
             return;
         }
         self.adopted_at = Some(now);
-        let plans = *self.view.planner(now) == self.id.box_id && self.view.may_judge(now) && !self.draining;
+        let plans = *self.view.planner(now) == self.id.box_id && self.view.can_detect_failures(now) && !self.draining;
         let orphans: Vec<(JobId, BTreeMap<BackendServerId, Lease>)> = self
             .replicas
             .by_job()
@@ -53,14 +53,16 @@
         if holder.box_id == self.id.box_id {
             return holder.incarnation < self.id.incarnation;
         }
-        if self.view.is_live_life(&holder.box_id, holder.incarnation, self.id.incarnation, now) {
+        if self.view.is_live_incarnation(&holder.box_id, holder.incarnation, self.id.incarnation, now) {
             return false;
         }
         match self.view.peers().get(&holder.box_id) {
             Some(status) if status.incarnation > holder.incarnation => true,
-            Some(status) => now.since(status.last_heard) > self.limits.adopt_after + self.limits.membership.dead_after,
+            Some(status) => {
+                now.since(status.last_heartbeat) > self.limits.adopt_after + self.limits.membership.dead_after
+            }
             // Never heard: this process is young, or the box was gone before it began.
-            None => self.view.may_judge(now),
+            None => self.view.can_detect_failures(now),
         }
     }
 }
