--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,9 +1,8 @@
-//! What a box does on a platform that keeps its state: it takes callers' requests, follows the
-//! configuration, and schedules while it is elected.
+//! Runs a box: takes callers' requests, follows the configuration, and schedules while the box is elected.
 //!
-//! Every box can take every request, since a job is accepted once the store holds it. The elected
-//! scheduler finds new jobs in the store. All I/O to the outside goes through the traits of
-//! [`platform`], so that this crate knows no platform's protocol.
+//! Every box accepts every request, because a job counts as accepted once the store holds it; the elected scheduler
+//! finds new jobs in the store. All calls to external systems go through the traits of [`platform`] and of the crate
+//! `outside`, so this crate depends on no platform's protocol.
 
 mod active;
 pub mod addresses;
--- a/crates/runtime/src/platform.rs
+++ b/crates/runtime/src/platform.rs
@@ -1,4 +1,7 @@
-//! What an adapter to a platform provides.
+//! Traits that an adapter to a platform implements, and the messages that they exchange.
+//!
+//! This module keeps the rest of the crate independent of a platform's wire protocol and of the format of its stored
+//! items.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Instant};
 
@@ -10,104 +13,106 @@
 
 use crate::Configuration;
 
-/// One life of a backend server, and where it is reached.
+/// One incarnation of a backend server and its address.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Target {
-    /// Its id.
+    /// Id of the backend server.
     pub id: BackendServerId,
-    /// Which life is meant: another one that answers there obeys nothing. `None` before its first word, and on a
-    /// platform where each life has an id of its own.
+    /// Incarnation that a call is meant for; any other incarnation at this address rejects the call. `None` before the
+    /// first response, and on a platform where each incarnation has its own id.
     pub incarnation: Option<Incarnation>,
-    /// Where.
+    /// Address at which the backend server is reached.
     pub addr: SocketAddr,
 }
 
-/// A lease, counted from when it was decided on: a box that stands still before it sends it must not prolong it.
+/// A lease, counted from the moment at which it was decided: a delay before it is sent, as of a suspended box, must not
+/// prolong it.
 #[derive(Debug, Clone, Copy)]
 pub struct Lease {
-    /// When.
+    /// Start of the lease.
     pub from: Instant,
-    /// For how long.
+    /// Length of the lease.
     pub length: Duration,
 }
 
-/// Renews the lease of everything that runs on a backend server, acknowledges ends, and asks for its listing.
+/// A heartbeat: renews the leases of all runs on a backend server, acknowledges completions and requests a listing.
 #[derive(Debug, Clone)]
 pub struct Heartbeat {
     /// The scheduler's fencing token.
     pub fence: Fence,
-    /// Ends up to this serial number are acknowledged.
+    /// Completions up to this serial number are acknowledged.
     pub acknowledged: u64,
-    /// `None` renews nothing.
+    /// New lease for the runs; `None` renews nothing.
     pub lease: Option<Lease>,
-    /// The answer may wait this long for an end.
+    /// Longest time that the backend server may hold its reply back to wait for a completion.
     pub wait: Duration,
 }
 
-/// What a backend server answers to a [`Heartbeat`].
+/// Reply of a backend server to a [`Heartbeat`].
 #[derive(Debug, Clone)]
 pub enum HeartbeatReply {
-    /// What it runs and what ended.
+    /// Runs and unacknowledged completions of the backend server.
     Listing(Listing),
-    /// It obeys a later scheduler.
+    /// The backend server has accepted the fencing token of a later scheduler.
     Fenced,
-    /// Another life of it answered.
+    /// Another incarnation replied.
     Gone,
 }
 
-/// Starts a run.
+/// Order to start a run.
 #[derive(Debug, Clone)]
 pub struct Start {
     /// The scheduler's fencing token.
     pub fence: Fence,
-    /// What.
+    /// Task to run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run among those of its task.
     pub run: RunNumber,
-    /// The job's text.
+    /// Text of the job.
     pub text: std::sync::Arc<str>,
-    /// Where to go on from.
+    /// Checkpoint to resume from; `None` starts the task from the beginning.
     pub checkpoint: Option<Checkpoint>,
-    /// How long it may run on without a renewal.
+    /// Lease of the run: without a renewal, the run stops when it expires.
     pub lease: Lease,
-    /// The adviser's leave, if the queue needs one.
+    /// Permit of the permit service; `None` if the queue needs none.
     pub permit: Option<Permit>,
 }
 
-/// How fast a run may work.
+/// Order to change the speed of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct ThrottleOrder {
     /// The scheduler's fencing token.
     pub fence: Fence,
-    /// What.
+    /// Task of the run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run among those of its task.
     pub run: RunNumber,
-    /// Share of its full speed, 0 to 100.
+    /// Share of the full speed in percent, 0 to 100.
     pub percent: u32,
 }
 
-/// What a backend server answers to a stop.
+/// Reply of a backend server to a stop order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReply {
-    /// The run ends, or never begins.
+    /// The run is being stopped, or will never start.
     Stopped,
-    /// It obeys a later scheduler.
+    /// The backend server has accepted the fencing token of a later scheduler.
     Fenced,
-    /// Another life of it answered.
+    /// Another incarnation replied.
     Gone,
 }
 
-/// Calls to backend servers. Nothing here retries; each call to a backend server ends within its limit.
+/// Calls to backend servers. No method retries, and each call to a backend server ends within its own time limit.
 ///
-/// An order and an acknowledgement must reach no other life than the one that is meant, also if it has the same id.
+/// Orders and acknowledgements must reach only the incarnation that they are meant for, even if another one has the
+/// same id.
 pub trait BackendServers: Send + Sync + 'static {
-    /// Renews, acknowledges and lists. A listing of another life than the one that is meant names it, and then nothing was renewed or
-    /// acknowledged.
+    /// Sends a heartbeat. If another incarnation replies with a listing, the listing names that incarnation, and
+    /// nothing was renewed or acknowledged.
     fn heartbeat(&self, target: Target, heartbeat: Heartbeat) -> BoxFuture<'_, Result<HeartbeatReply, NetError>>;
-    /// Starts a run. The error is an answer that did not come.
+    /// Starts a run. A missing response is reported as [`StartReply::Unknown`].
     fn start(&self, target: Target, start: Start) -> BoxFuture<'_, StartReply>;
-    /// Stops a run.
+    /// Stops a run. Returns an error if no valid response arrived; the run may have been stopped all the same.
     fn stop(
         &self,
         target: Target,
@@ -115,16 +120,17 @@
         task: TaskId,
         run: RunNumber,
     ) -> BoxFuture<'_, Result<StopReply, NetError>>;
-    /// Lets a run work at a share of its speed. `true` if it does, `false` if it is not there or was refused.
+    /// Sets the speed of a run. Returns `true` if it was set, and `false` if the backend server does not have the run
+    /// or rejected the order.
     fn throttle(&self, target: Target, order: ThrottleOrder) -> BoxFuture<'_, Result<bool, NetError>>;
-    /// Forgets the connections to a backend server that has gone.
+    /// Closes the connections to a backend server that has been removed.
     fn remove(&self, target: &Target);
 }
 
-/// Tells where steps of some queues may run.
+/// Service that permits the steps of some queues to run on certain backend servers.
 pub trait PermitService: Send + Sync + 'static {
-    /// Asks about a step; the answer names the backend servers that are allowed, with their tickets. `takes` is what
-    /// the adviser itself needs for it.
+    /// Requests permits for a step. Returns the permitted backend servers with their permits. `takes` is the processing
+    /// time that the service itself needs for the request.
     fn request_permits(
         &self,
         step: StepId,
@@ -133,11 +139,12 @@
     ) -> BoxFuture<'_, Result<BTreeMap<BackendServerId, Permit>, NetError>>;
 }
 
-/// The platform's machines, and the upkeep that it gives them.
+/// Machines of the platform and their maintenance.
 pub trait Machines: Send + Sync + 'static {
-    /// All machines.
+    /// Lists all machines.
     fn list(&self) -> BoxFuture<'_, Result<Vec<Machine>, NetError>>;
-    /// Hands a machine over for the upkeep of a wave; everything there dies at once. Safe to send twice.
+    /// Hands a machine over for maintenance, as part of a batch. All processes on it are terminated at once.
+    /// Idempotent.
     fn begin_maintenance(
         &self,
         machine: MachineId,
@@ -147,47 +154,48 @@
     ) -> BoxFuture<'_, MaintenanceReply>;
 }
 
-/// A backend server as the platform lists it.
+/// Entry of a backend server in the list that the platform keeps.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedServer {
-    /// Where it is.
+    /// Address and incarnation.
     pub target: Target,
-    /// What it is.
+    /// Properties of the backend server.
     pub info: ServerInfo,
 }
 
-/// Why an item of the store cannot be read.
+/// Error for an item of the store that cannot be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 #[display("{key}: {why}")]
 pub struct DecodeError {
-    /// The item's key.
+    /// Key of the item.
     pub key: String,
-    /// What is wrong.
+    /// Description of the fault.
     pub why: String,
 }
 
-/// Reads what the platform and its operators keep in the store.
+/// Decoder of the items that the platform and its operators keep in the store.
 pub trait Decoder: Send + Sync + 'static {
-    /// The key of the configuration in force.
+    /// Returns the key of the current configuration.
     fn configuration_key(&self) -> String;
-    /// Reads the configuration.
+    /// Decodes the configuration.
     fn configuration(&self, document: &[u8]) -> Result<Configuration, DecodeError>;
-    /// Every backend server has a key under this prefix.
+    /// Returns the prefix of the keys of all backend servers.
     fn servers_prefix(&self) -> String;
-    /// Reads a backend server's item.
+    /// Decodes the item of a backend server.
     fn server(&self, item: &Item) -> Result<ListedServer, DecodeError>;
-    /// Every wave of upkeep has a key under this prefix.
+    /// Returns the prefix of the keys of all maintenance requests.
     fn maintenance_prefix(&self) -> String;
-    /// Reads a wave's item.
+    /// Decodes the item of a maintenance request.
     fn maintenance_request(&self, item: &Item) -> Result<MaintenanceRequest, DecodeError>;
-    /// What operators read of a wave: the key, and the value.
+    /// Returns the key and the value under which operators find the status of a maintenance batch.
     fn maintenance_status(&self, number: u64, succeeded: bool) -> (String, Vec<u8>);
-    /// While the platform's operators have an availability zone evacuated, it has a key under this prefix.
+    /// Returns the prefix of the keys of evacuated availability zones. A key exists while the operators of the platform
+    /// have its zone evacuated.
     fn evacuations_prefix(&self) -> String;
-    /// That key.
+    /// Returns the key that marks an availability zone as evacuated.
     fn evacuation_key(&self, zone: &AvailabilityZoneId) -> String;
-    /// Which availability zone such a key names.
+    /// Returns the availability zone that an evacuation key names; `None` if the key is malformed.
     fn evacuated_zone(&self, key: &str) -> Option<AvailabilityZoneId>;
-    /// Which backend server a key under the prefix belongs to.
+    /// Returns the backend server that a key names; `None` if the key is malformed.
     fn server_of_key(&self, key: &str) -> Option<BackendServerId>;
 }
