--- a/crates/runtime/src/leader.rs
+++ b/crates/runtime/src/leader.rs
@@ -1,4 +1,5 @@
-//! What the elected box does: it joins the scheduler with the store and the backend servers.
+//! The main loop of the elected box: restores the scheduler from the store, then runs the tasks that connect it with
+//! the store, the platform and the backend servers.
 
 use std::{sync::Arc, time::Instant};
 
@@ -22,63 +23,73 @@
     unreachable, witnesses, writer,
 };
 
-/// The plan is looked at this often when nothing happens: timed jobs fall due, stops are repeated.
-const PLAN_EVERY: Duration = Duration::from_millis(100);
-/// Events that come within this time are planned together.
-const PLAN_AFTER: Duration = Duration::from_millis(4);
-/// After a plan, at least so many times as long goes to other things: on a small box a plan may take long.
-const PLAN_REST: u32 = 3;
+/// Planning interval while no event occurs; jobs with a start time fall due and stop orders are repeated meanwhile.
+const PLAN_INTERVAL: Duration = Duration::from_millis(100);
+/// Delay before planning, so that events in quick succession are planned together.
+const PLAN_DELAY: Duration = Duration::from_millis(4);
+/// Minimum rest after a plan, as a multiple of the time that it took. On a small box a plan may take long, and other
+/// work must go on.
+const PLAN_REST_FACTOR: u32 = 3;
 
-/// How scheduling ended.
+/// The reason why scheduling ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LeaderExit {
-    /// Another is elected.
+    /// Another scheduler was elected.
     LeadershipLost,
-    /// What must be read first did not come within the time for it.
+    /// The state of the scheduler could not be read from the store in time.
     NotRestored,
 }
 
-/// Schedules until another is elected, or until it is dropped; gives up if it cannot begin within `restore_limit`.
+/// Schedules until another scheduler is elected or the future is dropped. Returns [`LeaderExit::NotRestored`] if the
+/// state cannot be read from the store within `restore_timeout`.
 pub(crate) async fn run(
     settings: &Settings,
     cx: &Context,
     slot: &ActiveSlot,
     fence: Fence,
     earlier: EarlierTerms,
-    restore_limit: Duration,
+    restore_timeout: Duration,
 ) -> LeaderExit {
     let Some(configuration) = cx.view.configuration() else { return LeaderExit::NotRestored };
     let clock = cx.view.clock();
     let mut scheduler = Scheduler::new(fence, clock.now(), settings.timing.clone(), configuration.policy.clone());
     let evacuations = EvacuationRevisions::default();
     let restored = async {
-        // Evacuations first: nothing may be placed before they are known. So with what limits the wait for runs that are restored.
+        // Evacuations come first, since no run may be placed before they are known. The same holds for the records that
+        // limit how long to wait for restored runs.
         let evacuations = evacuation::restore(cx, &evacuations, &mut scheduler);
-        let notes = futures_lite::future::zip(unreachable::read(cx), witnesses::read(cx));
-        let (evacuations_to, (note, vouching)) = futures_lite::future::zip(evacuations, notes).await;
-        if let Some(item) = note {
+        let records = futures_lite::future::zip(unreachable::read(cx), witnesses::read(cx));
+        let (evacuations_at, (unreachable_item, witnesses_item)) =
+            futures_lite::future::zip(evacuations, records).await;
+        if let Some(item) = unreachable_item {
             unreachable::restore(&mut scheduler, &item);
         }
-        witnesses::restore(&mut scheduler, vouching.as_ref(), earlier.witnessed);
-        Some((evacuations_to, submissions::restore(cx, &mut scheduler).await))
+        witnesses::restore(&mut scheduler, witnesses_item.as_ref(), earlier.witnessed);
+        Some((evacuations_at, submissions::restore(cx, &mut scheduler).await))
     };
     let expired = async {
-        pause(restore_limit).await;
+        pause(restore_timeout).await;
         None
     };
     let restored = futures_lite::FutureExt::or(restored, expired).await;
-    let Some((evacuations_to, known_to)) = restored else { return LeaderExit::NotRestored };
+    let Some((evacuations_at, submissions_at)) = restored else { return LeaderExit::NotRestored };
     let links = Links::new(cx.clone(), settings.capacity.servers);
     let active = Arc::new(Active::new(scheduler, evacuations, links));
-    log::info!("event=scheduling fence={fence} revision={known_to} {:?}", active.lock().counts());
+    log::info!("event=scheduling fence={fence} revision={submissions_at} {:?}", active.lock().counts());
     slot.set(Arc::clone(&active));
     connect_restored_servers(&active);
-    let here = (settings.box_id.clone(), settings.peers_address);
-    let longest = settings.timing.unconfirmed_renewal;
+    let own_box = (settings.box_id.clone(), settings.peers_address);
+    let max_wait = settings.timing.unconfirmed_renewal;
     let tasks = [
-        smol::spawn(predecessors::await_ended(cx.clone(), Arc::clone(&active), here, earlier.predecessors, longest)),
-        smol::spawn(submissions::follow_submissions(cx.clone(), Arc::clone(&active), known_to)),
-        smol::spawn(evacuation::follow_platform(cx.clone(), Arc::clone(&active), evacuations_to)),
+        smol::spawn(predecessors::await_ended(
+            cx.clone(),
+            Arc::clone(&active),
+            own_box,
+            earlier.predecessors,
+            max_wait,
+        )),
+        smol::spawn(submissions::follow_submissions(cx.clone(), Arc::clone(&active), submissions_at)),
+        smol::spawn(evacuation::follow_platform(cx.clone(), Arc::clone(&active), evacuations_at)),
         smol::spawn(directory::follow_servers(cx.clone(), Arc::clone(&active))),
         smol::spawn(submissions::restore_ended(cx.clone(), Arc::clone(&active))),
         smol::spawn(writer::run(cx.clone(), Arc::clone(&active))),
@@ -97,29 +108,31 @@
     LeaderExit::LeadershipLost
 }
 
-/// Calls the backend servers with restored runs where they were reached before, without waiting for the platform's
-/// list: one that has fallen out of it may hold ends that no scheduler has stored, and may not answer for long.
+/// Opens links to the backend servers of restored runs at their last known addresses, without waiting for the list of
+/// the platform. A backend server that is missing from the list may hold completions that no scheduler has stored, and
+/// may not respond for long.
 fn connect_restored_servers(active: &Arc<Active>) {
-    let places = active.lock().restored_addresses();
-    for (id, place) in places {
-        match place.as_str().parse() {
+    let addresses = active.lock().restored_addresses();
+    for (id, address) in addresses {
+        match address.as_str().parse() {
             Ok(addr) => active.links.open(&Target { id, incarnation: None, addr }, active),
-            Err(e) => log::error!("server={id} event=place_unreadable place={place} why={e}"),
+            Err(e) => log::error!("server={id} event=place_unreadable place={address} why={e}"),
         }
     }
 }
 
-/// Plans whenever something has happened, and now and then; at most a quarter of the time goes into it.
+/// Plans after each relevant event, and otherwise every [`PLAN_INTERVAL`]. Planning takes a quarter of the time at
+/// most.
 async fn plan(cx: Context, active: Arc<Active>, mut version: u64) {
     let clock = cx.view.clock();
     loop {
-        let happened = async {
+        let event = async {
             active.plan_requested().await;
-            pause(PLAN_AFTER).await;
+            pause(PLAN_DELAY).await;
         };
-        with_timeout(PLAN_EVERY, happened).await;
+        with_timeout(PLAN_INTERVAL, event).await;
         let newer = cx.view.configuration().filter(|newest| newest.version > version);
-        let begun = Instant::now();
+        let started = Instant::now();
         let (now, wall_ms) = (clock.now(), clock.wall_ms());
         active.clear_plan_request();
         active.update(|scheduler| {
@@ -129,11 +142,11 @@
             }
             scheduler.tick(now);
             scheduler.plan(now, wall_ms);
-            // Planning's own changes are no reason to plan again.
+            // Changes that planning itself made need no further plan.
             scheduler.take_plan_request();
         });
-        let took = begun.elapsed();
-        metrics::histogram!("martenscale_plan_seconds").record(took.as_secs_f64());
-        smol::Timer::after(took * PLAN_REST).await;
+        let duration = started.elapsed();
+        metrics::histogram!("martenscale_plan_seconds").record(duration.as_secs_f64());
+        smol::Timer::after(duration * PLAN_REST_FACTOR).await;
     }
 }
