--- a/crates/runtime/src/active.rs
+++ b/crates/runtime/src/active.rs
@@ -1,4 +1,7 @@
-//! The scheduler of a box at work, and the place where the box's requests find it.
+//! The scheduler of an elected box, and the slot in which the handlers of requests find it.
+//!
+//! All changes of the scheduler go through [`Active::update`], which sends the resulting orders and wakes the tasks
+//! that plan, write and request permits.
 
 use std::sync::{
     Arc, Mutex, MutexGuard,
@@ -12,25 +15,26 @@
 
 use crate::{evacuation_revisions::EvacuationRevisions, links::Links, outcome::StateOutcome, telemetry};
 
-/// A channel for one token: a full one holds the news already.
+/// A channel with room for one token. Sending to a full channel fails, which is harmless: the signal is already
+/// pending.
 type Signal = (Sender<()>, Receiver<()>);
 
-/// A scheduler at work.
+/// A running scheduler with its links.
 pub(crate) struct Active {
     scheduler: Mutex<Scheduler>,
     pub(crate) fence: Fence,
     pub(crate) links: Links,
     pub(crate) evacuations: EvacuationRevisions,
-    /// Holds a token when something may let a group start.
+    /// Holds a token when a plan is needed, because something may now start.
     plan: Signal,
-    /// Holds a token when the adviser is to be asked.
-    ask: Signal,
-    /// Holds a token when something is to be stored.
+    /// Holds a token when there are permit requests.
+    permits: Signal,
+    /// Holds a token when there are pending writes.
     write: Signal,
     /// Holds a token when another scheduler has been elected.
-    deposed: Signal,
-    /// Its term is over: what goes on of it gives no more orders.
-    ended: AtomicBool,
+    lost_leadership: Signal,
+    /// Whether the term of this scheduler has ended. Tasks that still run must give no more orders.
+    term_ended: AtomicBool,
 }
 
 impl Active {
@@ -41,10 +45,10 @@
             links,
             evacuations,
             plan: smol::channel::bounded(1),
-            ask: smol::channel::bounded(1),
+            permits: smol::channel::bounded(1),
             write: smol::channel::bounded(1),
-            deposed: smol::channel::bounded(1),
-            ended: AtomicBool::new(false),
+            lost_leadership: smol::channel::bounded(1),
+            term_ended: AtomicBool::new(false),
         }
     }
 
@@ -52,33 +56,35 @@
         self.scheduler.lock().expect("no holder panics")
     }
 
-    /// Changes the scheduler, then sends what it wants sent and has the changes stored and planned.
+    /// Applies a change to the scheduler, sends the resulting orders, and requests writes, permits and a plan as
+    /// needed.
     pub(crate) fn update<T>(&self, change: impl FnOnce(&mut Scheduler) -> T) -> T {
         let mut scheduler = self.lock();
         let result = change(&mut scheduler);
         let (orders, observations) = (scheduler.take_orders(), scheduler.take_observations());
-        let (plan, write) = (scheduler.take_plan_request(), scheduler.has_pending_writes());
-        let (ask, deposed) = (scheduler.has_permit_requests(), scheduler.lost_leadership());
+        let (needs_plan, needs_write) = (scheduler.take_plan_request(), scheduler.has_pending_writes());
+        let (needs_permits, lost_leadership) = (scheduler.has_permit_requests(), scheduler.lost_leadership());
         drop(scheduler);
         let dropped: Vec<Order> = orders.into_iter().filter_map(|order| self.links.send(order).err()).collect();
         telemetry::record_observations(observations);
-        if plan {
+        if needs_plan {
             let _ = self.plan.0.try_send(());
         }
-        if ask {
-            let _ = self.ask.0.try_send(());
+        if needs_permits {
+            let _ = self.permits.0.try_send(());
         }
-        if write {
+        if needs_write {
             let _ = self.write.0.try_send(());
         }
-        if deposed {
+        if lost_leadership {
             self.lose_leadership();
         }
         self.fail_dropped_starts(dropped);
         result
     }
 
-    /// A start that was dropped has begun nothing, and nobody answers it. Stops are repeated anyway.
+    /// Reports dropped start orders as refused, since no backend server will reply to them. Stop orders are repeated by
+    /// the scheduler.
     fn fail_dropped_starts(&self, dropped: Vec<Order>) {
         for order in dropped {
             if let Order::Start { server, task, run, .. } = order {
@@ -88,49 +94,49 @@
         }
     }
 
-    /// Whether what the store took at a revision is told by this scheduler's watch, and not by what it has read before.
-    fn watches(&self, revision: Revision) -> bool {
+    /// Whether a revision is later than the election, so that the watch of this scheduler reports it. Earlier ones were
+    /// read when the scheduler was restored.
+    fn is_after_election(&self, revision: Revision) -> bool {
         revision.0 > self.fence.0
     }
 
-    /// Whether its term is over.
+    /// Whether the term of this scheduler has ended.
     pub(crate) fn has_ended(&self) -> bool {
-        self.ended.load(Ordering::SeqCst)
+        self.term_ended.load(Ordering::SeqCst)
     }
 
-    /// Another scheduler has been elected.
-    /// Returns whether that is news.
+    /// Records that another scheduler has been elected. Returns whether this was not yet recorded.
     pub(crate) fn lose_leadership(&self) -> bool {
-        self.deposed.0.try_send(()).is_ok()
+        self.lost_leadership.0.try_send(()).is_ok()
     }
 
     /// Waits until another scheduler has been elected.
     pub(crate) async fn leadership_lost(&self) {
-        let _ = self.deposed.1.recv().await;
+        let _ = self.lost_leadership.1.recv().await;
     }
 
-    /// Waits until something may let a group start.
+    /// Waits until a plan is needed.
     pub(crate) async fn plan_requested(&self) {
         let _ = self.plan.1.recv().await;
     }
 
-    /// A plan is about to be made: what has happened up to now is no reason for another.
+    /// Clears the request for a plan. Called before planning, which covers all events up to then.
     pub(crate) fn clear_plan_request(&self) {
         let _ = self.plan.1.try_recv();
     }
 
-    /// Waits until the adviser is to be asked.
+    /// Waits until there may be permit requests.
     pub(crate) async fn permits_requested(&self) {
-        let _ = self.ask.1.recv().await;
+        let _ = self.permits.1.recv().await;
     }
 
-    /// Waits until something may have to be written.
+    /// Waits until there may be pending writes.
     pub(crate) async fn write_requested(&self) {
         let _ = self.write.1.recv().await;
     }
 }
 
-/// The scheduler of this box, while it is elected and has read what the store holds.
+/// The scheduler of this box: set while the box is elected and the state has been restored.
 #[derive(Clone, Default)]
 pub(crate) struct ActiveSlot {
     active: Arc<Mutex<Option<Arc<Active>>>>,
@@ -147,20 +153,21 @@
 
     pub(crate) fn clear(&self) {
         if let Some(active) = self.active.lock().expect("no holder panics").take() {
-            active.ended.store(true, Ordering::SeqCst);
+            active.term_ended.store(true, Ordering::SeqCst);
         }
     }
 
-    /// The store holds a job since a revision. A scheduler that was elected later has read it, or what has become of it.
-    pub(crate) fn add_job(&self, job: &Job, since: Revision) {
-        if let Some(active) = self.get().filter(|active| active.watches(since)) {
+    /// Adds a job that the store took at a revision. Does nothing if the scheduler was elected after that: it has then
+    /// read the job, or the record of its end.
+    pub(crate) fn add_job(&self, job: &Job, revision: Revision) {
+        if let Some(active) = self.get().filter(|active| active.is_after_election(revision)) {
             active.update(|scheduler| scheduler.add_job(job.clone()));
         }
     }
 
-    /// The store holds since a revision that a job is cancelled.
-    pub(crate) fn cancel(&self, id: JobId, since: Revision, now: Moment) {
-        if let Some(active) = self.get().filter(|active| active.watches(since)) {
+    /// Cancels a job by a cancellation that the store took at a revision.
+    pub(crate) fn cancel(&self, id: JobId, revision: Revision, now: Moment) {
+        if let Some(active) = self.get().filter(|active| active.is_after_election(revision)) {
             active.update(|scheduler| scheduler.cancel(id, now));
         }
     }
@@ -175,7 +182,7 @@
         }
     }
 
-    /// The fence and the sizes of the scheduler, if this box has one.
+    /// Returns the fencing token and the counts of the scheduler; `None` if this box does not schedule.
     pub(crate) fn counts(&self) -> Option<(Fence, Counts)> {
         let active = self.get()?;
         let counts = active.lock().counts();
