--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -1,4 +1,5 @@
-//! What a box believes of the world, each belief with its age or version.
+//! The view that a box has of the system, each fact with its age or version: the configuration, the leader, and whether
+//! the store and other boxes respond.
 
 use std::{
     net::SocketAddr,
@@ -13,7 +14,7 @@
 
 use crate::{Configuration, relay_boxes::RelayBoxes, timers::with_timeout};
 
-/// Who schedules.
+/// The elected scheduler.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Leader {
     pub(crate) box_id: BoxId,
@@ -22,87 +23,87 @@
 }
 
 #[derive(Default)]
-struct Beliefs {
+struct State {
     configuration: Option<Arc<Configuration>>,
     leader: Option<Leader>,
     leader_since: Moment,
-    /// The scheduler that the watch of its key told of last.
-    watched: Option<Fence>,
-    /// The newest scheduler that this box has known of since it began.
+    /// Fencing token that the watch of the scheduler's key reported last.
+    watched_fence: Option<Fence>,
+    /// Newest fencing token that this box has observed since it started.
     newest_fence: Option<Fence>,
-    /// The store answered at this time.
-    store_seen: Option<Moment>,
-    /// Another box that reaches the store answered at this time.
-    peer_seen: Option<Moment>,
-    /// Until when the store has confirmed this box's election.
+    /// Time of the latest response of the store.
+    store_responded_at: Option<Moment>,
+    /// Time of the latest response of another box that reaches the store.
+    peer_responded_at: Option<Moment>,
+    /// Time until which the store has confirmed the election of this box.
     confirmed_until: Moment,
-    /// Until when this box may schedule, if it is elected.
-    schedules_until: Moment,
-    /// The fence that this box schedules with, also while it only begins to.
+    /// Time until which this box may schedule, if it is elected.
+    may_schedule_until: Moment,
+    /// Fencing token of the current term, also while the state is still being restored.
     term: Option<Fence>,
-    /// When this box ceased to schedule, or began anew.
-    term_ended: Moment,
-    /// The newest fence that this box has said not to schedule with: it must not begin to.
-    renounced: Option<Fence>,
-    /// Boxes that the others go through, as the store last told.
+    /// Time at which the latest term of this box ended, or at which the box started.
+    term_ended_at: Moment,
+    /// Highest fencing token that this box has promised not to schedule with: a term with it must not begin.
+    refused_fence: Option<Fence>,
+    /// Relay boxes, as last read from the store.
     relay_boxes: Arc<RelayBoxes>,
-    /// This box's own watch of the store last told then that the configuration is the newest.
-    configuration_confirmed: Option<Moment>,
+    /// Time at which the watch of this box on the store last confirmed that the configuration is the newest.
+    configuration_confirmed_at: Option<Moment>,
     draining: bool,
 }
 
-/// What a box believes.
+/// The view of a box, shared by its tasks.
 pub struct View {
-    beliefs: Mutex<Beliefs>,
-    /// Holds a token when the box may have come to stand for election, or to stand no more.
-    changed: (Sender<()>, Receiver<()>),
-    /// Notified when a read shows what the watch of the scheduler's key has not told.
+    state: Mutex<State>,
+    /// Holds a token when the conditions for a candidacy may have changed.
+    change_signal: (Sender<()>, Receiver<()>),
+    /// Notified when a read shows a change of the scheduler's key that the watch has not reported.
     watch_missed_change: Event,
-    /// Notified when the store answers after a silence.
-    store_back: Event,
+    /// Notified when the store responds after an outage.
+    store_recovered: Event,
     /// Notified when there is a newer configuration.
     configuration_changed: Event,
     clock: Arc<dyn Clock>,
-    /// The store counts as out of reach once it has been silent for longer.
+    /// Time without a response after which the store counts as unreachable.
     store_silence: Duration,
 }
 
 impl View {
     pub(crate) fn new(clock: Arc<dyn Clock>, store_silence: Duration) -> View {
-        let beliefs = Beliefs { term_ended: clock.now(), ..Beliefs::default() };
+        let state = State { term_ended_at: clock.now(), ..State::default() };
         View {
-            beliefs: Mutex::new(beliefs),
-            changed: smol::channel::bounded(1),
+            state: Mutex::new(state),
+            change_signal: smol::channel::bounded(1),
             watch_missed_change: Event::new(),
-            store_back: Event::new(),
+            store_recovered: Event::new(),
             configuration_changed: Event::new(),
             clock,
             store_silence,
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Beliefs> {
-        self.beliefs.lock().expect("no holder panics")
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no holder panics")
     }
 
-    /// The newest configuration that this box has seen.
+    /// Returns the newest configuration that this box has seen; `None` before the first one.
     pub fn configuration(&self) -> Option<Arc<Configuration>> {
         self.lock().configuration.clone()
     }
 
-    /// Takes a configuration unless a newer one is known. Returns whether it is new.
+    /// Stores a configuration unless it is older than the current one. Returns whether it is newer.
     pub(crate) fn update_configuration(&self, new: Configuration) -> bool {
-        let mut beliefs = self.lock();
-        let old = beliefs.configuration.as_ref().map(|old| old.version);
+        let mut state = self.lock();
+        let old = state.configuration.as_ref().map(|old| old.version);
         if old.is_some_and(|old| old >= new.version) {
             return false;
         }
         log::info!("event=configuration version={} before={}", new.version, old.unwrap_or(0));
-        beliefs.configuration = Some(Arc::new(new));
-        drop(beliefs);
+        state.configuration = Some(Arc::new(new));
+        drop(state);
         self.configuration_changed.notify(usize::MAX);
         if old.is_none() {
-            self.tell_change();
+            self.notify_change();
         }
         true
     }
@@ -111,53 +112,54 @@
         self.lock().leader.clone()
     }
 
-    /// The newest fence that this box has known of since it began.
+    /// Returns the newest fencing token that this box has observed since it started.
     pub(crate) fn newest_fence(&self) -> Option<Fence> {
         self.lock().newest_fence
     }
 
-    /// Whether this box has known of a scheduler since it began.
+    /// Whether this box has observed a scheduler since it started.
     pub(crate) fn has_seen_leader(&self) -> bool {
         self.lock().newest_fence.is_some()
     }
 
     pub(crate) fn set_leader(&self, leader: Option<Leader>) {
-        let mut beliefs = self.lock();
-        if beliefs.leader == leader {
+        let mut state = self.lock();
+        if state.leader == leader {
             return;
         }
         match &leader {
             Some(new) => log::info!("event=scheduler_known box={} fence={}", new.box_id, new.fence),
             None => log::info!("event=scheduler_unknown"),
         }
-        beliefs.newest_fence = beliefs.newest_fence.max(leader.as_ref().map(|leader| leader.fence));
-        beliefs.leader = leader;
-        beliefs.leader_since = self.clock.now();
-        drop(beliefs);
-        self.tell_change();
+        state.newest_fence = state.newest_fence.max(leader.as_ref().map(|leader| leader.fence));
+        state.leader = leader;
+        state.leader_since = self.clock.now();
+        drop(state);
+        self.notify_change();
     }
 
-    /// The watch of the scheduler's key has told who schedules.
+    /// Records the leader that the watch of the scheduler's key reported.
     pub(crate) fn set_watched_leader(&self, leader: Option<Leader>) {
-        self.lock().watched = leader.as_ref().map(|leader| leader.fence);
+        self.lock().watched_fence = leader.as_ref().map(|leader| leader.fence);
         self.set_leader(leader);
     }
 
-    /// A read of the scheduler's key, which may be old, has shown a scheduler or none. News that the watch has not told puts that in doubt.
+    /// Compares a read of the scheduler's key, which may be stale, with what the watch reported, and notifies if the
+    /// watch has missed a change.
     pub(crate) fn compare_with_watch(&self, read: Option<Fence>) {
-        let watched = self.lock().watched;
-        let missed = if read.is_none() { watched.is_some() } else { watched < read };
+        let watched_fence = self.lock().watched_fence;
+        let missed = if read.is_none() { watched_fence.is_some() } else { watched_fence < read };
         if missed {
             self.watch_missed_change.notify(usize::MAX);
         }
     }
 
-    /// Waits until what is read of the scheduler's key puts the watch of it in doubt.
+    /// Waits until a read shows that the watch of the scheduler's key has missed a change.
     pub(crate) async fn watch_missed_change(&self) {
         self.watch_missed_change.listen().await;
     }
 
-    /// Someone has told that there was no scheduler at some time within `age`.
+    /// Records a report that there was no scheduler at some time within the last `age`.
     pub(crate) fn observe_no_leader(&self, age: Duration) {
         let since = self.lock().leader_since;
         if self.clock.now().since(since) > age {
@@ -165,131 +167,133 @@
         }
     }
 
-    /// Someone has told who scheduled at some time: news only if it is a later scheduler than any that was known.
+    /// Records a report of a scheduler. Ignored unless it is later than any that was observed.
     pub(crate) fn observe_leader(&self, leader: Leader) {
         if self.lock().newest_fence < Some(leader.fence) {
             self.set_leader(Some(leader));
         }
     }
 
-    /// This box's election is confirmed up to then: it may give orders, and go on for so long without a confirmation.
+    /// Records that the election of this box is confirmed until a time. The box may give orders until then, and for
+    /// `unconfirmed` longer without a confirmation.
     pub(crate) fn confirm_election(&self, until: Moment, unconfirmed: Duration) {
-        let mut beliefs = self.lock();
-        beliefs.confirmed_until = until;
-        beliefs.schedules_until = until + unconfirmed;
+        let mut state = self.lock();
+        state.confirmed_until = until;
+        state.may_schedule_until = until + unconfirmed;
     }
 
-    /// Until when the store has confirmed this box's election.
+    /// Returns the time until which the store has confirmed the election of this box.
     pub(crate) fn confirmed_until(&self) -> Moment {
         self.lock().confirmed_until
     }
 
-    /// Whether this box may give orders and renew leases. Asked before each call: a box that wakes after it was
-    /// suspended, or has stood still, goes on where it was, and others take what it had started to be over by then.
+    /// Whether this box may give orders and renew leases. Checked before each call: a box that was suspended resumes
+    /// where it stopped, and by then others assume that the runs it started have ended.
     pub(crate) fn may_schedule(&self) -> bool {
         let now = self.clock.now();
-        now <= self.lock().schedules_until
+        now <= self.lock().may_schedule_until
     }
 
-    /// This box begins to schedule; `false` if it must not: a later scheduler has asked whether it does before the
-    /// store's answer to the election came.
+    /// Begins a term. Returns `false` if it must not begin, because a later scheduler asked this box to step down
+    /// before the response to the election arrived.
     #[must_use]
     pub(crate) fn begin_term(&self, fence: Fence) -> bool {
-        let mut beliefs = self.lock();
-        let may = beliefs.renounced < Some(fence);
-        if may {
-            beliefs.term = Some(fence);
+        let mut state = self.lock();
+        let can_begin = state.refused_fence < Some(fence);
+        if can_begin {
+            state.term = Some(fence);
         }
-        may
+        can_begin
     }
 
-    /// This box gives no order and renews no lease any more.
+    /// Ends the term: this box gives no more orders and renews no more leases.
     pub(crate) fn end_term(&self) {
         let now = self.clock.now();
-        let mut beliefs = self.lock();
-        beliefs.term = None;
-        beliefs.term_ended = now;
-        beliefs.confirmed_until = Moment::ZERO;
-        beliefs.schedules_until = Moment::ZERO;
+        let mut state = self.lock();
+        state.term = None;
+        state.term_ended_at = now;
+        state.confirmed_until = Moment::ZERO;
+        state.may_schedule_until = Moment::ZERO;
     }
 
-    /// For how long this box has not scheduled with a fence, at least; `None` if it does. If not, it never will.
+    /// Returns for how long this box has at least not been scheduling with a fencing token; `None` if it is. If it is
+    /// not, it promises never to.
     pub(crate) fn step_down(&self, fence: Fence) -> Option<Duration> {
         let now = self.clock.now();
-        let mut beliefs = self.lock();
-        if beliefs.term == Some(fence) {
+        let mut state = self.lock();
+        if state.term == Some(fence) {
             return None;
         }
-        beliefs.renounced = beliefs.renounced.max(Some(fence));
-        Some(now.since(beliefs.term_ended))
+        state.refused_fence = state.refused_fence.max(Some(fence));
+        Some(now.since(state.term_ended_at))
     }
 
-    fn tell_change(&self) {
-        // A full channel holds the news already.
-        let _ = self.changed.0.try_send(());
+    fn notify_change(&self) {
+        // A full channel already holds the notification.
+        let _ = self.change_signal.0.try_send(());
     }
 
-    /// Waits until the scheduler has changed, the first configuration has come, the store is reached again or the box
-    /// leaves. Only the election waits for this.
+    /// Waits until the leader changes, the first configuration arrives, the store is reachable again or the box starts
+    /// to drain. Only the election waits for this.
     pub(crate) async fn leader_changed(&self) {
-        // The view holds the sender too, so that the channel never closes.
-        let _ = self.changed.1.recv().await;
+        // The view holds the sender as well, so the channel never closes.
+        let _ = self.change_signal.1.recv().await;
     }
 
-    /// The store has answered a call of this box.
+    /// Records a response of the store to a call of this box.
     pub(crate) fn record_store_response(&self) {
         let now = self.clock.now();
-        let mut beliefs = self.lock();
-        let reached = self.lately(beliefs.store_seen, now);
-        beliefs.store_seen = Some(now);
-        drop(beliefs);
-        if !reached {
+        let mut state = self.lock();
+        let was_reachable = self.is_recent(state.store_responded_at, now);
+        state.store_responded_at = Some(now);
+        drop(state);
+        if !was_reachable {
             log::info!("event=store_reached");
-            self.store_back.notify(usize::MAX);
-            self.tell_change();
+            self.store_recovered.notify(usize::MAX);
+            self.notify_change();
         }
     }
 
-    /// Makes a call to the store, unless the store comes back from a silence meanwhile: a call from before is not
-    /// answered any more, and is better made again than waited for.
+    /// Makes a call to the store, and abandons it if the store recovers from an outage meanwhile: a call from before is
+    /// not answered any more, so repeating it is faster than waiting.
     pub(crate) async fn abandon_on_reconnect<T>(
         &self,
         call: impl Future<Output = Result<T, StoreError>>,
     ) -> Result<T, StoreError> {
-        let back = self.store_back.listen();
+        let recovered = self.store_recovered.listen();
         let interrupted = async {
-            back.await;
-            Err(StoreError::Lost { why: "the store was silent meanwhile".to_owned() })
+            recovered.await;
+            Err(StoreError::Lost { why: "the store recovered from an outage meanwhile".to_owned() })
         };
         futures_lite::FutureExt::or(call, interrupted).await
     }
 
-    /// Whether the store has answered this box lately.
+    /// Whether the store has responded to this box recently.
     pub fn is_store_reachable(&self) -> bool {
         let now = self.clock.now();
-        self.lately(self.lock().store_seen, now)
+        self.is_recent(self.lock().store_responded_at, now)
     }
 
-    /// How long ago the store answered; `None` if it never has.
+    /// Returns the time since the latest response of the store; `None` if there was none.
     pub(crate) fn time_since_store_response(&self) -> Option<Duration> {
         let now = self.clock.now();
-        self.lock().store_seen.map(|seen| now.since(seen))
+        self.lock().store_responded_at.map(|seen| now.since(seen))
     }
 
-    /// Another box that reaches the store has answered.
+    /// Records a response of another box that reaches the store.
     pub(crate) fn record_peer_response(&self) {
         let now = self.clock.now();
-        self.lock().peer_seen = Some(now);
+        self.lock().peer_responded_at = Some(now);
     }
 
-    /// Whether another box that reaches the store has answered lately.
+    /// Whether another box that reaches the store has responded recently.
     pub(crate) fn is_peer_reachable(&self) -> bool {
         let now = self.clock.now();
-        self.lately(self.lock().peer_seen, now)
+        self.is_recent(self.lock().peer_responded_at, now)
     }
 
-    /// Whether something was seen so lately that it is taken to be so still.
-    fn lately(&self, seen: Option<Moment>, now: Moment) -> bool {
+    /// Whether a response is recent enough for its sender to count as reachable.
+    fn is_recent(&self, seen: Option<Moment>, now: Moment) -> bool {
         seen.is_some_and(|seen| now.since(seen) <= self.store_silence)
     }
 
@@ -297,27 +301,27 @@
         self.lock().relay_boxes = Arc::new(relay_boxes);
     }
 
-    /// Boxes that the others go through; none before the store has told.
+    /// Returns the relay boxes; none before they have been read from the store.
     pub(crate) fn relay_boxes(&self) -> Arc<RelayBoxes> {
         Arc::clone(&self.lock().relay_boxes)
     }
 
-    /// The store has told this box that the configuration is the newest.
+    /// Records that the store has confirmed the configuration as the newest.
     pub(crate) fn confirm_configuration(&self) {
         let now = self.clock.now();
-        self.lock().configuration_confirmed = Some(now);
+        self.lock().configuration_confirmed_at = Some(now);
     }
 
-    /// Whether the store has told this box within `limit` that the configuration is the newest.
+    /// Whether the store has confirmed within the last `limit` that the configuration is the newest.
     pub(crate) fn is_configuration_confirmed(&self, limit: Duration) -> bool {
         let now = self.clock.now();
-        self.lock().configuration_confirmed.is_some_and(|at| now.since(at) <= limit)
+        self.lock().configuration_confirmed_at.is_some_and(|at| now.since(at) <= limit)
     }
 
-    /// Waits until there is a configuration above a version, for at most `limit`.
+    /// Waits for a configuration with a version above `above`, for at most `limit`. Returns `None` on timeout.
     pub(crate) async fn configuration_above(&self, above: u64, limit: Duration) -> Option<Arc<Configuration>> {
         let newer = || self.configuration().filter(|known| known.version > above);
-        let comes = async {
+        let arrives = async {
             loop {
                 let changed = self.configuration_changed.listen();
                 if newer().is_some() {
@@ -326,22 +330,22 @@
                 changed.await;
             }
         };
-        with_timeout(limit, comes).await;
+        with_timeout(limit, arrives).await;
         newer()
     }
 
-    /// The box is leaving: it takes no new connections and stands in no election.
+    /// Starts to drain the box: it takes no new connections and is no candidate in elections.
     pub fn start_draining(&self) {
         self.lock().draining = true;
-        self.tell_change();
+        self.notify_change();
     }
 
-    /// Whether the box is leaving.
+    /// Whether the box is draining.
     pub fn is_draining(&self) -> bool {
         self.lock().draining
     }
 
-    /// Whether new callers should come here.
+    /// Whether new callers should be sent to this box.
     pub fn is_ready(&self) -> bool {
         let configured = self.lock().configuration.is_some();
         configured && !self.is_draining() && (self.is_store_reachable() || self.is_peer_reachable())
