--- a/crates/runtime/src/link_worker.rs
+++ b/crates/runtime/src/link_worker.rs
@@ -1,4 +1,5 @@
-//! The work of one link: a loop of renewals holds its backend server, and another gives it orders in turn.
+//! The two loops of a link: one sends heartbeats, which renew leases, acknowledge completions and fetch listings; the
+//! other sends orders one after the other.
 
 use std::{
     sync::{Arc, Weak},
@@ -19,59 +20,60 @@
     timers::{Backoff, with_timeout},
 };
 
-/// How long a renewal waits for an end while something runs: also how old a lease gets before it is renewed.
+/// Longest wait of a heartbeat for a completion while something runs. It is also the age at which a lease is renewed.
 const BUSY_WAIT: Duration = Duration::from_millis(1000);
 /// The same while best-effort tasks run beside tasks with a latency target: latency is measured over 0.5 s.
 const WATCHED_WAIT: Duration = Duration::from_millis(400);
 /// The same while nothing runs.
 const IDLE_WAIT: Duration = Duration::from_millis(2000);
-/// The same while it may get no lease, since the next scheduler may have been told that it was not reached: it gets
-/// one as soon as that is withdrawn.
-const NAMED_WAIT: Duration = Duration::from_millis(100);
-/// The same, for witnesses, without a word of the store: their answers tell whether leases may be renewed.
+/// The same while no lease may be granted because the backend server may be recorded as unreachable, which the next
+/// scheduler would rely on. The lease is granted as soon as the record is withdrawn.
+const RECORDED_WAIT: Duration = Duration::from_millis(100);
+/// The same for witnesses while the store does not confirm the election: their responses decide whether leases may be
+/// renewed.
 const UNCONFIRMED_WAIT: Duration = Duration::from_millis(250);
-/// Ends are acknowledged with the next renewal, which waits this long at most for the store to hold them.
-const STORE_WAIT: Duration = Duration::from_millis(400);
+/// Longest time that a heartbeat is delayed until completions are stored, so that it acknowledges them.
+const MAX_STORE_WAIT: Duration = Duration::from_millis(400);
 
-/// What the loops of a link work with.
+/// Context shared by the loops of a link.
 #[derive(Clone)]
 pub(crate) struct Worker {
     pub(crate) cx: Context,
     pub(crate) target: Target,
-    /// Weak, since the scheduler's links own the loops.
+    /// Weak, since the links of the scheduler own the loops.
     pub(crate) active: Weak<Active>,
-    /// For the first call of all.
+    /// Limits concurrent first calls.
     pub(crate) first_calls: Arc<Turns>,
 }
 
-/// Renews leases, takes listings in and acknowledges ends, until the backend server or the scheduler is gone.
+/// Sends heartbeats and applies their listings, until the backend server or the scheduler has ended.
 pub(crate) async fn heartbeat_loop(worker: Worker, stored: Receiver<()>) {
     let mut backoff = Backoff::new();
-    let (mut first, mut heard, mut answered) = (true, false, false);
+    let (mut is_first, mut has_responded, mut last_answered) = (true, false, false);
     let id = worker.target.id.clone();
     while let Some(active) = worker.active.upgrade() {
         if active.has_ended() {
             return;
         }
-        let Some((target, heartbeat)) = worker.next_heartbeat(&active, answered) else { break };
+        let Some((target, heartbeat)) = worker.next_heartbeat(&active, last_answered) else { break };
         let renews = heartbeat.lease.is_some();
         let _ = stored.try_recv();
         let sent = worker.now();
         let call = worker.cx.servers.heartbeat(target, heartbeat);
-        let reply = if std::mem::take(&mut first) { worker.first_calls.take(call).await } else { call.await };
+        let reply = if std::mem::take(&mut is_first) { worker.first_calls.take(call).await } else { call.await };
         telemetry::count_server_call("hold", heartbeat_outcome(&reply));
         match reply {
             Ok(HeartbeatReply::Listing(listing)) => {
-                answered = true;
+                last_answered = true;
                 backoff.reset();
-                if !std::mem::replace(&mut heard, true) {
-                    worker.take_address(&active);
+                if !std::mem::replace(&mut has_responded, true) {
+                    worker.end_previous_at_address(&active);
                 }
                 let now = worker.now();
                 active.update(|scheduler| scheduler.listing(&id, &listing, sent, now));
                 wait_for_store(&active, &id, &stored).await;
             }
-            Ok(HeartbeatReply::Fenced) => return worker.fenced(&active),
+            Ok(HeartbeatReply::Fenced) => return worker.record_fenced(&active),
             Ok(HeartbeatReply::Gone) => {
                 let now = worker.now();
                 active.update(|scheduler| scheduler.server_ended(&id, now));
@@ -79,38 +81,38 @@
             }
             Err(e) => {
                 log::debug!("server={id} event=hold_failed renews={renews} why={e}");
-                answered = false;
-                let (how, now) = (unanswered(&e), worker.now());
-                active.update(|scheduler| scheduler.call_failed(&id, how, now));
+                last_answered = false;
+                let (failure, now) = (call_failure(&e), worker.now());
+                active.update(|scheduler| scheduler.call_failed(&id, failure, now));
                 backoff.wait().await;
             }
         }
     }
-    // The platform may list the same life again: a new link is opened then.
+    // The platform may list the same incarnation again; a new link is opened then.
     if let Some(active) = worker.active.upgrade() {
         active.links.close(&id);
     }
 }
 
-/// Waits until the ends that were just listed are stored, so that the next renewal acknowledges them.
+/// Waits until the completions that were just listed are stored, so that the next heartbeat acknowledges them.
 async fn wait_for_store(active: &Active, id: &BackendServerId, stored: &Receiver<()>) {
-    let taken = async {
+    let stored_all = async {
         while active.lock().has_pending_completions(id) {
             if stored.recv().await.is_err() {
                 return;
             }
         }
     };
-    with_timeout(STORE_WAIT, taken).await;
+    with_timeout(MAX_STORE_WAIT, stored_all).await;
 }
 
-/// Gives orders, one at a time and in their order.
+/// Sends orders one at a time, in the order in which they were queued.
 pub(crate) async fn order_loop(worker: Worker, orders: Receiver<Order>) {
     while let Ok(order) = orders.recv().await {
         let Some(active) = worker.active.upgrade() else { return };
         match order {
             Order::Start { task, run, text, checkpoint, permit, .. } => {
-                let Some((target, lease)) = worker.may_start(&active, task, run) else { continue };
+                let Some((target, lease)) = worker.prepare_start(&active, task, run) else { continue };
                 let start = Start { fence: active.fence, task, run, text, checkpoint, lease, permit };
                 worker.start(&active, target, start).await;
             }
@@ -125,19 +127,20 @@
         self.cx.view.clock().now()
     }
 
-    /// Whether orders may be given and leases renewed: asked before each call.
-    fn may_order(&self, active: &Active) -> bool {
+    /// Whether orders may be sent and leases renewed. Checked before each call.
+    fn can_send_orders(&self, active: &Active) -> bool {
         !active.has_ended() && self.cx.view.may_schedule()
     }
 
-    /// The lease that a call may carry now; `None` if it must renew nothing.
+    /// Returns the longest lease that a call may carry now; `None` if it must renew nothing.
     fn lease(&self, active: &Active, scheduler: &Scheduler, now: Moment) -> Option<Duration> {
         let confirmed = self.cx.view.confirmed_until();
-        if self.may_order(active) { scheduler.lease_now(confirmed, now) } else { None }
+        if self.can_send_orders(active) { scheduler.lease_now(confirmed, now) } else { None }
     }
 
-    /// It answers at its address. One address has one life at a time: any other that was there is over.
-    fn take_address(&self, active: &Active) {
+    /// Ends the other backend servers that were linked at this address. Only one incarnation at a time has an address,
+    /// so a response of one shows that all others have ended.
+    fn end_previous_at_address(&self, active: &Active) {
         let now = self.now();
         for replaced in active.links.previous_at_address(&self.target) {
             active.update(|scheduler| scheduler.server_ended(&replaced, now));
@@ -145,30 +148,32 @@
         }
     }
 
-    /// The life that the scheduler means now.
+    /// Returns the target with the incarnation that the scheduler tracks now.
     fn target(&self, scheduler: &Scheduler) -> Target {
         Target { incarnation: scheduler.incarnation(&self.target.id), ..self.target.clone() }
     }
 
-    /// Whom the next renewal means and what it carries; `None` once the backend server is of no interest any more.
-    fn next_heartbeat(&self, active: &Active, answered: bool) -> Option<(Target, Heartbeat)> {
+    /// Returns the target and the content of the next heartbeat; `None` if the scheduler no longer tracks the backend
+    /// server.
+    fn next_heartbeat(&self, active: &Active, last_answered: bool) -> Option<(Target, Heartbeat)> {
         let id = &self.target.id;
         let mut scheduler = active.lock();
         let (from, now) = (Instant::now(), self.now());
         if !scheduler.tracks_server(id) {
             return None;
         }
-        // The life that answered last may be over.
-        let answered = answered && scheduler.has_reported(id);
-        // An unanswered call may have renewed the lease, so one that is out of reach is only asked, not renewed.
-        let renews = answered && scheduler.may_renew(id);
+        // The incarnation that responded last may have ended.
+        let last_answered = last_answered && scheduler.has_reported(id);
+        // A call without a response may have renewed the lease. So an unreachable backend server is only queried, and
+        // its lease isn't renewed.
+        let renews = last_answered && scheduler.may_renew(id);
         let lease = if renews { self.lease(active, &scheduler, now) } else { None };
         if let Some(lease) = lease {
             scheduler.lease_sent(id, lease, now);
         }
-        let wait = match answered {
+        let wait = match last_answered {
             false => Duration::ZERO,
-            true if !scheduler.may_renew(id) => NAMED_WAIT,
+            true if !scheduler.may_renew(id) => RECORDED_WAIT,
             true if scheduler.watches_latency(id) => WATCHED_WAIT,
             true if scheduler.is_busy(id) => BUSY_WAIT,
             true => IDLE_WAIT,
@@ -181,15 +186,15 @@
         Some((self.target(&scheduler), heartbeat))
     }
 
-    /// The backend server obeys a later scheduler.
-    fn fenced(&self, active: &Active) {
+    /// Records that the backend server has accepted the fencing token of a later scheduler.
+    fn record_fenced(&self, active: &Active) {
         if active.lose_leadership() {
             log::info!("event=deposed fence={} why=fenced_by server={}", active.fence, self.target.id);
         }
     }
 
-    /// The backend server's life is over: another one answers, under its id or under another.
-    fn gone(&self, active: &Active, ended: &Target) {
+    /// Records that an incarnation has ended, since another one responds, under the same id or another.
+    fn record_ended(&self, active: &Active, ended: &Target) {
         let now = self.now();
         active.update(|scheduler| match ended.incarnation {
             Some(incarnation) => scheduler.incarnation_ended(&ended.id, incarnation, now),
@@ -197,9 +202,10 @@
         });
     }
 
-    /// The life that is to start a run, and the lease that the order carries, unless the run is not wanted there any
-    /// more: the order may have waited since before its availability zone was evacuated, or since an earlier life.
-    fn may_start(&self, active: &Active, task: TaskId, run: RunNumber) -> Option<(Target, Lease)> {
+    /// Returns the target of a start and the lease that it carries; `None` if the run must not start there any more.
+    /// The order may have been queued since before the evacuation of its availability zone, or for an earlier
+    /// incarnation.
+    fn prepare_start(&self, active: &Active, task: TaskId, run: RunNumber) -> Option<(Target, Lease)> {
         let id = &self.target.id;
         let mut scheduler = active.lock();
         let (from, now) = (Instant::now(), self.now());
@@ -208,19 +214,20 @@
             active.update(|scheduler| scheduler.start_withdrawn(id, task, run, now));
             return None;
         }
-        let Some(most) = self.lease(active, &scheduler, now) else {
+        let Some(max_lease) = self.lease(active, &scheduler, now) else {
             drop(scheduler);
             active.update(|scheduler| scheduler.start_replied(id, task, run, StartReply::Unknown, now));
             return None;
         };
-        // A start carries a lease. No note that leaves it out may be drawn up between the question and this.
-        let lease = Lease { from, length: scheduler.lease_for_start(id, most, now) };
+        // A start order grants a lease, so the scheduler must register the lease under the same lock as this check: no
+        // record of unreachable backend servers without it may be made in between.
+        let lease = Lease { from, length: scheduler.lease_for_start(id, max_lease, now) };
         Some((self.target(&scheduler), lease))
     }
 
     async fn start(&self, active: &Active, target: Target, start: Start) {
         let (task, run) = (start.task, start.run);
-        let reply = if self.may_order(active) {
+        let reply = if self.can_send_orders(active) {
             self.cx.servers.start(target.clone(), start).await
         } else {
             StartReply::Unknown
@@ -233,7 +240,7 @@
         );
         telemetry::count_server_call("start", start_outcome(reply));
         if reply == StartReply::Gone {
-            return self.gone(active, &target);
+            return self.record_ended(active, &target);
         }
         let now = self.now();
         active.update(|scheduler| scheduler.start_replied(&self.target.id, task, run, reply, now));
@@ -255,13 +262,13 @@
             Ok(StopReply::Fenced) => {
                 active.lose_leadership();
             }
-            Ok(StopReply::Gone) => self.gone(active, &target),
-            // The scheduler repeats it.
+            Ok(StopReply::Gone) => self.record_ended(active, &target),
+            // The scheduler repeats the order.
             Err(_) => {}
         }
     }
 
-    /// Tells how fast a run may work. The scheduler repeats it if there is no answer.
+    /// Sets the speed of a run. The scheduler repeats the order if there is no response.
     async fn throttle(&self, active: &Active, task: TaskId, run: RunNumber, percent: u32) {
         let order = ThrottleOrder { fence: active.fence, task, run, percent };
         let target = self.target(&active.lock());
@@ -273,7 +280,7 @@
     }
 }
 
-fn unanswered(e: &NetError) -> CallFailure {
+fn call_failure(e: &NetError) -> CallFailure {
     match e {
         NetError::Refused { .. } => CallFailure::Refused,
         NetError::Unsent { .. } | NetError::Lost { .. } => CallFailure::NoResponse,
--- a/crates/runtime/src/links.rs
+++ b/crates/runtime/src/links.rs
@@ -1,4 +1,5 @@
-//! Links to backend servers, one for each that is listed: opened, closed and given orders.
+//! Links of the scheduler to backend servers, one for each that is listed. A link sends heartbeats and orders; see
+//! [`crate::link_worker`].
 
 use std::{
     collections::HashMap,
@@ -18,32 +19,32 @@
     platform::Target,
 };
 
-/// Orders that wait for one backend server; it is refused more. The channel has no bound of its own, since one that has
-/// allocates room for all at once, for each backend server.
-const MOST_ORDERS: usize = 1024;
+/// Most orders queued for one backend server; further ones are rejected. The channel itself is unbounded, since a
+/// bounded one allocates all of its capacity at once, for each backend server.
+const MAX_QUEUED_ORDERS: usize = 1024;
 
-/// So many backend servers are called for the first time at once: a new scheduler finds all of them to be called, and
-/// a box that begins everywhere at once does nothing else meanwhile: the renewal of its election would come too late,
-/// and the next box would do the same.
-const FIRST_CALLS: usize = 48;
-/// How long one that does not answer holds up the others.
-const FIRST_TURN: std::time::Duration = std::time::Duration::from_millis(60);
+/// Concurrent first calls to backend servers. A new scheduler has to call all of them, and a box that calls all at once
+/// does nothing else meanwhile: the renewal of its election would come too late, and the next elected box would fail in
+/// the same way.
+const MAX_FIRST_CALLS: usize = 48;
+/// Longest time for which an unresponsive backend server blocks the first calls of others.
+const FIRST_CALL_TURN: std::time::Duration = std::time::Duration::from_millis(60);
 
-/// An open link: its loops, and how they are reached.
+/// An open link: the channels to its loops, and the loops themselves.
 struct Link {
     target: Target,
     orders: Sender<Order>,
-    /// Takes a token when more ends may be acknowledged.
+    /// Receives a token when more completions may be acknowledged.
     stored: Sender<()>,
-    /// Dropping them ends the link.
+    /// Dropping the tasks closes the link.
     _tasks: [smol::Task<()>; 2],
 }
 
-/// The links of one scheduler.
+/// The links of a scheduler.
 pub(crate) struct Links {
     cx: Context,
-    /// Most links, but for those to backend servers that run something.
-    most: usize,
+    /// Most links. Links to backend servers with runs are opened beyond it.
+    max_links: usize,
     table: Mutex<Table>,
     first_calls: Arc<Turns>,
 }
@@ -55,30 +56,36 @@
 }
 
 impl Links {
-    pub(crate) fn new(cx: Context, most: usize) -> Links {
-        Links { cx, most, table: Mutex::default(), first_calls: Arc::new(Turns::new(FIRST_CALLS, FIRST_TURN)) }
+    pub(crate) fn new(cx: Context, max_links: usize) -> Links {
+        Links {
+            cx,
+            max_links,
+            table: Mutex::default(),
+            first_calls: Arc::new(Turns::new(MAX_FIRST_CALLS, FIRST_CALL_TURN)),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Table> {
         self.table.lock().expect("no holder panics")
     }
 
-    /// Whether the box can carry one more backend server.
+    /// Whether the box has capacity for one more link.
     pub(crate) fn has_capacity(&self) -> bool {
-        self.lock().by_id.len() < self.most
+        self.lock().by_id.len() < self.max_links
     }
 
-    /// Whether it can carry so many in all.
+    /// Whether the box has capacity for this many links in total.
     pub(crate) fn has_capacity_for(&self, servers: usize) -> bool {
-        servers <= self.most
+        servers <= self.max_links
     }
 
-    /// How many links there are.
+    /// Returns the number of open links.
     pub(crate) fn len(&self) -> usize {
         self.lock().by_id.len()
     }
 
-    /// Opens a link unless there is one. A backend server that comes back under its id may do so at another address.
+    /// Opens a link unless there is one to the same address. A backend server that returns under its id may have
+    /// another address; its earlier link is closed then.
     pub(crate) fn open(&self, target: &Target, active: &Arc<Active>) {
         let mut table = self.lock();
         if table.by_id.get(&target.id).is_some_and(|link| link.target.addr == target.addr) {
@@ -101,12 +108,12 @@
         table.by_id.insert(target.id.clone(), Link { target: target.clone(), orders, stored, _tasks: tasks });
     }
 
-    /// Whether there is a link.
+    /// Whether there is a link to a backend server.
     pub(crate) fn is_open(&self, id: &BackendServerId) -> bool {
         self.lock().by_id.contains_key(id)
     }
 
-    /// Closes a link.
+    /// Closes the link to a backend server, if there is one.
     pub(crate) fn close(&self, id: &BackendServerId) {
         let mut table = self.lock();
         if let Some(link) = table.by_id.remove(id) {
@@ -115,16 +122,16 @@
         }
     }
 
-    /// Backend servers that were at an address before.
+    /// Returns other backend servers that are or were linked at the address of `target`.
     pub(crate) fn previous_at_address(&self, target: &Target) -> Vec<BackendServerId> {
         self.lock().addresses.others_at(&target.id, target.addr)
     }
 
-    /// Queues an order, or gives it back: there is no link, or too many orders wait there.
+    /// Queues an order. Returns it as an error if there is no link or its queue is full.
     pub(crate) fn send(&self, order: Order) -> Result<(), Order> {
         let (server, task) = order.subject();
         let table = self.lock();
-        let link = table.by_id.get(server).filter(|link| link.orders.len() < MOST_ORDERS);
+        let link = table.by_id.get(server).filter(|link| link.orders.len() < MAX_QUEUED_ORDERS);
         let Some(link) = link else {
             log::warn!("job={} event=order_dropped task={task} server={server}", task.occurrence.job);
             return Err(order);
@@ -132,16 +139,16 @@
         link.orders.try_send(order).map_err(smol::channel::TrySendError::into_inner)
     }
 
-    /// The time on the box's own clock.
+    /// Returns the time by the clock of the box.
     pub(crate) fn now(&self) -> Moment {
         self.cx.view.clock().now()
     }
 
-    /// The store has taken something, so that more ends may be acknowledged to these backend servers.
+    /// Notifies the links of backend servers whose completions have been stored, so that they are acknowledged.
     pub(crate) fn notify_stored(&self, ids: &[BackendServerId]) {
         let table = self.lock();
         for link in ids.iter().filter_map(|id| table.by_id.get(id)) {
-            // A full channel holds the news already.
+            // A full channel already holds the notification.
             let _ = link.stored.try_send(());
         }
     }
