--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -1,6 +1,7 @@
-//! Writes the scheduler's progress to the store, as much in each call as has come up.
+//! Writes the progress of the scheduler to the store, as much in each call as is pending.
 //!
-//! While the store answers at once, there is one write at a time. Where an answer is slow or lost, others go on beside it, of other jobs.
+//! While the store responds at once, one write is in flight at a time. While a response is slow or lost, writes for
+//! other jobs are sent concurrently.
 
 use std::{
     collections::BTreeMap,
@@ -21,64 +22,66 @@
     timers::{Backoff, pause, with_timeout},
 };
 
-/// What one call may hold, conditions and writes together (users' store).
-const MOST_IN_A_CALL: usize = 32;
-/// A write that has no answer by then at the latest is made up for by the next. Above a slow store's answer (60 times 4 ms).
-const WRITE_LIMIT: Duration = Duration::from_millis(800);
-/// Most writes under way.
-const MOST_AT_ONCE: usize = 8;
-/// Another write leaves beside one that has had no answer for so long: sooner, what comes up meanwhile goes together
-/// into the next, which saves calls.
-const BESIDE_AFTER: Duration = Duration::from_millis(20);
-/// While the store has answered nothing for so long, more than one write at a time would ask it in vain.
-const LATELY: Duration = Duration::from_millis(500);
+/// Most conditions and writes of a transaction together, by the protocol of the platform's store.
+const MAX_TRANSACTION_ITEMS: usize = 32;
+/// Upper bound of the timeout of a write, after which the next write repeats its content. Above the response time of a
+/// slow store (60 times 4 ms).
+const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Most writes in flight.
+const MAX_IN_FLIGHT: usize = 8;
+/// Minimum time before another write is sent while one is in flight. What becomes pending meanwhile is sent in a single
+/// write, which saves calls.
+const CONCURRENT_WRITE_DELAY: Duration = Duration::from_millis(20);
+/// Time since the latest response of the store after which only one write is in flight at a time: more would only be
+/// lost as well.
+const RECENT_RESPONSE: Duration = Duration::from_millis(500);
 
-/// What the writes of one scheduler share.
+/// State shared by the concurrent writes of a scheduler.
 struct Writer {
     cx: Context,
     active: Arc<Active>,
     timeout_estimator: Mutex<TimeoutEstimator>,
     backoff: Mutex<Backoff>,
-    /// Holds a token when a write is over.
-    over: (Sender<()>, Receiver<()>),
+    /// Holds a token when a write has finished.
+    finished: (Sender<()>, Receiver<()>),
 }
 
-/// Writes until another scheduler is found in the store, or until it is dropped.
+/// Writes until it is dropped. Reports the loss of leadership if the store shows another scheduler.
 pub(crate) async fn run(cx: Context, active: Arc<Active>) {
     let writer = Arc::new(Writer {
         cx,
         active: Arc::clone(&active),
-        timeout_estimator: Mutex::new(TimeoutEstimator::new(WRITE_LIMIT)),
+        timeout_estimator: Mutex::new(TimeoutEstimator::new(WRITE_TIMEOUT)),
         backoff: Mutex::new(Backoff::new()),
-        over: smol::channel::bounded(1),
+        finished: smol::channel::bounded(1),
     });
-    let mut under_way: Vec<smol::Task<()>> = Vec::new();
+    let mut in_flight: Vec<smol::Task<()>> = Vec::new();
     loop {
-        under_way.retain(|write| !write.is_finished());
-        if !under_way.is_empty() {
-            let over = async {
-                let _ = writer.over.1.recv().await;
+        in_flight.retain(|write| !write.is_finished());
+        if !in_flight.is_empty() {
+            let finished = async {
+                let _ = writer.finished.1.recv().await;
             };
-            if under_way.len() >= MOST_AT_ONCE || !writer.store_answers() {
-                over.await;
+            if in_flight.len() >= MAX_IN_FLIGHT || !writer.is_store_responsive() {
+                finished.await;
                 continue;
             }
-            with_timeout(BESIDE_AFTER, over).await;
+            with_timeout(CONCURRENT_WRITE_DELAY, finished).await;
         }
         match next_write_batch(&active) {
-            Some(batch) => under_way.push(smol::spawn(Arc::clone(&writer).write(batch))),
+            Some(batch) => in_flight.push(smol::spawn(Arc::clone(&writer).write(batch))),
             None => active.write_requested().await,
         }
     }
 }
 
 impl Writer {
-    /// Whether the store has answered lately.
-    fn store_answers(&self) -> bool {
-        self.cx.view.time_since_store_response().is_some_and(|age| age < LATELY)
+    /// Whether the store has responded recently.
+    fn is_store_responsive(&self) -> bool {
+        self.cx.view.time_since_store_response().is_some_and(|age| age < RECENT_RESPONSE)
     }
 
-    /// Makes one write; what it has not stored is given again.
+    /// Makes one write, and returns its content to the scheduler if it was not stored.
     async fn write(self: Arc<Writer>, batch: WriteBatch) {
         let Writer { cx, active, .. } = &*self;
         let transaction = transaction(cx, active, &batch);
@@ -112,24 +115,24 @@
                     scheduler.batch_failed(&batch);
                 });
             }
-            Ok(Committed::LeaseGone) => self.give_back(&batch).await,
+            Ok(Committed::LeaseGone) => self.return_batch(&batch).await,
             Err(e) => {
-                let doubt = matches!(e, StoreError::Lost { .. });
+                let is_unknown = matches!(e, StoreError::Lost { .. });
                 log::info!(
-                    "event=write_failed fence={} entries={} doubt={doubt} limit_ms={} why={e}",
+                    "event=write_failed fence={} entries={} doubt={is_unknown} limit_ms={} why={e}",
                     active.fence,
                     batch.writes.len(),
                     limit.millis()
                 );
-                self.give_back(&batch).await;
+                self.return_batch(&batch).await;
             }
         }
-        // A full channel holds the news already.
-        let _ = self.over.0.try_send(());
+        // A full channel already holds the notification.
+        let _ = self.finished.0.try_send(());
     }
 
-    /// What was not stored is written again, after a pause.
-    async fn give_back(&self, batch: &WriteBatch) {
+    /// Returns a failed batch to the scheduler after a pause, so that it is written again.
+    async fn return_batch(&self, batch: &WriteBatch) {
         let next = self.backoff.lock().expect("no holder panics").next();
         pause(next).await;
         self.active.update(|scheduler| scheduler.batch_failed(batch));
@@ -140,24 +143,24 @@
     }
 }
 
-/// As many occurrences as fit in one call: each takes a condition and a write, beside one condition for the scheduler's
-/// key and one for each availability zone.
+/// Takes as many pending writes as fit into one call. Each needs a condition and a write; in addition there is one
+/// condition for the scheduler's key and one for each availability zone.
 fn next_write_batch(active: &Active) -> Option<WriteBatch> {
     let mut scheduler = active.lock();
     let conditions = 1 + scheduler.availability_zones();
-    scheduler.next_write_batch((MOST_IN_A_CALL.saturating_sub(conditions) / 2).max(1))
+    scheduler.next_write_batch((MAX_TRANSACTION_ITEMS.saturating_sub(conditions) / 2).max(1))
 }
 
-/// Whether the scheduler's key stands as this scheduler wrote it.
+/// Whether the scheduler's key still has the revision that this scheduler wrote.
 fn holds_key(active: &Active, items: &[Item]) -> bool {
     let holder = items.iter().find(|item| item.key == keys::SCHEDULER);
     holder.is_some_and(|holder| holder.revision.0 == active.fence.0)
 }
 
-/// The store's revisions of what a batch was to replace; 0 where there is nothing.
+/// Returns the revisions that the store holds for the keys of a batch; 0 where there is no item.
 fn revisions_found(batch: &WriteBatch, items: &[Item]) -> BTreeMap<OccurrenceId, Revision> {
     let mut found: BTreeMap<OccurrenceId, Revision> =
-        batch.writes.iter().map(|entry| (entry.occurrence, Revision(0))).collect();
+        batch.writes.iter().map(|write| (write.occurrence, Revision(0))).collect();
     for item in items {
         if let Some(id) = keys::occurrence(&item.key) {
             found.insert(id, item.revision);
@@ -166,15 +169,15 @@
     found
 }
 
-/// A batch as a write that only the elected scheduler can make.
+/// Makes the transaction of a batch, conditional on this scheduler being the elected one.
 fn transaction(cx: &Context, active: &Active, batch: &WriteBatch) -> Transaction {
     let mut transaction = Transaction::default();
     transaction.expect.push((keys::SCHEDULER.to_owned(), Revision(active.fence.0)));
     transaction.expect.extend(evacuation::conditions(&*cx.decoder, &active.evacuations, &batch.placement_zones));
-    for entry in &batch.writes {
-        let key = keys::progress(entry.occurrence);
-        transaction.expect.push((key.clone(), entry.replaces));
-        let value = serde_json::to_vec(&entry.progress).expect("our own types always serialize");
+    for write in &batch.writes {
+        let key = keys::progress(write.occurrence);
+        transaction.expect.push((key.clone(), write.replaces));
+        let value = serde_json::to_vec(&write.progress).expect("our own types always serialize");
         transaction.put.push(Put { key, value, lease: None });
     }
     transaction
