--- a/crates/runtime/src/submissions.rs
+++ b/crates/runtime/src/submissions.rs
@@ -1,4 +1,5 @@
-//! What callers have handed in: read once by a new scheduler, and followed from there.
+//! Submission records: the jobs and cancellations that callers have submitted. A new scheduler reads them once and
+//! follows them from there.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -15,26 +16,26 @@
     paged_reads, telemetry,
 };
 
-/// Longest wait of the watch on the intake, which only the scheduler keeps.
+/// Longest wait of the watch on submission records, which only the scheduler has open.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
 
-/// Reads what the store holds of open jobs. The returned revision is where the intake is known to.
+/// Restores the open jobs from the store. Returns the revision up to which submission records have been read.
 pub(crate) async fn restore(cx: &Context, scheduler: &mut Scheduler) -> Revision {
-    let begun = cx.view.clock().now();
-    let intake = paged_reads::read_all(&*cx.store, &cx.view, keys::INTAKE).await;
+    let started = cx.view.clock().now();
+    let submissions = paged_reads::read_all(&*cx.store, &cx.view, keys::INTAKE).await;
     let progress = paged_reads::read_all(&*cx.store, &cx.view, keys::PROGRESS).await;
-    let took = cx.view.clock().now().since(begun);
-    let (pages, bytes) = (intake.pages + progress.pages, intake.bytes() + progress.bytes());
-    telemetry::record_restore(took, pages, bytes);
-    log::info!("event=restored fence={} pages={pages} bytes={bytes} took_ms={}", scheduler.fence(), took.millis());
-    take_restored(cx, scheduler, &intake.items, progress.items);
-    intake.at
+    let duration = cx.view.clock().now().since(started);
+    let (pages, bytes) = (submissions.pages + progress.pages, submissions.bytes() + progress.bytes());
+    telemetry::record_restore(duration, pages, bytes);
+    log::info!("event=restored fence={} pages={pages} bytes={bytes} took_ms={}", scheduler.fence(), duration.millis());
+    apply_restored(cx, scheduler, &submissions.items, progress.items);
+    submissions.at
 }
 
-fn take_restored(cx: &Context, scheduler: &mut Scheduler, intake: &[Item], progress: Vec<Item>) {
+fn apply_restored(cx: &Context, scheduler: &mut Scheduler, submissions: &[Item], progress: Vec<Item>) {
     let mut cancelled = Vec::new();
     let mut unreadable = BTreeSet::new();
-    for item in intake {
+    for item in submissions {
         match keys::submission(&item.key) {
             Some(SubmissionKey::Job(id)) => {
                 if !add_job(scheduler, id, item) {
@@ -48,7 +49,7 @@
     for item in progress {
         let progress: Result<Progress, _> = serde_json::from_slice(&item.value);
         match (keys::occurrence(&item.key), progress) {
-            // It is no orphan: another version may read the job, and must not run it again.
+            // Not an orphan: another version of the program may be able to read the job, and must not run it again.
             (Some(id), _) if unreadable.contains(&id.job) => {}
             (Some(id), Ok(progress)) => scheduler.restore(id, progress, item.revision),
             (_, Err(e)) => log::error!("event=progress_unreadable key={} why={e}", item.key),
@@ -60,8 +61,8 @@
     }
 }
 
-/// Reads the records of jobs that have left the intake, beside all else: nothing waits for them, since callers'
-/// questions are answered from the store until they are known.
+/// Restores the records of ended jobs, concurrently with everything else. Nothing waits for them, since queries are
+/// answered from the store until they have been read.
 pub(crate) async fn restore_ended(cx: Context, active: Arc<Active>) {
     let ended = paged_reads::read_all(&*cx.store, &cx.view, keys::ENDED).await;
     log::info!("event=records_read fence={} records={} pages={}", active.fence, ended.items.len(), ended.pages);
@@ -77,7 +78,7 @@
     }
 }
 
-/// Returns whether the job could be read.
+/// Adds a job to the scheduler. Returns `false` if its record cannot be decoded.
 fn add_job(scheduler: &mut Scheduler, id: JobId, item: &Item) -> bool {
     match serde_json::from_slice::<Job>(&item.value) {
         Ok(job) => {
@@ -91,17 +92,17 @@
     }
 }
 
-/// Follows what callers hand in and cancel at any box, from where [`restore`] has read to.
+/// Follows the jobs and cancellations that are submitted at any box, from the revision that [`restore`] returned.
 pub(crate) async fn follow_submissions(cx: Context, active: Arc<Active>, from: Revision) {
     let on = |seen: PrefixUpdate| {
         let items = seen.written();
-        active.update(|scheduler| take_intake(scheduler, &items, cx.view.clock().now()));
+        active.update(|scheduler| apply_submissions(scheduler, &items, cx.view.clock().now()));
     };
     follow(&*cx.store, &cx.view, keys::INTAKE, Some(from), WatchTiming::immediate(WATCH_WAIT), on).await;
 }
 
-/// Jobs are taken before cancellations, which may be of them.
-fn take_intake(scheduler: &mut Scheduler, items: &[Item], now: Moment) {
+/// Applies submission records. Jobs come before cancellations, which may refer to them.
+fn apply_submissions(scheduler: &mut Scheduler, items: &[Item], now: Moment) {
     for item in items {
         if let Some(SubmissionKey::Job(id)) = keys::submission(&item.key)
             && scheduler.job_status(id).is_none()
