--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -1,10 +1,10 @@
-//! Cancellations.
+//! Cancellation of jobs: a mark in the store, which this box or another writes.
 
 use jobs::{EndedJob, Job, JobId};
 use model::{CustomerId, Duration, Moment, Revision};
 use outside::{Committed, Item, Put, StoreError, Transaction};
 
-use super::{ASK_LIMIT, RELAY_LIMIT, Requests, STORE_LIMIT, may_see};
+use super::{QUERY_TIMEOUT, RELAY_TIMEOUT, Requests, STORE_WRITE_TIMEOUT, may_see};
 use crate::{
     keys,
     outcome::{CancelOutcome, StoredRequest},
@@ -13,16 +13,16 @@
 };
 
 impl Requests {
-    /// Cancels a job, within `limit`.
+    /// Cancels a job, here or by way of another box, within `limit`.
     pub async fn cancel(&self, id: JobId, customer: Option<&CustomerId>, limit: Duration) -> CancelOutcome {
         let until = self.now() + limit;
         let mut outcome = CancelOutcome::Refused;
         if self.view.is_store_reachable() {
-            outcome = self.cancel_in_store(id, customer, limit.min(STORE_LIMIT)).await;
+            outcome = self.cancel_in_store(id, customer, limit.min(STORE_WRITE_TIMEOUT)).await;
         }
         for addr in self.relay_candidates() {
-            let left = until.since(self.now()).min(RELAY_LIMIT);
-            if left < ASK_LIMIT || !matches!(outcome, CancelOutcome::Refused | CancelOutcome::Unknown) {
+            let left = until.since(self.now()).min(RELAY_TIMEOUT);
+            if left < QUERY_TIMEOUT || !matches!(outcome, CancelOutcome::Refused | CancelOutcome::Unknown) {
                 break;
             }
             let relayed = self.peers.cancel(addr, id, customer, left).await;
@@ -38,7 +38,7 @@
         outcome
     }
 
-    /// Stores from this box that a job is not wanted, within `limit`.
+    /// Writes the cancellation mark of a job from this box, within `limit`.
     pub(crate) async fn cancel_in_store(
         &self,
         id: JobId,
@@ -52,7 +52,7 @@
         }
         let key = keys::cancel(id);
         let put = Put { key: key.clone(), value: Vec::new(), lease: None };
-        // A job that is not there may be on its way: the mark keeps it from being made.
+        // A job that is not there may have a submission in flight: the mark keeps it from being stored.
         let mut expect = vec![(key, Revision(0)), (keys::ended(id), Revision(0))];
         if job.is_none() {
             expect.push((keys::job(id), Revision(0)));
@@ -64,14 +64,14 @@
                 self.notify_scheduler(StoredRequest::Cancelled(id), revision);
                 if job.is_some() { CancelOutcome::Cancelled } else { CancelOutcome::NoSuchJob }
             }
-            Ok(Committed::Conflict(items)) => known_end(id, &items, customer),
+            Ok(Committed::Conflict(items)) => conflict_outcome(id, &items, customer),
             Ok(Committed::LeaseGone) => CancelOutcome::Unknown,
             Err(StoreError::Refused { .. }) => CancelOutcome::Refused,
             Err(StoreError::Lost { .. }) => CancelOutcome::Unknown,
         }
     }
 
-    /// Reads a job, again until the store answers or `until` is past.
+    /// Reads a job, with retries until the store responds or `until` has passed.
     async fn read_job(&self, id: JobId, until: Moment) -> Result<Option<Job>, StoreError> {
         let mut backoff = Backoff::new();
         loop {
@@ -84,8 +84,8 @@
     }
 }
 
-/// The outcome if the store's conditions did not hold: it is cancelled already, or over, or was made meanwhile.
-fn known_end(id: JobId, items: &[Item], customer: Option<&CustomerId>) -> CancelOutcome {
+/// Returns the outcome of a conflict: the job is already cancelled, has ended, or was stored meanwhile.
+fn conflict_outcome(id: JobId, items: &[Item], customer: Option<&CustomerId>) -> CancelOutcome {
     if items.iter().any(|item| item.key == keys::cancel(id)) {
         return CancelOutcome::Cancelled;
     }
--- a/crates/runtime/src/requests/mod.rs
+++ b/crates/runtime/src/requests/mod.rs
@@ -1,4 +1,6 @@
-//! Callers' requests: stored here, or by way of another box.
+//! Handling of callers' requests: written to the store by this box, or relayed to another one.
+//!
+//! A request fails over to other boxes while this one does not reach the store.
 
 mod cancel;
 mod state;
@@ -16,32 +18,33 @@
 
 use crate::{active::ActiveSlot, relay::Peers, timers::Backoff, view::View};
 
-/// One try of a write: above what a slow store takes (60 times its 4 ms).
-const WRITE_LIMIT: Duration = Duration::from_millis(450);
-/// A write is not tried with less time than this left: about what a slow store's answer takes.
-const SHORTEST_TRY: Duration = Duration::from_millis(250);
-/// All tries of a write from here. A caller has 3 s in all and may do better at another box: it is told in time.
-const STORE_LIMIT: Duration = Duration::from_millis(900);
-/// One try of a question to another box.
-const ASK_LIMIT: Duration = Duration::from_millis(400);
-/// One try of a write by way of another box, which may need two tries of its own.
-const RELAY_LIMIT: Duration = Duration::from_millis(950);
-/// A box that did not answer is left out for this long.
-const SILENT_PEER_PAUSE: Duration = Duration::from_millis(1500);
-/// So many other boxes are asked for one request.
-const MOST_PEERS: usize = 3;
+/// Timeout of one attempt to write; above the response time of a slow store (60 times 4 ms).
+const WRITE_TIMEOUT: Duration = Duration::from_millis(450);
+/// Shortest remaining time for which a write is attempted: about the response time of a slow store.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(250);
+/// Time limit of all attempts of a write by this box. A caller waits 3 s in all and may succeed at another box, so it
+/// must be answered early enough.
+const STORE_WRITE_TIMEOUT: Duration = Duration::from_millis(900);
+/// Timeout of one query to another box.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of one write relayed by another box, which may need two attempts of its own.
+const RELAY_TIMEOUT: Duration = Duration::from_millis(950);
+/// Time for which a box that did not respond is skipped.
+const UNRESPONSIVE_PEER_PAUSE: Duration = Duration::from_millis(1500);
+/// Most other boxes that are tried for one request.
+const MAX_PEERS: usize = 3;
 
-/// Takes callers' requests.
+/// Handler of callers' requests.
 pub struct Requests {
     store: Arc<dyn CoordinationStore>,
     view: Arc<View>,
     peers: Arc<Peers>,
     active: ActiveSlot,
     seeds: Vec<SocketAddr>,
-    /// Where other boxes reach this one.
-    here: SocketAddr,
-    /// Boxes that did not answer, and until when they are left out.
-    silent: Mutex<HashMap<SocketAddr, Moment>>,
+    /// Address at which other boxes reach this one.
+    own_address: SocketAddr,
+    /// Boxes that did not respond, and the time until which they are skipped.
+    unresponsive: Mutex<HashMap<SocketAddr, Moment>>,
 }
 
 impl Requests {
@@ -51,21 +54,21 @@
         peers: Arc<Peers>,
         active: ActiveSlot,
         seeds: Vec<SocketAddr>,
-        here: SocketAddr,
+        own_address: SocketAddr,
     ) -> Requests {
-        Requests { store, view, peers, active, seeds, here, silent: Mutex::default() }
+        Requests { store, view, peers, active, seeds, own_address, unresponsive: Mutex::default() }
     }
 
     fn now(&self) -> Moment {
         self.view.clock().now()
     }
 
-    /// Other boxes to send a write to: none if none of them reaches the store either, as far as is known.
+    /// Returns other boxes to relay a write to; none if, as far as is known, no other box reaches the store either.
     fn relay_candidates(&self) -> Vec<SocketAddr> {
         if self.view.is_store_reachable() || self.view.is_peer_reachable() { self.other_boxes() } else { Vec::new() }
     }
 
-    /// Other boxes worth asking, the scheduler first.
+    /// Returns other boxes to try, the scheduler first, without those that did not respond recently.
     pub(crate) fn other_boxes(&self) -> Vec<SocketAddr> {
         let mut others: Vec<SocketAddr> = self.view.relay_boxes().relays.values().map(|relay| relay.addr).collect();
         others.extend(&self.seeds);
@@ -74,42 +77,42 @@
             others.insert(0, leader.addr);
         }
         let now = self.now();
-        let silent = self.silent.lock().expect("no holder panics");
+        let unresponsive = self.unresponsive.lock().expect("no holder panics");
         let mut seen = Vec::new();
         for addr in others {
-            let resting = silent.get(&addr).is_some_and(|until| now < *until);
-            if addr != self.here && !resting && !seen.contains(&addr) {
+            let skipped = unresponsive.get(&addr).is_some_and(|until| now < *until);
+            if addr != self.own_address && !skipped && !seen.contains(&addr) {
                 seen.push(addr);
             }
         }
-        seen.truncate(MOST_PEERS);
+        seen.truncate(MAX_PEERS);
         seen
     }
 
     pub(crate) fn mark_unresponsive(&self, addr: SocketAddr) {
-        let until = self.now() + SILENT_PEER_PAUSE;
-        self.silent.lock().expect("no holder panics").insert(addr, until);
+        let until = self.now() + UNRESPONSIVE_PEER_PAUSE;
+        self.unresponsive.lock().expect("no holder panics").insert(addr, until);
     }
 
-    /// Repeats a conditional write until it is answered or time is up. The error is `Lost` if any try may
-    /// have taken effect or may yet.
+    /// Repeats a conditional write until the store responds or time is up. Returns [`StoreError::Lost`] if any attempt
+    /// may have taken effect or may still do so.
     async fn commit(&self, transaction: Transaction, limit: Duration) -> Result<Committed, StoreError> {
         let until = self.now() + limit;
         let mut backoff = Backoff::new();
         let mut error = StoreError::Refused { why: "no time is left".to_owned() };
         loop {
             let left = until.since(self.now());
-            // A try that is cut short would only leave its outcome in doubt.
-            if left < SHORTEST_TRY {
+            // An attempt with too little time would only have an unknown outcome.
+            if left < MIN_ATTEMPT_TIME {
                 return Err(error);
             }
-            match self.store.commit(transaction.clone(), left.min(WRITE_LIMIT)).await {
+            match self.store.commit(transaction.clone(), left.min(WRITE_TIMEOUT)).await {
                 Ok(committed) => {
                     self.view.record_store_response();
                     return Ok(committed);
                 }
                 Err(e @ StoreError::Lost { .. }) => error = e,
-                // A refusal of this try says nothing of an earlier one that was lost.
+                // A rejection of this attempt says nothing about an earlier one that was lost.
                 Err(e) if matches!(error, StoreError::Refused { .. }) => error = e,
                 Err(_) => {}
             }
@@ -118,7 +121,7 @@
     }
 }
 
-/// Jobs of open queues belong to no one, and anyone may ask for them.
-fn may_see(owner: Option<&CustomerId>, asks: Option<&CustomerId>) -> bool {
-    owner.is_none() || owner == asks
+/// Whether a customer may see a job. Jobs of open queues have no owner, and everyone may see them.
+fn may_see(owner: Option<&CustomerId>, customer: Option<&CustomerId>) -> bool {
+    owner.is_none() || owner == customer
 }
--- a/crates/runtime/src/requests/state.rs
+++ b/crates/runtime/src/requests/state.rs
@@ -1,14 +1,17 @@
-//! Questions: how a job stands, and how many wait.
+//! Queries: the state of a job, and the number of waiting jobs of a queue.
+//!
+//! The scheduler has the newest state. The store has it as of the latest write, and answers while no scheduler is
+//! reached.
 
 use jobs::{EndedJob, Job, JobId, Progress, QueueId};
 use model::{CustomerId, Duration};
 use outside::StoreError;
 
-use super::{ASK_LIMIT, RELAY_LIMIT, Requests, may_see};
+use super::{QUERY_TIMEOUT, RELAY_TIMEOUT, Requests, may_see};
 use crate::{keys, outcome::StateOutcome, paged_reads, telemetry};
 
 impl Requests {
-    /// Tells how a job stands, within `limit`.
+    /// Returns the state of a job, within `limit`.
     pub async fn state(&self, id: JobId, customer: Option<&CustomerId>, limit: Duration) -> StateOutcome {
         let outcome = self.state_anywhere(id, customer, limit).await;
         telemetry::count_request("state", &outcome);
@@ -20,14 +23,14 @@
 
     async fn state_anywhere(&self, id: JobId, customer: Option<&CustomerId>, limit: Duration) -> StateOutcome {
         let until = self.now() + limit;
-        let here = self.state_in_memory(id, customer);
-        if settled(here) {
-            return here;
+        let local = self.state_in_memory(id, customer);
+        if is_final(local) {
+            return local;
         }
-        if let Some(leader) = self.view.leader().filter(|leader| leader.addr != self.here) {
-            let asked = self.peers.state(leader.addr, id, customer, true, ASK_LIMIT.min(limit)).await;
-            if settled(asked) {
-                return asked;
+        if let Some(leader) = self.view.leader().filter(|leader| leader.addr != self.own_address) {
+            let remote = self.peers.state(leader.addr, id, customer, true, QUERY_TIMEOUT.min(limit)).await;
+            if is_final(remote) {
+                return remote;
             }
         }
         if self.view.is_store_reachable() {
@@ -37,13 +40,13 @@
             }
         }
         for addr in self.other_boxes() {
-            let left = until.since(self.now()).min(ASK_LIMIT);
+            let left = until.since(self.now()).min(QUERY_TIMEOUT);
             if left == Duration::ZERO {
                 break;
             }
-            let asked = self.peers.state(addr, id, customer, false, left).await;
-            if asked != StateOutcome::Unavailable {
-                return asked;
+            let remote = self.peers.state(addr, id, customer, false, left).await;
+            if remote != StateOutcome::Unavailable {
+                return remote;
             }
             self.mark_unresponsive(addr);
         }
@@ -65,7 +68,7 @@
     }
 
     async fn read_state(&self, id: JobId, customer: Option<&CustomerId>) -> Result<StateOutcome, StoreError> {
-        // The job comes last: if it stands there, what was read of it before has not gone with it to the archive.
+        // The job is read last: if it is still there, what was read before has not been archived with it.
         let stored = paged_reads::read_once(&*self.store, &keys::progress_of_job(id)).await?;
         let cancelled = self.store.get(keys::cancel(id)).await?.is_some();
         let Some(item) = self.store.get(keys::job(id)).await? else { return self.read_ended(id, customer).await };
@@ -84,7 +87,7 @@
         Ok(StateOutcome::Found(Progress::job_state(all.iter(), cancelled)))
     }
 
-    /// Reads the record of a job that has left the intake.
+    /// Reads the state from the record of an ended job.
     async fn read_ended(&self, id: JobId, customer: Option<&CustomerId>) -> Result<StateOutcome, StoreError> {
         let Some(item) = self.store.get(keys::ended(id)).await? else { return Ok(StateOutcome::NoSuchJob) };
         let Ok(ended) = serde_json::from_slice::<EndedJob>(&item.value) else { return Ok(StateOutcome::Unavailable) };
@@ -92,13 +95,13 @@
         Ok(if seen { StateOutcome::Found(ended.state) } else { StateOutcome::NotYours })
     }
 
-    /// Counts the accepted jobs of a queue that have not begun; `None` if the scheduler cannot be asked.
+    /// Counts the accepted jobs of a queue that have not started; `None` if the scheduler cannot be reached.
     pub async fn waiting(&self, queue: &QueueId, limit: Duration) -> Option<u64> {
         if let Some(waiting) = self.waiting_in_memory(queue) {
             return Some(waiting);
         }
         let leader = self.view.leader()?;
-        self.peers.waiting(leader.addr, queue, limit.min(RELAY_LIMIT)).await
+        self.peers.waiting(leader.addr, queue, limit.min(RELAY_TIMEOUT)).await
     }
 
     pub(crate) fn waiting_in_memory(&self, queue: &QueueId) -> Option<u64> {
@@ -106,7 +109,8 @@
     }
 }
 
-/// Whether no one need be asked besides: a scheduler that knows of no such job may only not have heard of it yet.
-fn settled(outcome: StateOutcome) -> bool {
+/// Whether an outcome is final. A scheduler that does not know a job may only not have received it yet, so that answer
+/// is not.
+fn is_final(outcome: StateOutcome) -> bool {
     matches!(outcome, StateOutcome::Found(_) | StateOutcome::NotYours)
 }
--- a/crates/runtime/src/requests/submission_notice.rs
+++ b/crates/runtime/src/requests/submission_notice.rs
@@ -1,47 +1,48 @@
-//! What the store has just taken is told to the scheduler by the box that had it stored, ahead of the scheduler's watch.
+//! Notifies the scheduler of jobs and cancellations that the store has just taken, ahead of the watch of the scheduler.
 //!
-//! A watch may hear nothing for seconds while the store takes writes as ever (users' kinds: before its history is
-//! dropped). Jobs that were handed in meanwhile would wait for it. The watch stays what the scheduler relies on; what
-//! is told here and lost costs nothing but time.
+//! A watch may report nothing for seconds while the store accepts writes as usual (a fault that the platform rules
+//! name: before its history is dropped). Jobs submitted meanwhile would wait for it. The scheduler still relies on the
+//! watch; a lost notice costs only time.
 //!
-//! Nothing is taken for new that is long over: the scheduler takes in only what the store took after its election, of which it
-//! has seen the end itself if there was one, and it remembers ends for longer than [`TOLD_WITHIN`].
+//! A notice cannot revive a job that ended long ago. The scheduler applies only what the store took after its election;
+//! it has itself seen the end of such a job, and remembers ended jobs for longer than [`MAX_NOTICE_AGE`].
 
 use model::{Duration, Revision};
 
 use super::Requests;
 use crate::outcome::StoredRequest;
 
-/// How long the scheduler may take to answer; it is told once.
-const TELL_LIMIT: Duration = Duration::from_millis(800);
-/// A job that was accepted longer ago, by boxes' clocks, is left to the watch: a message may be held up on its way. Far below
-/// the time for which ends are remembered, and far above what clocks differ by (users: clocks jump by 2 s).
-const TOLD_WITHIN: Duration = Duration::from_secs(30);
+/// Timeout of a notice; it is sent once.
+const NOTICE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Age, by the clocks of the boxes, above which a job is left to the watch, since a message may be delayed. Far below
+/// the time for which ended jobs are remembered, and far above the differences between clocks (the platform rules name
+/// jumps of 2 s).
+const MAX_NOTICE_AGE: Duration = Duration::from_secs(30);
 
 impl Requests {
-    /// Tells the scheduler, here or on another box, without waiting for its answer.
-    pub(super) fn notify_scheduler(&self, taken: StoredRequest, since: Revision) {
-        let leader = self.view.leader().filter(|leader| leader.addr != self.here);
-        let Some(leader) = leader else { return self.apply_stored(&taken, since) };
+    /// Notifies the scheduler, on this box or another, without waiting for the response.
+    pub(super) fn notify_scheduler(&self, request: StoredRequest, revision: Revision) {
+        let leader = self.view.leader().filter(|leader| leader.addr != self.own_address);
+        let Some(leader) = leader else { return self.apply_stored(&request, revision) };
         let peers = std::sync::Arc::clone(&self.peers);
         smol::spawn(async move {
-            if let Err(status) = peers.notify_stored(leader.addr, &taken, since, TELL_LIMIT).await {
+            if let Err(status) = peers.notify_stored(leader.addr, &request, revision, NOTICE_TIMEOUT).await {
                 log::debug!("event=scheduler_not_told box={} why={status}", leader.box_id);
             }
         })
         .detach();
     }
 
-    /// Takes in what another box, or this one, has had stored; nothing happens on a box that does not schedule.
-    pub(crate) fn apply_stored(&self, taken: &StoredRequest, since: Revision) {
-        match taken {
-            StoredRequest::Job(job) if self.is_recent(job.accepted_ms) => self.active.add_job(job, since),
+    /// Applies a notice to the scheduler of this box. Does nothing on a box that does not schedule.
+    pub(crate) fn apply_stored(&self, request: &StoredRequest, revision: Revision) {
+        match request {
+            StoredRequest::Job(job) if self.is_recent(job.accepted_ms) => self.active.add_job(job, revision),
             StoredRequest::Job(job) => log::info!("job={} event=told_late", job.id),
-            StoredRequest::Cancelled(id) => self.active.cancel(*id, since, self.now()),
+            StoredRequest::Cancelled(id) => self.active.cancel(*id, revision, self.now()),
         }
     }
 
     fn is_recent(&self, accepted_ms: u64) -> bool {
-        self.view.clock().wall_ms().saturating_sub(accepted_ms) < TOLD_WITHIN.millis()
+        self.view.clock().wall_ms().saturating_sub(accepted_ms) < MAX_NOTICE_AGE.millis()
     }
 }
--- a/crates/runtime/src/requests/submit.rs
+++ b/crates/runtime/src/requests/submit.rs
@@ -1,10 +1,10 @@
-//! Submissions.
+//! Submission of jobs: a write to the store, by this box or by another.
 
 use jobs::{EndedJob, Job};
 use model::{Duration, Revision};
 use outside::{Committed, Item, Put, StoreError, Transaction};
 
-use super::{ASK_LIMIT, RELAY_LIMIT, Requests, STORE_LIMIT};
+use super::{QUERY_TIMEOUT, RELAY_TIMEOUT, Requests, STORE_WRITE_TIMEOUT};
 use crate::{
     keys,
     outcome::{StoredRequest, SubmitOutcome},
@@ -12,7 +12,7 @@
 };
 
 impl Requests {
-    /// Takes a job, within `limit`.
+    /// Stores a job, here or by way of another box, within `limit`.
     pub async fn submit(&self, job: &Job, limit: Duration) -> SubmitOutcome {
         let outcome = self.submit_anywhere(job, limit).await;
         telemetry::count_request("submit", &outcome);
@@ -21,32 +21,32 @@
 
     async fn submit_anywhere(&self, job: &Job, limit: Duration) -> SubmitOutcome {
         let until = self.now() + limit;
-        let mut doubt = false;
+        let mut may_be_stored = false;
         if self.view.is_store_reachable() {
-            match self.submit_to_store(job, limit.min(STORE_LIMIT)).await {
+            match self.submit_to_store(job, limit.min(STORE_WRITE_TIMEOUT)).await {
                 SubmitOutcome::Refused => {}
-                SubmitOutcome::Unknown => doubt = true,
-                settled => return settled,
+                SubmitOutcome::Unknown => may_be_stored = true,
+                outcome => return outcome,
             }
         }
         for addr in self.relay_candidates() {
-            let left = until.since(self.now()).min(RELAY_LIMIT);
-            if left < ASK_LIMIT {
+            let left = until.since(self.now()).min(RELAY_TIMEOUT);
+            if left < QUERY_TIMEOUT {
                 break;
             }
             match self.peers.submit(addr, job, left).await {
                 SubmitOutcome::Refused => {}
                 SubmitOutcome::Unknown => {
-                    doubt = true;
+                    may_be_stored = true;
                     self.mark_unresponsive(addr);
                 }
-                settled => {
+                outcome => {
                     log::info!("job={} event=accepted by={addr}", job.id);
-                    return settled;
+                    return outcome;
                 }
             }
         }
-        let outcome = if doubt { SubmitOutcome::Unknown } else { SubmitOutcome::Refused };
+        let outcome = if may_be_stored { SubmitOutcome::Unknown } else { SubmitOutcome::Refused };
         log::info!(
             "job={} event=not_accepted outcome={outcome:?} store_reached={} store_silent_ms={}",
             job.id,
@@ -56,7 +56,7 @@
         outcome
     }
 
-    /// Stores a job from this box, within `limit`.
+    /// Writes a job to the store from this box, within `limit`.
     pub(crate) async fn submit_to_store(&self, job: &Job, limit: Duration) -> SubmitOutcome {
         let key = keys::job(job.id);
         let put = Put {
@@ -64,7 +64,8 @@
             value: serde_json::to_vec(job).expect("our own types always serialize"),
             lease: None,
         };
-        // A cancellation that came first, or the record of the job's end, keeps a late write from making it after all.
+        // A cancellation that came first, or the record of an ended job, prevents a late write from creating the job
+        // again.
         let absent = [key.clone(), keys::cancel(job.id), keys::ended(job.id)];
         let expect = absent.map(|key| (key, Revision(0))).to_vec();
         let transaction = Transaction { expect, put: vec![put], remove: Vec::new() };
@@ -75,7 +76,7 @@
                 self.notify_scheduler(StoredRequest::Job(job.clone()), revision);
                 SubmitOutcome::Accepted
             }
-            Ok(Committed::Conflict(items)) => known_job(job, &items),
+            Ok(Committed::Conflict(items)) => conflict_outcome(job, &items),
             Ok(Committed::LeaseGone) => SubmitOutcome::Refused,
             Err(StoreError::Refused { .. }) => SubmitOutcome::Refused,
             Err(StoreError::Lost { .. }) => SubmitOutcome::Unknown,
@@ -83,8 +84,8 @@
     }
 }
 
-/// The outcome if the store's conditions did not hold: an earlier submission, or a cancellation, came first.
-fn known_job(job: &Job, items: &[Item]) -> SubmitOutcome {
+/// Returns the outcome of a conflict with an earlier submission or cancellation.
+fn conflict_outcome(job: &Job, items: &[Item]) -> SubmitOutcome {
     let find = |key: String| items.iter().find(|item| item.key == key);
     let is_same = if let Some(item) = find(keys::job(job.id)) {
         serde_json::from_slice::<Job>(&item.value).map(|known| known.same_work(job) && known.customer == job.customer)
@@ -92,7 +93,7 @@
         let is_same = |ended: EndedJob| ended.work == job.work_digest() && ended.customer == job.customer;
         serde_json::from_slice::<EndedJob>(&item.value).map(is_same)
     } else {
-        // Cancelled before it came: it is not made any more.
+        // Cancelled before its submission: it is not stored any more.
         return SubmitOutcome::Refused;
     };
     match is_same {
