--- a/crates/runtime/src/predecessors.rs
+++ b/crates/runtime/src/predecessors.rs
@@ -1,12 +1,12 @@
 //! Earlier schedulers that may still renew leases, and whether their terms have ended.
 //!
-//! A scheduler that the store does not confirm goes on renewing for some seconds, so what runs on a backend server
-//! that its successor does not reach is over only that much later, and a lease after it. But most earlier schedulers
-//! have ended, or know that they have been deposed: a box that says so, or has begun anew since, renews nothing, and
-//! only the lease itself is waited for.
+//! A scheduler that the store does not confirm continues to renew leases for some seconds. So the runs on a backend
+//! server that its successor does not reach count as ended only after that time and one lease. Most earlier schedulers,
+//! however, have ended or know that they lost leadership: a box that confirms this, or has restarted since, renews
+//! nothing, and only the lease itself has to expire.
 //!
-//! Each election writes down, in the transaction that wins it, who was elected before and may renew still: only one
-//! who finds all of them can ask all of them.
+//! Each election records, in the transaction that wins it, the schedulers that were elected before and may still renew.
+//! A successor has to find all of them to be able to ask all of them.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -22,60 +22,61 @@
     timers::{pause, with_timeout},
 };
 
-/// From one question to the next.
-const ASK_EVERY: Duration = Duration::from_millis(150);
-/// Limit of a question.
-const ASK_LIMIT: Duration = Duration::from_millis(400);
-/// Limit of a write.
-const WRITE_LIMIT: Duration = Duration::from_millis(800);
-/// More terms than this within the time for which one may go on are not kept apart: the successor waits for all.
-const MOST: usize = 8;
-
-/// A box that was elected. Its fence is known only to those that came after it.
+/// Interval between queries to a predecessor.
+const QUERY_INTERVAL: Duration = Duration::from_millis(150);
+/// Timeout of a query.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout of a write.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Most terms that are recorded one by one. With more of them, the successor waits for the longest time that any of
+/// them may continue.
+const MAX_TERMS: usize = 8;
+
+/// A term of an elected box. Its fencing token is the revision of the election, which is known only after the write.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Term {
     #[serde(rename = "box")]
     box_id: BoxId,
     addr: SocketAddr,
-    /// `None` for the newest: the revision of the key that holds it.
+    /// `None` for the newest term: its fencing token is the revision of the key that holds the record.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     fence: Option<u64>,
-    /// It renews leases without a word of the store only while the witnesses vouch for it.
+    /// Whether the scheduler renews leases without confirmation of the store only while the witnesses confirm it.
     #[serde(default)]
     witnessed: bool,
 }
 
-/// Who has been elected, as the store holds it.
+/// Record of the elected schedulers, as stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Terms {
-    /// The newest first. Those before it may renew leases still, or may have as it was elected.
+    /// Terms, the newest first. The others may still renew leases, or may have done so when the newest was elected.
     terms: Vec<Term>,
-    /// There may be earlier ones that nobody has written down.
+    /// Whether there may be earlier terms that are not recorded.
     #[serde(default)]
     incomplete: bool,
 }
 
-/// Schedulers that may renew leases still: boxes, where they are reached, and their fences.
+/// Schedulers that may still renew leases: the boxes, their addresses and their fencing tokens.
 pub(crate) type Predecessors = Vec<(BoxId, SocketAddr, Fence)>;
 
-/// What is known of earlier schedulers.
+/// Earlier schedulers, as found at an election.
 #[derive(Debug, Clone)]
 pub(crate) struct EarlierTerms {
-    /// Who may renew leases still; `None` if that is not known of all.
+    /// Schedulers that may still renew leases; `None` if the record is incomplete.
     pub(crate) predecessors: Option<Predecessors>,
-    /// All of them are known, and go by the witnesses.
+    /// Whether all of them are known and follow the rule about witnesses.
     pub(crate) witnessed: bool,
 }
 
-/// What a candidate has found.
+/// The record of terms, as a candidate has read it.
 #[derive(Debug, Clone)]
 pub(crate) struct StoredTerms {
     terms: Terms,
-    /// The store's revision of it; 0 if there was nothing.
+    /// Revision of the stored record; 0 if there was none.
     revision: Revision,
 }
 
-/// Reads who was elected before.
+/// Reads the record of earlier terms.
 pub(crate) async fn read(store: &dyn CoordinationStore) -> Result<StoredTerms, StoreError> {
     Ok(StoredTerms::of(store.get(keys::TERMS.to_owned()).await?))
 }
@@ -94,17 +95,18 @@
         StoredTerms { terms, revision: item.revision }
     }
 
-    /// The condition and the write with which a candidate adds itself to them.
+    /// Returns the condition and the write with which a candidate adds itself to the record.
     pub(crate) fn add(&self, box_id: &BoxId, addr: SocketAddr) -> ((String, Revision), Put) {
         let mut terms = vec![Term { box_id: box_id.clone(), addr, fence: None, witnessed: true }];
         terms.extend(self.terms.terms.iter().cloned());
-        let incomplete = self.terms.incomplete || terms.len() > MOST;
-        terms.truncate(MOST);
+        let incomplete = self.terms.incomplete || terms.len() > MAX_TERMS;
+        terms.truncate(MAX_TERMS);
         let value = serde_json::to_vec(&Terms { terms, incomplete }).expect("our own types always serialize");
         ((keys::TERMS.to_owned(), self.revision), Put { key: keys::TERMS.to_owned(), value, lease: None })
     }
 
-    /// What is known of earlier schedulers. `newest` is the newest fence that the box has known of before its own election.
+    /// Returns the earlier schedulers. `newest` is the newest fencing token that the box observed before its own
+    /// election.
     pub(crate) fn earlier_terms(&self, newest: Option<Fence>) -> EarlierTerms {
         let predecessors = self.predecessors(newest);
         let witnessed = predecessors.is_some() && self.terms.terms.iter().all(|term| term.witnessed);
@@ -119,46 +121,48 @@
     }
 }
 
-/// Asks all predecessors until their terms have ended, for `longest` at most, since none goes on for longer; then forgets them.
+/// Asks all predecessors until their terms have ended, for at most `max_wait`, since none continues for longer. Then
+/// removes them from the record.
 pub(crate) async fn await_ended(
     cx: Context,
     active: Arc<Active>,
-    here: (BoxId, SocketAddr),
+    own_box: (BoxId, SocketAddr),
     found: Option<Predecessors>,
-    longest: Duration,
+    max_wait: Duration,
 ) {
-    let begun = cx.view.clock().now();
-    let asked = async {
+    let started = cx.view.clock().now();
+    let all_ended = async {
         let Some(predecessors) = found else { return std::future::pending().await };
         let mut ended: Moment = Moment::ZERO;
         for (box_id, addr, fence) in &predecessors {
-            ended = ended.max(until_ended(&cx, box_id, *addr, *fence).await);
+            ended = ended.max(await_term_end(&cx, box_id, *addr, *fence).await);
         }
         log::info!(
             "event=predecessors_ended fence={} terms={} after_ms={}",
             active.fence,
             predecessors.len(),
-            cx.view.clock().now().since(begun).millis()
+            cx.view.clock().now().since(started).millis()
         );
         active.update(|scheduler| scheduler.earlier_terms_ended(ended));
     };
-    with_timeout(longest, asked).await;
-    forget(&cx, &active, here).await;
+    with_timeout(max_wait, all_ended).await;
+    remove_predecessors(&cx, &active, own_box).await;
 }
 
-/// Asks a box until it renews no lease with a fence any more. Returns when it ended to do so at the latest.
-async fn until_ended(cx: &Context, box_id: &BoxId, addr: SocketAddr, fence: Fence) -> Moment {
+/// Asks a box until it no longer renews leases with a fencing token. Returns the latest time at which it may have done
+/// so.
+async fn await_term_end(cx: &Context, box_id: &BoxId, addr: SocketAddr, fence: Fence) -> Moment {
     loop {
-        if let Some(since) = cx.peers.term_ended(addr, box_id, fence, ASK_LIMIT).await {
+        if let Some(since) = cx.peers.term_ended(addr, box_id, fence, QUERY_TIMEOUT).await {
             let now = cx.view.clock().now();
             return now - since;
         }
-        pause(ASK_EVERY).await;
+        pause(QUERY_INTERVAL).await;
     }
 }
 
-/// Leaves only this term in the store: no earlier one goes on.
-async fn forget(cx: &Context, active: &Active, (box_id, addr): (BoxId, SocketAddr)) {
+/// Reduces the stored record to the current term, after all earlier ones have ended.
+async fn remove_predecessors(cx: &Context, active: &Active, (box_id, addr): (BoxId, SocketAddr)) {
     let terms =
         Terms { terms: vec![Term { box_id, addr, fence: Some(active.fence.0), witnessed: true }], incomplete: false };
     let value = serde_json::to_vec(&terms).expect("our own types always serialize");
@@ -166,9 +170,9 @@
     let expect = vec![(keys::SCHEDULER.to_owned(), Revision(active.fence.0))];
     loop {
         let transaction = Transaction { expect: expect.clone(), put: vec![put.clone()], remove: Vec::new() };
-        match cx.store.commit(transaction, WRITE_LIMIT).await {
+        match cx.store.commit(transaction, WRITE_TIMEOUT).await {
             Ok(Committed::Done(_) | Committed::Conflict(_)) => return,
-            Ok(Committed::LeaseGone) | Err(_) => pause(WRITE_LIMIT).await,
+            Ok(Committed::LeaseGone) | Err(_) => pause(WRITE_TIMEOUT).await,
         }
     }
 }
