--- a/crates/runtime/src/unreachable.rs
+++ b/crates/runtime/src/unreachable.rs
@@ -1,4 +1,5 @@
-//! The note of backend servers that no scheduler has reached lately: read by a new scheduler, and kept up to date by it.
+//! The stored record of backend servers that no scheduler has reached recently: read by a new scheduler, which then
+//! keeps it up to date.
 
 use std::sync::Arc;
 
@@ -13,12 +14,13 @@
     timers::{Backoff, pause},
 };
 
-/// How often there is a look for what to note. What is reached again gets no lease before it is withdrawn.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// How long a write may take.
-const WRITE_LIMIT: Duration = Duration::from_millis(800);
+/// Interval at which the scheduler checks for changes of the record. A backend server that is reachable again gets no
+/// lease until it has been withdrawn.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of a write.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The note of earlier schedulers, read for as long as it takes.
+/// Reads the record of earlier schedulers, with retries until the store responds.
 pub(crate) async fn read(cx: &Context) -> Option<Item> {
     let mut backoff = Backoff::new();
     loop {
@@ -32,27 +34,28 @@
     }
 }
 
-/// Takes in what was read. One that cannot be read tells nothing, and is replaced.
+/// Applies the record that was read. One that cannot be decoded counts as empty, and is replaced.
 pub(crate) fn restore(scheduler: &mut Scheduler, item: &Item) {
-    let note = serde_json::from_slice(&item.value).unwrap_or_else(|e| {
+    let record = serde_json::from_slice(&item.value).unwrap_or_else(|e| {
         log::error!("event=unreached_unreadable key={} why={e}", item.key);
         UnreachableRecord::default()
     });
-    scheduler.restore_unreachable(&note, item.revision);
+    scheduler.restore_unreachable(&record, item.revision);
 }
 
-/// Keeps the note, until it is dropped.
+/// Writes the record whenever it changes, until it is dropped.
 pub(crate) async fn run(cx: Context, active: Arc<Active>) {
     let mut backoff = Backoff::new();
     loop {
-        pause(LOOK_EVERY).await;
-        // What a note may name gets no lease until the store has taken another, so none is drawn up while the store could not.
+        pause(CHECK_INTERVAL).await;
+        // A backend server that may be recorded gets no lease until the store has taken a later record, so no record is
+        // made while the store cannot take one.
         if !cx.view.is_store_reachable() {
             continue;
         }
         let now = cx.view.clock().now();
         let Some(write) = active.lock().next_unreachable_write(now) else { continue };
-        match cx.store.commit(transaction(&active, &write), WRITE_LIMIT).await {
+        match cx.store.commit(transaction(&active, &write), WRITE_TIMEOUT).await {
             Ok(Committed::Done(revision)) => {
                 backoff.reset();
                 active.update(|scheduler| scheduler.unreachable_stored(write, revision));
@@ -71,7 +74,7 @@
     }
 }
 
-/// A write that only the elected scheduler can make, in place of the note that it knows of.
+/// Makes a write that replaces the last known record, conditional on this scheduler being the elected one.
 fn transaction(active: &Active, write: &UnreachableWrite) -> Transaction {
     let value = serde_json::to_vec(&write.record).expect("our own types always serialize");
     Transaction {
--- a/crates/runtime/src/witnesses.rs
+++ b/crates/runtime/src/witnesses.rs
@@ -1,4 +1,4 @@
-//! The witnesses in the store: read by a new scheduler, and kept up to date by it.
+//! The stored record of witnesses: read by a new scheduler, which then keeps it up to date.
 
 use std::sync::Arc;
 
@@ -13,12 +13,12 @@
     timers::{Backoff, pause},
 };
 
-/// How often there is a look for others to choose.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
-/// How long a write may take.
-const WRITE_LIMIT: Duration = Duration::from_millis(800);
+/// Interval at which the scheduler checks whether other witnesses should be chosen.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of a write.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// The witnesses of earlier schedulers, read for as long as it takes.
+/// Reads the witnesses of earlier schedulers, with retries until the store responds.
 pub(crate) async fn read(cx: &Context) -> Option<Item> {
     let mut backoff = Backoff::new();
     loop {
@@ -32,34 +32,34 @@
     }
 }
 
-/// Takes in what was read since the election. What cannot be read binds nobody.
+/// Applies the record that was read since the election. A record that cannot be decoded binds no scheduler.
 pub(crate) fn restore(scheduler: &mut Scheduler, item: Option<&Item>, binding: bool) {
     let revision = item.map_or(Revision(0), |item| item.revision);
-    scheduler.restore_witnesses(item.and_then(note_of), revision, binding);
+    scheduler.restore_witnesses(item.and_then(decode_record), revision, binding);
 }
 
-fn note_of(item: &Item) -> Option<WitnessRecord> {
+fn decode_record(item: &Item) -> Option<WitnessRecord> {
     serde_json::from_slice(&item.value)
         .inspect_err(|e| log::error!("event=witnesses_unreadable key={} why={e}", item.key))
         .ok()
 }
 
-/// Keeps them, until it is dropped.
+/// Writes the record whenever it changes, until it is dropped.
 pub(crate) async fn run(cx: Context, active: Arc<Active>) {
     let mut backoff = Backoff::new();
     loop {
-        pause(LOOK_EVERY).await;
+        pause(CHECK_INTERVAL).await;
         if !cx.view.is_store_reachable() {
             continue;
         }
         let now = cx.view.clock().now();
         let Some(write) = active.lock().next_witness_write(now) else { continue };
-        match cx.store.commit(transaction(&active, &write), WRITE_LIMIT).await {
+        match cx.store.commit(transaction(&active, &write), WRITE_TIMEOUT).await {
             Ok(Committed::Done(revision)) => {
                 backoff.reset();
                 active.lock().witnesses_stored(write, revision);
             }
-            Ok(Committed::Conflict(items)) => take_found(&active, &items),
+            Ok(Committed::Conflict(items)) => apply_conflict(&active, &items),
             Ok(Committed::LeaseGone) => backoff.wait().await,
             Err(e) => {
                 log::info!("event=witnesses_not_stored fence={} why={e}", active.fence);
@@ -69,16 +69,16 @@
     }
 }
 
-/// Other witnesses stand in the store. They are this scheduler's own as long as nobody else has been elected.
-fn take_found(active: &Active, items: &[Item]) {
-    let in_office = items.iter().any(|item| item.key == keys::SCHEDULER && item.revision.0 == active.fence.0);
+/// Applies the record that a conflict has shown. It is of this scheduler as long as no other has been elected.
+fn apply_conflict(active: &Active, items: &[Item]) {
+    let is_elected = items.iter().any(|item| item.key == keys::SCHEDULER && item.revision.0 == active.fence.0);
     let found = items.iter().find(|item| item.key == keys::WITNESSES);
-    if let Some(item) = found.filter(|_| in_office) {
-        active.lock().witnesses_found(note_of(item), item.revision);
+    if let Some(item) = found.filter(|_| is_elected) {
+        active.lock().witnesses_found(decode_record(item), item.revision);
     }
 }
 
-/// A write that only the elected scheduler can make, in place of the witnesses that it knows of.
+/// Makes a write that replaces the last known record, conditional on this scheduler being the elected one.
 fn transaction(active: &Active, write: &WitnessWrite) -> Transaction {
     let value = serde_json::to_vec(&write.record).expect("our own types always serialize");
     Transaction {
