--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -1,8 +1,8 @@
-//! Keeps the scheduler's backend servers as the platform lists them.
+//! Follows the platform's list of backend servers and passes it on to the scheduler.
 //!
-//! The list may name several lives at one address: a crashed one is listed for some heartbeats more, and what it has
-//! written may come late, after the next life is at work. So the list tells only whom to call; who answers there tells
-//! which life it is ([`crate::link_worker`]).
+//! The list may name several incarnations at one address: a crashed one stays listed for some heartbeats, and its last
+//! entry may arrive after the next incarnation has started. So the list decides only which addresses are called; the
+//! response shows which incarnation is there ([`crate::link_worker`]).
 
 use std::{
     collections::{HashMap, HashSet},
@@ -19,28 +19,28 @@
     platform::{DecodeError, ListedServer},
 };
 
-/// How backend servers are watched. Each writes its entry every second or two, so that without a rest a watch would bring one change at a
-/// time. The rest is short beside the time that a drain is told ahead.
+/// Timing of the watch. Each backend server writes its entry every second or two, so without a pause each watch would
+/// return a single change. The pause is short compared with the notice that is given before a drain.
 const WATCH: WatchTiming = WatchTiming { wait: Duration::from_secs(2), cooldown: Duration::from_millis(100) };
 
-/// The backend servers that are listed, as they were last told of.
+/// The listed backend servers with their latest entries.
 ///
-/// Each tells of itself every second or two, mostly without news: 2,000 entries a second at 3,000 backend servers, which the
-/// scheduler need not hear of.
+/// Each writes its entry every second or two, mostly unchanged. At 3,000 backend servers that is 2,000 entries a
+/// second, which are filtered out here before they reach the scheduler.
 type Listed = HashMap<BackendServerId, ListedServer>;
 
-/// Follows the platform's list of backend servers.
+/// Follows the platform's list of backend servers until it is dropped.
 pub(crate) async fn follow_servers(cx: Context, active: Arc<Active>) {
     let prefix = cx.decoder.servers_prefix();
     let mut listed = Listed::new();
     let on = |seen: PrefixUpdate| match seen {
-        PrefixUpdate::All(items) => take_all(&cx, &active, &mut listed, &items),
+        PrefixUpdate::All(items) => apply_all(&cx, &active, &mut listed, &items),
         PrefixUpdate::Changes(changes) => {
             for change in &changes {
                 match change {
                     Change::Put(item) => {
-                        if take(&cx, &active, &mut listed, item) {
-                            tell_new(&cx, &listed, item);
+                        if apply_entry(&cx, &active, &mut listed, item) {
+                            log_listed(&cx, &listed, item);
                         }
                     }
                     Change::Removed { key } => remove(&cx, &active, &mut listed, key),
@@ -51,38 +51,39 @@
     follow(&*cx.store, &cx.view, &prefix, None, WATCH, on).await;
 }
 
-fn take_all(cx: &Context, active: &Arc<Active>, listed: &mut Listed, items: &[Item]) {
-    let there: HashSet<BackendServerId> = items.iter().filter_map(|item| cx.decoder.server_of_key(&item.key)).collect();
-    // What runs is heard of first.
+fn apply_all(cx: &Context, active: &Arc<Active>, listed: &mut Listed, items: &[Item]) {
+    let current: HashSet<BackendServerId> =
+        items.iter().filter_map(|item| cx.decoder.server_of_key(&item.key)).collect();
+    // Backend servers with runs come first.
     let busy = |item: &&Item| {
         let id = cx.decoder.server_of_key(&item.key);
         id.is_some_and(|id| active.lock().is_busy(&id))
     };
     let (first, mut rest): (Vec<&Item>, Vec<&Item>) = items.iter().partition(busy);
     if !active.links.has_capacity_for(items.len()) {
-        // Whole racks, of which a gang may ask for one.
+        // Whole racks, since a gang may need a rack.
         rest.sort_by_cached_key(|item| cx.decoder.server(item).map(|server| server.info.rack).ok());
         log::warn!("event=carries_a_part fence={} listed={}", active.fence, items.len());
     }
     for item in first.into_iter().chain(rest) {
-        take(cx, active, listed, item);
+        apply_entry(cx, active, listed, item);
     }
-    let gone: Vec<BackendServerId> = listed.keys().filter(|id| !there.contains(id)).cloned().collect();
-    for id in gone {
+    let removed: Vec<BackendServerId> = listed.keys().filter(|id| !current.contains(id)).cloned().collect();
+    for id in removed {
         listed.remove(&id);
         unlist(cx, active, &id);
     }
 }
 
-/// Returns whether the entry names a backend server that was not listed before.
-fn take(cx: &Context, active: &Arc<Active>, listed: &mut Listed, item: &Item) -> bool {
-    match read(cx, listed, item) {
+/// Applies an entry. Returns whether it names a backend server that was not listed before.
+fn apply_entry(cx: &Context, active: &Arc<Active>, listed: &mut Listed, item: &Item) -> bool {
+    match decode_entry(cx, listed, item) {
         Ok(server) => {
             let id = server.target.id.clone();
             if listed.get(&id) == Some(&server) && (active.links.is_open(&id) || !may_open(active, &id)) {
                 return false;
             }
-            take_server(cx, active, server.clone());
+            apply_server(cx, active, server.clone());
             listed.insert(id, server).is_none()
         }
         Err(e) => {
@@ -92,7 +93,7 @@
     }
 }
 
-fn tell_new(cx: &Context, listed: &Listed, item: &Item) {
+fn log_listed(cx: &Context, listed: &Listed, item: &Item) {
     let server = cx.decoder.server_of_key(&item.key).and_then(|id| listed.get(&id));
     if let Some(ListedServer { target, .. }) = server {
         let incarnation = target.incarnation.map(|incarnation| incarnation.to_string()).unwrap_or_default();
@@ -100,9 +101,9 @@
     }
 }
 
-/// Reads an entry, unless it comes from another writer: that one names no backend server, and above all none that
-/// would have taken the place of another one at its address.
-fn read(cx: &Context, listed: &Listed, item: &Item) -> Result<ListedServer, DecodeError> {
+/// Decodes an entry. Rejects entries of other writers, which name no configured service: they are no backend servers,
+/// and above all must not replace another one at its address.
+fn decode_entry(cx: &Context, listed: &Listed, item: &Item) -> Result<ListedServer, DecodeError> {
     let server = cx.decoder.server(item)?;
     let service = &server.info.service;
     let known = listed.get(&server.target.id).is_some_and(|known| known.info.service == *service);
@@ -113,7 +114,7 @@
     Err(DecodeError { key: item.key.clone(), why: format!("no configuration names the service {service}") })
 }
 
-fn take_server(cx: &Context, active: &Arc<Active>, server: ListedServer) {
+fn apply_server(cx: &Context, active: &Arc<Active>, server: ListedServer) {
     let now = cx.view.clock().now();
     let ListedServer { target, info } = server;
     active.update(|scheduler| scheduler.server_listed(target.id.clone(), info, now));
@@ -122,7 +123,7 @@
     }
 }
 
-/// Whether a backend server may have a link: what it runs must be renewed, however many the box carries.
+/// Whether a backend server may have a link. Those with runs need one for renewals, whatever the capacity of the box.
 fn may_open(active: &Active, id: &BackendServerId) -> bool {
     active.links.has_capacity() || active.lock().is_busy(id)
 }
