--- a/crates/runtime/src/relay.rs
+++ b/crates/runtime/src/relay.rs
@@ -1,4 +1,5 @@
-//! Calls between boxes: a box that does not reach the store, or does not schedule, asks another.
+//! Client side of the calls between boxes. A box that does not reach the store, or does not schedule, relays requests
+//! to another one.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Mutex};
 
@@ -13,13 +14,13 @@
     timers::pause,
 };
 
-/// No call to another box takes longer, whatever its own limit.
-const CHANNEL_LIMIT: std::time::Duration = std::time::Duration::from_secs(5);
-/// The other box gets so much less time than its asker waits, so that its answer is not missed: an answer that
-/// is missed leaves the asker in doubt.
-const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// Longest message between boxes, in bytes: the store's values reach 1 MB.
-const MAX_MESSAGE: usize = 4 * 1024 * 1024;
+/// Upper bound of the time of any call to another box, whatever its own timeout.
+const CHANNEL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(5);
+/// Time by which the limit of the other box is shorter than the timeout of the caller, so that its response arrives in
+/// time: a missed response leaves the outcome unknown.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(150);
+/// Longest message between boxes, in bytes. Values of the store have up to 1 MB.
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Connections to other boxes, one per address.
 #[derive(Default)]
@@ -31,24 +32,25 @@
     fn client(&self, addr: SocketAddr) -> RelayClient<Channel> {
         let make = || {
             let origin = format!("http://{addr}").parse().expect("an address makes a valid origin");
-            RelayClient::with_origin(Channel::new(addr, CHANNEL_LIMIT), origin).max_decoding_message_size(MAX_MESSAGE)
+            RelayClient::with_origin(Channel::new(addr, CHANNEL_TIMEOUT), origin)
+                .max_decoding_message_size(MAX_MESSAGE_BYTES)
         };
         self.by_addr.lock().expect("no holder panics").entry(addr).or_insert_with(make).clone()
     }
 
-    /// Has another box store a job.
+    /// Relays a submission to another box.
     pub(crate) async fn submit(&self, addr: SocketAddr, job: &Job, limit: Duration) -> SubmitOutcome {
         let body = serde_json::to_vec(job).expect("our own types always serialize");
-        let req = relay::SubmitRequest { job: body, limit_ms: others_limit(limit) };
+        let req = relay::SubmitRequest { job: body, limit_ms: remote_limit_ms(limit) };
         let mut client = self.client(addr);
-        match within(limit, client.submit(req)).await {
+        match call_with_timeout(limit, client.submit(req)).await {
             Ok(reply) => reply.outcome().into(),
-            Err(status) if never_sent(&status) => SubmitOutcome::Refused,
+            Err(status) if was_not_sent(&status) => SubmitOutcome::Refused,
             Err(_) => SubmitOutcome::Unknown,
         }
     }
 
-    /// Has another box store that a job is cancelled.
+    /// Relays a cancellation to another box.
     pub(crate) async fn cancel(
         &self,
         addr: SocketAddr,
@@ -57,15 +59,15 @@
         limit: Duration,
     ) -> CancelOutcome {
         let customer = customer.map(ToString::to_string).unwrap_or_default();
-        let req = relay::CancelRequest { job: id.to_string(), customer, limit_ms: others_limit(limit) };
+        let req = relay::CancelRequest { job: id.to_string(), customer, limit_ms: remote_limit_ms(limit) };
         let mut client = self.client(addr);
-        match within(limit, client.cancel(req)).await {
+        match call_with_timeout(limit, client.cancel(req)).await {
             Ok(reply) => reply.outcome().into(),
             Err(_) => CancelOutcome::Unknown,
         }
     }
 
-    /// Asks another box how a job stands; with `scheduler_only`, only what its scheduler knows.
+    /// Queries another box for the state of a job; with `scheduler_only`, only its scheduler in memory.
     pub(crate) async fn state(
         &self,
         addr: SocketAddr,
@@ -75,38 +77,44 @@
         limit: Duration,
     ) -> StateOutcome {
         let customer = customer.map(ToString::to_string).unwrap_or_default();
-        let req = relay::StateRequest { job: id.to_string(), customer, limit_ms: others_limit(limit), scheduler_only };
+        let req =
+            relay::StateRequest { job: id.to_string(), customer, limit_ms: remote_limit_ms(limit), scheduler_only };
         let mut client = self.client(addr);
-        match within(limit, client.state(req)).await {
+        match call_with_timeout(limit, client.state(req)).await {
             Ok(reply) => reply.state().into(),
             Err(_) => StateOutcome::Unavailable,
         }
     }
 
-    /// Asks the scheduler how many jobs of a queue have not begun.
+    /// Queries the scheduler for the number of jobs of a queue that have not started; `None` if it does not respond or
+    /// does not schedule any more.
     pub(crate) async fn waiting(&self, addr: SocketAddr, queue: &QueueId, limit: Duration) -> Option<u64> {
         let mut client = self.client(addr);
-        let reply = within(limit, client.waiting(relay::WaitingRequest { queue: queue.to_string() })).await.ok()?;
+        let reply =
+            call_with_timeout(limit, client.waiting(relay::WaitingRequest { queue: queue.to_string() })).await.ok()?;
         (!reply.unavailable).then_some(reply.waiting)
     }
 
-    /// Tells the scheduler what the store has taken since a revision.
+    /// Notifies the scheduler of a job or cancellation that the store took at a revision.
     pub(crate) async fn notify_stored(
         &self,
         addr: SocketAddr,
-        taken: &StoredRequest,
-        since: Revision,
+        request: &StoredRequest,
+        revision: Revision,
         limit: Duration,
     ) -> Result<(), Status> {
-        let what = match taken {
+        let what = match request {
             StoredRequest::Job(job) => What::Job(serde_json::to_vec(job).expect("our own types always serialize")),
             StoredRequest::Cancelled(id) => What::Cancelled(id.to_string()),
         };
         let mut client = self.client(addr);
-        within(limit, client.taken(relay::TakenRequest { revision: since.0, what: Some(what) })).await.map(|_| ())
+        call_with_timeout(limit, client.taken(relay::TakenRequest { revision: revision.0, what: Some(what) }))
+            .await
+            .map(|_| ())
     }
 
-    /// For how long at least a box has not scheduled with a fence; `None` if it does, or does not answer.
+    /// Asks a box to step down from a term. Returns for how long it has at least not been scheduling with the fencing
+    /// token; `None` if it still is or does not respond.
     pub(crate) async fn term_ended(
         &self,
         addr: SocketAddr,
@@ -116,17 +124,17 @@
     ) -> Option<Duration> {
         let mut client = self.client(addr);
         let req = relay::TermEndedRequest { r#box: box_id.to_string(), fence: fence.0 };
-        let reply = within(limit, client.term_ended(req)).await.ok()?;
+        let reply = call_with_timeout(limit, client.term_ended(req)).await.ok()?;
         reply.ended.then(|| Duration::from_millis(reply.since_ms))
     }
 
-    /// Whether another box answers, and reaches the store.
+    /// Whether another box responds and reaches the store.
     pub(crate) async fn is_answering(&self, addr: SocketAddr, limit: Duration) -> bool {
         self.configuration(addr, u64::MAX, Duration::ZERO, limit).await.is_some()
     }
 
-    /// Asks another box for a configuration above a version, as the operators wrote it; empty if there is none within `wait`. With a
-    /// wait, the other box answers only if it follows the configuration in the store.
+    /// Requests a configuration above a version from another box, as the operators wrote it; empty if there is none
+    /// within `wait`. With a wait, the other box replies only if it watches the configuration in the store itself.
     pub(crate) async fn configuration(
         &self,
         addr: SocketAddr,
@@ -136,25 +144,28 @@
     ) -> Option<Vec<u8>> {
         let mut client = self.client(addr);
         let req = relay::ConfigurationRequest { above, wait_ms: wait.millis() };
-        let reply = within(limit, client.configuration(req)).await.ok()?;
+        let reply = call_with_timeout(limit, client.configuration(req)).await.ok()?;
         Some(reply.document)
     }
 }
 
-/// What the other box is given of the time that its asker waits, in milliseconds.
-fn others_limit(limit: Duration) -> u64 {
-    limit.millis().saturating_sub(ANSWER_MARGIN.millis())
+/// Returns the time limit for the other box, in milliseconds.
+fn remote_limit_ms(limit: Duration) -> u64 {
+    limit.millis().saturating_sub(RESPONSE_MARGIN.millis())
 }
 
-/// Whether a failed call cannot have reached the other box's work.
-fn never_sent(status: &Status) -> bool {
+/// Whether a failed call cannot have been processed by the other box.
+fn was_not_sent(status: &Status) -> bool {
     status.code() == tonic::Code::ResourceExhausted
 }
 
-async fn within<T>(limit: Duration, call: impl Future<Output = Result<Response<T>, Status>>) -> Result<T, Status> {
+async fn call_with_timeout<T>(
+    limit: Duration,
+    call: impl Future<Output = Result<Response<T>, Status>>,
+) -> Result<T, Status> {
     let expire = async {
         pause(limit).await;
-        Err(Status::deadline_exceeded("the other box did not answer in time"))
+        Err(Status::deadline_exceeded("the other box did not respond in time"))
     };
     futures_lite::FutureExt::or(call, expire).await.map(Response::into_inner)
 }
--- a/crates/runtime/src/relay_messages.rs
+++ b/crates/runtime/src/relay_messages.rs
@@ -1,4 +1,4 @@
-//! Outcomes as boxes tell them to each other.
+//! Conversions between the outcomes of requests and the messages between boxes.
 
 use jobs::JobState;
 use wire::relay::{cancel_reply, state_reply, submit_reply};
@@ -6,8 +6,8 @@
 use crate::outcome::{CancelOutcome, StateOutcome, SubmitOutcome};
 
 impl From<submit_reply::Outcome> for SubmitOutcome {
-    fn from(told: submit_reply::Outcome) -> SubmitOutcome {
-        match told {
+    fn from(outcome: submit_reply::Outcome) -> SubmitOutcome {
+        match outcome {
             submit_reply::Outcome::Accepted => SubmitOutcome::Accepted,
             submit_reply::Outcome::Refused => SubmitOutcome::Refused,
             submit_reply::Outcome::OtherJob => SubmitOutcome::OtherJob,
@@ -28,8 +28,8 @@
 }
 
 impl From<cancel_reply::Outcome> for CancelOutcome {
-    fn from(told: cancel_reply::Outcome) -> CancelOutcome {
-        match told {
+    fn from(outcome: cancel_reply::Outcome) -> CancelOutcome {
+        match outcome {
             cancel_reply::Outcome::Cancelled => CancelOutcome::Cancelled,
             cancel_reply::Outcome::NoSuchJob => CancelOutcome::NoSuchJob,
             cancel_reply::Outcome::NotYours => CancelOutcome::NotYours,
@@ -52,8 +52,8 @@
 }
 
 impl From<state_reply::State> for StateOutcome {
-    fn from(told: state_reply::State) -> StateOutcome {
-        match told {
+    fn from(outcome: state_reply::State) -> StateOutcome {
+        match outcome {
             state_reply::State::Unavailable => StateOutcome::Unavailable,
             state_reply::State::NoSuchJob => StateOutcome::NoSuchJob,
             state_reply::State::NotYours => StateOutcome::NotYours,
--- a/crates/runtime/src/relay_service.rs
+++ b/crates/runtime/src/relay_service.rs
@@ -1,4 +1,4 @@
-//! Answers to other boxes' calls.
+//! Server side of the calls between boxes.
 
 use std::sync::Arc;
 
@@ -15,13 +15,13 @@
     view::View,
 };
 
-/// A box vouches for its configuration if its own watch of the store has been answered within this: the longest wait
-/// of that watch, and a slow store's answer.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(3000);
-/// Who waits for a configuration is told within this that the store is not reached any more.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// Maximum age of the latest confirmation by the store for a box to confirm its configuration to others: the longest
+/// wait of its watch, plus the response time of a slow store.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(3000);
+/// Interval at which a pending request for a configuration checks that the store is still reachable.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Answers other boxes.
+/// Handler of calls from other boxes.
 #[derive(Clone)]
 pub(crate) struct RelayService {
     pub(crate) requests: Arc<Requests>,
@@ -72,7 +72,7 @@
     ) -> Result<Response<relay::ConfigurationReply>, Status> {
         let req = req.into_inner();
         let wait = Duration::from_millis(req.wait_ms);
-        if wait > Duration::ZERO && !self.view.is_configuration_confirmed(CONFIRMED_WITHIN) {
+        if wait > Duration::ZERO && !self.view.is_configuration_confirmed(MAX_CONFIRMATION_AGE) {
             return Err(Status::unavailable("this box does not follow the configuration in the store"));
         }
         let newer = self.newer_configuration(req.above, wait).await?;
@@ -105,7 +105,7 @@
             return Err(Status::not_found(format!("this is the box {}", self.box_id)));
         }
         let fence = Fence(req.fence);
-        // Who asks was elected later.
+        // The caller was elected later.
         if let Some(active) = self.active.get().filter(|active| active.fence == fence)
             && active.lose_leadership()
         {
@@ -118,7 +118,7 @@
 }
 
 impl RelayService {
-    /// A configuration above a version, if there comes one within `wait` while the store is reached.
+    /// Waits for a configuration above a version, for at most `wait`. Returns an error once the store is unreachable.
     async fn newer_configuration(&self, above: u64, wait: Duration) -> Result<Option<Arc<Configuration>>, Status> {
         let until = self.view.clock().now() + wait;
         loop {
@@ -126,7 +126,7 @@
                 return Err(Status::unavailable("this box does not reach the store"));
             }
             let left = until.since(self.view.clock().now());
-            let newer = self.view.configuration_above(above, left.min(LOOK_EVERY)).await;
+            let newer = self.view.configuration_above(above, left.min(CHECK_INTERVAL)).await;
             if newer.is_some() || left == Duration::ZERO {
                 return Ok(newer);
             }
@@ -138,7 +138,7 @@
     text.parse().map_err(|e: T::Err| Status::invalid_argument(e.to_string()))
 }
 
-/// An empty text names no customer.
+/// Parses a customer; an empty text stands for none.
 fn customer(text: &str) -> Result<Option<CustomerId>, Status> {
     if text.is_empty() { Ok(None) } else { parse(text).map(Some) }
 }
