--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -1,4 +1,5 @@
-//! The list of boxes in the store: each writes where it is, and the scheduler names those that the others go through.
+//! The list of boxes in the store: each box writes its own entry, and the scheduler chooses the relay boxes from the
+//! list.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,28 +19,28 @@
     view::View,
 };
 
-/// Limit of a write.
-const WRITE_LIMIT: Duration = Duration::from_secs(1);
-/// A new scheduler looks at the list after this: where all boxes begin together, most of them stand in it by then.
-const FIRST_LOOK: Duration = Duration::from_millis(1000);
-/// How often it looks afterwards.
-const LOOK_EVERY: Duration = Duration::from_secs(15);
-/// How long a box that is to be named may take to answer.
-const ASK_LIMIT: Duration = Duration::from_millis(400);
+/// Timeout of a write.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Delay before a new scheduler first reads the list. When all boxes start together, most of them are listed by then.
+const FIRST_READ_DELAY: Duration = Duration::from_millis(1000);
+/// Interval at which it reads the list afterwards.
+const READ_INTERVAL: Duration = Duration::from_secs(15);
+/// Timeout of the query that checks whether a box responds before it becomes a relay.
+const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Writes where this box is, for as long as it takes.
+/// Writes the entry of this box, with retries until the store has taken it.
 pub(crate) async fn register_box(settings: Settings, cx: Context) {
-    let here = ListedBox {
+    let entry = ListedBox {
         addr: settings.peers_address,
         availability_zone: settings.availability_zone.clone(),
         link_mbps: settings.link_mbps,
     };
-    let value = serde_json::to_vec(&here).expect("our own types always serialize");
+    let value = serde_json::to_vec(&entry).expect("our own types always serialize");
     let put = Put { key: keys::member_box(&settings.box_id), value, lease: None };
     let mut backoff = Backoff::new();
     loop {
         let transaction = Transaction { put: vec![put.clone()], ..Transaction::default() };
-        match cx.store.commit(transaction, WRITE_LIMIT).await {
+        match cx.store.commit(transaction, WRITE_TIMEOUT).await {
             Ok(_) => return,
             Err(e) => log::debug!("event=box_not_listed why={e}"),
         }
@@ -47,7 +48,7 @@
     }
 }
 
-/// Takes in which boxes are named.
+/// Applies the stored choice of relay boxes to the view.
 pub(crate) fn apply_relay_boxes(view: &View, item: &Item) {
     match serde_json::from_slice(&item.value) {
         Ok(relay_boxes) => view.set_relay_boxes(relay_boxes),
@@ -55,41 +56,50 @@
     }
 }
 
-/// Names boxes for as long as this one schedules.
+/// Chooses relay boxes and stores the choice, until it is dropped.
 pub(crate) async fn publish_relay_boxes(cx: Context, active: Arc<Active>) {
-    let mut silent = BTreeSet::new();
-    pause(FIRST_LOOK).await;
+    let mut unresponsive = BTreeSet::new();
+    pause(FIRST_READ_DELAY).await;
     loop {
         if let Ok(listed) = paged_reads::read_once(&*cx.store, keys::BOXES).await {
             let boxes = boxes(&listed.items);
-            let choice = answering(&cx, &boxes, &mut silent).await;
+            let choice = choose_responsive(&cx, &boxes, &mut unresponsive).await;
             if choice != *cx.view.relay_boxes() {
                 store(&cx, &active, choice).await;
             }
         }
-        pause(LOOK_EVERY).await;
+        pause(READ_INTERVAL).await;
     }
 }
 
-/// Boxes that answer: the list also holds those that have gone. One that is silent now is tried again at the next look.
-async fn answering(cx: &Context, boxes: &BTreeMap<BoxId, ListedBox>, silent: &mut BTreeSet<BoxId>) -> RelayBoxes {
-    let left = |silent: &BTreeSet<BoxId>| {
-        boxes.iter().filter(|(id, _)| !silent.contains(*id)).map(|(id, listed)| (id.clone(), listed.clone())).collect()
+/// Chooses relays among the boxes that respond, since the list also holds boxes that no longer exist. A box that does
+/// not respond now is tried again in the next round.
+async fn choose_responsive(
+    cx: &Context,
+    boxes: &BTreeMap<BoxId, ListedBox>,
+    unresponsive: &mut BTreeSet<BoxId>,
+) -> RelayBoxes {
+    let candidates = |unresponsive: &BTreeSet<BoxId>| {
+        boxes
+            .iter()
+            .filter(|(id, _)| !unresponsive.contains(*id))
+            .map(|(id, listed)| (id.clone(), listed.clone()))
+            .collect()
     };
-    let choice = RelayBoxes::choose(&left(silent));
-    silent.clear();
-    let mut asked = Vec::new();
+    let choice = RelayBoxes::choose(&candidates(unresponsive));
+    unresponsive.clear();
+    let mut queries = Vec::new();
     for (id, relay) in &choice.relays {
         let (peers, addr, id) = (Arc::clone(&cx.peers), relay.addr, id.clone());
-        asked.push(smol::spawn(async move { (peers.is_answering(addr, ASK_LIMIT).await, id) }));
+        queries.push(smol::spawn(async move { (peers.is_answering(addr, QUERY_TIMEOUT).await, id) }));
     }
-    for question in asked {
-        let (answers, id) = question.await;
-        if !answers {
-            silent.insert(id);
+    for query in queries {
+        let (has_responded, id) = query.await;
+        if !has_responded {
+            unresponsive.insert(id);
         }
     }
-    RelayBoxes { box_count: boxes.len(), ..RelayBoxes::choose(&left(silent)) }
+    RelayBoxes { box_count: boxes.len(), ..RelayBoxes::choose(&candidates(unresponsive)) }
 }
 
 async fn store(cx: &Context, active: &Active, choice: RelayBoxes) {
@@ -99,7 +109,7 @@
         put: vec![Put { key: keys::RELAY_BOXES.to_owned(), value, lease: None }],
         remove: Vec::new(),
     };
-    match cx.store.commit(transaction, WRITE_LIMIT).await {
+    match cx.store.commit(transaction, WRITE_TIMEOUT).await {
         Ok(Committed::Done(_)) => {
             log::info!("event=relay_boxes named={} of={}", choice.relays.len(), choice.box_count);
             cx.view.set_relay_boxes(choice);
--- a/crates/runtime/src/relay_boxes.rs
+++ b/crates/runtime/src/relay_boxes.rs
@@ -1,7 +1,8 @@
-//! Boxes that the others go through: which they are, and who goes through which.
+//! Relay boxes: which boxes watch the store on behalf of others, and which of them each box uses.
 //!
-//! What every box asks of the store grows with the number of boxes, and what it is told of all others with the square. So the scheduler alone
-//! reads the list of boxes, and names a few of them; the others ask those.
+//! The load of the store grows with the number of boxes that watch it, and the traffic between all boxes with its
+//! square. So only the scheduler reads the list of boxes; it names a few of them as relays, and the other boxes query
+//! those.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
@@ -9,55 +10,59 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Where there are no more boxes than this, each of them is named.
-const LEAST: usize = 32;
+/// Number of boxes up to which each of them is a relay.
+const MIN_RELAYS: usize = 32;
 
-/// A box, as it lists itself in the store.
+/// Entry of a box in the list that the store holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ListedBox {
-    /// Where other boxes reach it.
+    /// Address at which other boxes reach the box.
     pub addr: SocketAddr,
-    /// Its availability zone.
+    /// Availability zone of the box.
     pub availability_zone: AvailabilityZoneId,
-    /// What its link carries, in Mbit/s.
+    /// Bandwidth of the link of the box, in Mbit/s.
     pub link_mbps: f64,
 }
 
-/// The boxes that the others go through, as the scheduler names them.
+/// The relay boxes, as the scheduler has chosen them.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RelayBoxes {
-    /// Of so many boxes in all.
+    /// Number of boxes in the list from which they were chosen.
     #[serde(rename = "of")]
     pub box_count: usize,
-    /// By id.
+    /// The relays by id.
     #[serde(rename = "named")]
     pub relays: BTreeMap<BoxId, ListedBox>,
 }
 
 impl RelayBoxes {
-    /// Names some of `boxes`: about the square root of their number, so that what the store sends to them, and each of them to the rest, grows alike.
+    /// Chooses relays from `boxes`: about the square root of their number, so that the traffic from the store to the
+    /// relays and that from each relay to other boxes grow alike.
     ///
-    /// Rendezvous hashing: one that comes or goes moves no other. Wide links are named more often, by their width.
+    /// Uses rendezvous hashing, so that adding or removing one box moves no other. Boxes are weighted by the bandwidth
+    /// of their links.
     pub fn choose(boxes: &BTreeMap<BoxId, ListedBox>) -> RelayBoxes {
-        let most = LEAST.max((boxes.len() as f64).sqrt().ceil() as usize);
+        let max_relays = MIN_RELAYS.max((boxes.len() as f64).sqrt().ceil() as usize);
         let mut by_rank: Vec<(f64, &BoxId)> =
             boxes.iter().map(|(id, listed)| (listed.rank(&[id.as_str()]), id)).collect();
         by_rank.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(b.1)));
-        let relays = by_rank.into_iter().take(most).map(|(_, id)| (id.clone(), boxes[id].clone()));
+        let relays = by_rank.into_iter().take(max_relays).map(|(_, id)| (id.clone(), boxes[id].clone()));
         RelayBoxes { box_count: boxes.len(), relays: relays.collect() }
     }
 
-    /// Whether a box asks one that is named, in place of the store. Where boxes are few, one that is not named was only silent as it was asked.
-    pub fn is_relayed(&self, here: &BoxId) -> bool {
-        self.box_count > LEAST && !self.relays.contains_key(here)
+    /// Whether a box queries a relay instead of the store. Where boxes are few, all of them are relays; one that is
+    /// missing only did not respond when they were chosen, and uses the store.
+    pub fn is_relayed(&self, box_id: &BoxId) -> bool {
+        self.box_count > MIN_RELAYS && !self.relays.contains_key(box_id)
     }
 
-    /// Whom a box asks first, second and so on: those of its own availability zone before the others, since bytes between zones are
-    /// paid for; among them each box has an order of its own, in which wide links come first more often.
-    pub fn order_for(&self, here: &BoxId, zone: &AvailabilityZoneId) -> Vec<SocketAddr> {
-        let others = self.relays.iter().filter(|(id, _)| *id != here);
+    /// Returns the relays in the order in which a box tries them: those of its own availability zone first, since
+    /// traffic between zones is paid for. Within both groups each box has its own order, in which wide links come first
+    /// more often.
+    pub fn order_for(&self, box_id: &BoxId, zone: &AvailabilityZoneId) -> Vec<SocketAddr> {
+        let others = self.relays.iter().filter(|(id, _)| *id != box_id);
         let mut order: Vec<(bool, f64, &ListedBox)> = others
-            .map(|(id, relay)| (relay.availability_zone != *zone, relay.rank(&[here.as_str(), id.as_str()]), relay))
+            .map(|(id, relay)| (relay.availability_zone != *zone, relay.rank(&[box_id.as_str(), id.as_str()]), relay))
             .collect();
         order.sort_by(|a, b| a.0.cmp(&b.0).then(b.1.total_cmp(&a.1)));
         order.into_iter().map(|(_, _, relay)| relay.addr).collect()
@@ -65,15 +70,16 @@
 }
 
 impl ListedBox {
-    /// The higher, the sooner it is taken: weighted rendezvous hashing, by the width of its link.
+    /// Returns the rank of the box: weighted rendezvous hashing by the bandwidth of its link. The highest ranks are
+    /// taken first.
     fn rank(&self, names: &[&str]) -> f64 {
-        // Above 0 and below 1.
+        // Strictly between 0 and 1.
         let drawn = (hash(names) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         -self.link_mbps.max(f64::MIN_POSITIVE) / drawn.min(1.0 - f64::EPSILON).ln()
     }
 }
 
-/// The same on each box and in each version of the program.
+/// Hashes names. The result is the same on every box and in every version of the program.
 fn hash(parts: &[&str]) -> u64 {
     let mut digest = Sha256::new();
     for part in parts {
