--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -1,4 +1,4 @@
-//! Follows a prefix of the store: reads it, watches it, and reads it again when history is lost.
+//! Follows a prefix of the store: reads it, watches it, and reads it again when the watch has lost history.
 
 use model::{Duration, Revision};
 use outside::{Change, CoordinationStore, Item, StoreError, Watched};
@@ -9,16 +9,16 @@
     view::View,
 };
 
-/// What is seen of a prefix.
+/// An update of a prefix.
 pub(crate) enum PrefixUpdate {
-    /// All that there is.
+    /// The complete current content.
     All(Vec<Item>),
-    /// What has changed, in order.
+    /// The changes since the last update, in order.
     Changes(Vec<Change>),
 }
 
 impl PrefixUpdate {
-    /// The items that are there or were written, in order; without what was removed.
+    /// Returns the items that exist or were written, in order, without removals.
     pub(crate) fn written(self) -> Vec<Item> {
         let changes = match self {
             PrefixUpdate::All(items) => return items,
@@ -32,47 +32,48 @@
     }
 }
 
-/// How a prefix is watched.
+/// Timing of the watch of a prefix.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct WatchTiming {
-    /// A watch waits at most this long for a change.
+    /// Longest wait of a watch for a change.
     pub(crate) wait: Duration,
-    /// From one answer to the next watch: what changes meanwhile comes in one answer, which costs one call.
+    /// Pause between a response and the next watch. Changes made meanwhile are returned together, in one call.
     pub(crate) cooldown: Duration,
 }
 
 impl WatchTiming {
-    /// Every change is told at once.
+    /// Returns the timing that reports each change at once.
     pub(crate) fn immediate(wait: Duration) -> WatchTiming {
         WatchTiming { wait, cooldown: Duration::ZERO }
     }
 }
 
-/// Tells `on` everything about a prefix, until it is dropped. Nothing is read at first if `from` tells up to where the
-/// prefix is known.
+/// Follows a prefix until it is dropped, and passes all updates to `on`. The prefix is not read at first if `from`
+/// gives the revision up to which it is known.
 pub(crate) async fn follow(
     store: &dyn CoordinationStore,
     view: &View,
     prefix: &str,
     from: Option<Revision>,
-    pace: WatchTiming,
+    timing: WatchTiming,
     mut on: impl FnMut(PrefixUpdate),
 ) {
-    let mut follower = PrefixWatcher { from, backoff: Backoff::new() };
+    let mut watcher = PrefixWatcher { from, backoff: Backoff::new() };
     loop {
-        follower.step(store, view, prefix, pace, &mut on).await;
+        watcher.step(store, view, prefix, timing, &mut on).await;
     }
 }
 
-/// Up to where a prefix is known.
+/// A watcher of a prefix, with the revision up to which the prefix is known.
 pub(crate) struct PrefixWatcher {
-    /// `None` if it has to be read.
+    /// Revision to watch from; `None` if the prefix has to be read.
     pub(crate) from: Option<Revision>,
     pub(crate) backoff: Backoff,
 }
 
 impl PrefixWatcher {
-    /// Reads the prefix, or watches it once, and tells `on` what is news. Returns whether the store has answered; if not, there was a pause.
+    /// Reads the prefix, or watches it once, and passes updates to `on`. Returns whether the store has responded; if
+    /// not, the call has paused.
     pub(crate) async fn step(
         &mut self,
         store: &dyn CoordinationStore,
--- a/crates/runtime/src/paged_reads.rs
+++ b/crates/runtime/src/paged_reads.rs
@@ -1,23 +1,23 @@
-//! Prefixes of the store, read page by page.
+//! Paged reads of prefixes of the store.
 
 use model::Revision;
 use outside::{CoordinationStore, Item, Page, StoreError};
 
 use crate::{timers::Backoff, view::View};
 
-/// What stood under a prefix.
+/// Content of a prefix.
 #[derive(Debug, Default)]
 pub(crate) struct Snapshot {
-    /// In the order of their keys.
+    /// Items in the order of their keys.
     pub(crate) items: Vec<Item>,
-    /// A watch from here misses nothing.
+    /// Revision from which a watch misses nothing.
     pub(crate) at: Revision,
-    /// In how many pages it came.
+    /// Number of pages that were read.
     pub(crate) pages: usize,
 }
 
 impl Snapshot {
-    /// Bytes of the values.
+    /// Returns the total size of the values in bytes.
     pub(crate) fn bytes(&self) -> usize {
         self.items.iter().map(|item| item.value.len()).sum()
     }
@@ -25,7 +25,8 @@
     /// Adds the next page. Returns whether there are more.
     fn add(&mut self, page: Page) -> bool {
         if self.pages == 0 {
-            // A change after the first page may be missed by it: a watch from its revision tells it again.
+            // Later pages may miss a change that was made after the first one; a watch from the revision of the first
+            // reports it again.
             self.at = page.at;
         }
         self.pages += 1;
@@ -38,8 +39,8 @@
     }
 }
 
-/// Reads a prefix, for as long as it takes. A page that has arrived is kept; one that is lost is asked for again by
-/// itself.
+/// Reads a prefix, with retries until the store responds. Pages that have arrived are kept; only a lost page is
+/// requested again.
 pub(crate) async fn read_all(store: &dyn CoordinationStore, view: &View, prefix: &str) -> Snapshot {
     let mut snapshot = Snapshot::default();
     let mut backoff = Backoff::new();
@@ -60,7 +61,7 @@
     }
 }
 
-/// Reads a prefix, and gives up at the first page that is lost.
+/// Reads a prefix. Returns an error at the first page that is lost.
 pub(crate) async fn read_once(store: &dyn CoordinationStore, prefix: &str) -> Result<Snapshot, StoreError> {
     let mut snapshot = Snapshot::default();
     while snapshot.add(store.page(prefix.to_owned(), snapshot.last_key()).await?) {}
