--- a/crates/runtime/src/configuration.rs
+++ b/crates/runtime/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration as a box uses it: who may hand in what, and how it is served.
+//! The configuration as a box uses it: who may submit which requests, and the limits that apply to them.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,16 +10,16 @@
 use model::{CustomerId, Duration};
 use scheduler::{Policy, ServiceId};
 
-/// A queue's address.
+/// Address of a queue.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
-    /// The host that callers name.
+    /// Host that callers name, compared without regard to case.
     pub host: String,
-    /// The beginning of the path.
+    /// Prefix of the path.
     pub prefix: String,
-    /// The queue.
+    /// Queue that the address leads to.
     pub queue: QueueId,
-    /// No key is needed.
+    /// Whether requests need no key.
     pub open: bool,
 }
 
@@ -28,51 +28,51 @@
 pub struct CallLimits {
     /// Longest head of a request, in bytes.
     pub max_head: usize,
-    /// Longest body, in bytes.
+    /// Longest body of a request, in bytes.
     pub max_body: usize,
-    /// How long the head may take to arrive.
+    /// Time limit for the head of a request to arrive.
     pub head_timeout: Duration,
-    /// A connection without a request is closed after this long.
+    /// Time after which a connection without a request is closed.
     pub idle_timeout: Duration,
 }
 
-/// One version of the operators' configuration.
+/// A version of the configuration that the operators wrote.
 #[derive(Debug, Clone)]
 pub struct Configuration {
-    /// Rises with each change.
+    /// Version number; increases with each change.
     pub version: u64,
-    /// As the operators wrote it.
+    /// Document as the operators wrote it.
     pub document: Arc<[u8]>,
-    /// Where queues are reached.
+    /// Addresses of the queues.
     pub routes: Vec<Route>,
-    /// The services that backend servers may belong to.
+    /// Services that backend servers may belong to.
     pub services: BTreeSet<ServiceId>,
-    /// Whose each key is.
+    /// Customer of each key.
     pub keys: BTreeMap<String, CustomerId>,
-    /// What the scheduler goes by.
+    /// Policy of the scheduler.
     pub policy: Policy,
     /// Limits on callers' requests.
     pub limits: CallLimits,
 }
 
-/// What a caller may do with its request.
+/// Access that a request has been granted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Access {
-    /// The queue that it names.
+    /// Queue that the request addresses.
     pub queue: QueueId,
-    /// Whose key it bears; `None` on an open queue.
+    /// Customer whose key the request has; `None` on an open queue without a valid key.
     pub customer: Option<CustomerId>,
-    /// The path behind the queue's prefix.
+    /// Path after the prefix of the queue.
     pub rest: String,
 }
 
-/// Why a request goes no further.
+/// The reason why a request is denied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum Denied {
-    /// This box has no configuration yet.
+    /// The box has no configuration yet.
     #[display("this box has no configuration yet")]
     NotConfigured,
-    /// No queue is there.
+    /// No queue has the host and path of the request.
     #[display("no queue has this host and path")]
     NoQueue,
     /// The key is missing or belongs to no customer.
@@ -81,7 +81,8 @@
 }
 
 impl Configuration {
-    /// Checks a request's address and key. The longest prefix of the host's queues decides.
+    /// Checks the address and the key of a request. Among the queues of the host, the longest matching prefix decides.
+    /// Returns [`Denied`] if no queue matches, or if the queue is not open and the key belongs to no customer.
     pub fn access(&self, host: &str, path: &str, key: Option<&str>) -> Result<Access, Denied> {
         let host = host.rsplit_once(':').map_or(host, |(name, _port)| name);
         let matching = self.routes.iter().filter(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix));
--- a/crates/runtime/src/context.rs
+++ b/crates/runtime/src/context.rs
@@ -1,4 +1,4 @@
-//! What a scheduling box works with: the outside, and what the box knows of itself.
+//! Context shared by the tasks of a box: external systems, and the view of the box.
 
 use std::sync::Arc;
 
@@ -10,15 +10,15 @@
     view::View,
 };
 
-/// What a scheduling box works with.
+/// Context shared by the tasks of a box.
 #[derive(Clone)]
 pub(crate) struct Context {
     pub(crate) store: Arc<dyn CoordinationStore>,
     pub(crate) servers: Arc<dyn BackendServers>,
     pub(crate) decoder: Arc<dyn Decoder>,
-    /// `None` on a platform without one.
+    /// `None` on a platform without a permit service.
     pub(crate) permit_service: Option<Arc<dyn PermitService>>,
-    /// `None` on a platform that has no upkeep.
+    /// `None` on a platform that offers no maintenance.
     pub(crate) machines: Option<Arc<dyn Machines>>,
     pub(crate) view: Arc<View>,
     pub(crate) peers: Arc<Peers>,
--- a/crates/runtime/src/keys.rs
+++ b/crates/runtime/src/keys.rs
@@ -1,37 +1,37 @@
-//! Keys in the platform's store.
+//! Keys of this program in the platform's store.
 
 use jobs::{JobId, OccurrenceId};
 use model::{AvailabilityZoneId, BoxId};
 
-/// The elected scheduler; the key's revision is its fence.
+/// Key of the elected scheduler; the revision of the key is the fencing token.
 pub(crate) const SCHEDULER: &str = "marten/scheduler";
-/// Boxes that others go through. Under the key of the scheduler, so that one watch tells of both.
+/// Key of the relay boxes. Under the key of the scheduler, so that one watch covers both.
 pub(crate) const RELAY_BOXES: &str = "marten/scheduler/relays";
-/// What callers have handed in and cancelled.
+/// Prefix of submission records: jobs and their cancellations.
 pub(crate) const INTAKE: &str = "marten/in/";
-/// Records of jobs that are over and have left the intake.
+/// Prefix of the archive records of ended jobs.
 pub(crate) const ENDED: &str = "marten/ended/";
-/// What the scheduler must remember.
+/// Prefix of the progress of occurrences.
 pub(crate) const PROGRESS: &str = "marten/progress/";
-/// Schedulers that may still renew leases, the newest first.
+/// Key of the record of schedulers that may still renew leases, the newest first.
 pub(crate) const TERMS: &str = "marten/terms";
-/// Backend servers that no scheduler has reached lately.
+/// Key of the record of backend servers that no scheduler has reached recently.
 pub(crate) const UNREACHABLE: &str = "marten/unreached";
-/// Backend servers that witness who schedules.
+/// Key of the record of witnesses: backend servers that confirm who schedules.
 pub(crate) const WITNESSES: &str = "marten/witnesses";
-/// The boxes and where they talk to each other.
+/// Prefix of the list of boxes with their addresses.
 pub(crate) const BOXES: &str = "marten/box/";
 
-/// Availability zones that martenscale's own operators have evacuated.
+/// Prefix of the availability zones that martenscale's own operators have evacuated.
 pub(crate) const EVACUATIONS: &str = "marten/evacuation/";
 
-/// What the scheduler must remember of waves of upkeep.
+/// Prefix of the progress of maintenance batches.
 const WAVES: &str = "marten/wave/";
 
 const JOB: &str = "/job";
 const CANCEL: &str = "/cancel";
 
-/// What a key under [`INTAKE`] holds.
+/// A parsed key under [`INTAKE`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SubmissionKey {
     Job(JobId),
--- a/crates/runtime/src/outcome.rs
+++ b/crates/runtime/src/outcome.rs
@@ -1,53 +1,53 @@
-//! What callers hand in, and what they are told.
+//! Outcomes of callers' requests, and the requests that the store has taken.
 
 use jobs::{Job, JobId, JobState};
 
-/// What became of a submission.
+/// Outcome of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmitOutcome {
-    /// The job is stored, now or by an earlier submission.
+    /// The job is stored, by this submission or an earlier one.
     Accepted,
-    /// It is not stored and never will be by this submission.
+    /// The job is not stored, and this submission will not store it later.
     Refused,
     /// Another job has the same id.
     OtherJob,
-    /// It may be stored, or be stored later.
+    /// The outcome is unknown: the job may be stored, now or later.
     Unknown,
 }
 
-/// What became of a cancellation.
+/// Outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CancelOutcome {
-    /// The store holds that the job is not wanted.
+    /// The store holds the cancellation, or the job has already ended.
     Cancelled,
-    /// There is no such job, and a submission that is under way will not make one.
+    /// There is no such job, and a submission in flight cannot create it.
     NoSuchJob,
-    /// Another customer's job.
+    /// The job belongs to another customer.
     NotYours,
-    /// Nothing was done.
+    /// The cancellation was not stored.
     Refused,
-    /// It may have been done.
+    /// The outcome is unknown: the cancellation may be stored.
     Unknown,
 }
 
-/// How a job stands.
+/// Outcome of a query for the state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StateOutcome {
-    /// It is known.
+    /// The job has this state.
     Found(JobState),
-    /// There is none.
+    /// There is no such job.
     NoSuchJob,
-    /// Another customer's job.
+    /// The job belongs to another customer.
     NotYours,
-    /// No one who knows could be asked.
+    /// Neither the scheduler nor the store could be reached.
     Unavailable,
 }
 
-/// Something that callers have handed in and the store holds.
+/// A request of a caller that the store has taken.
 #[derive(Debug, Clone)]
 pub(crate) enum StoredRequest {
-    /// A job.
+    /// A submitted job.
     Job(Job),
-    /// A job is not wanted any more.
+    /// The cancellation of a job.
     Cancelled(JobId),
 }
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! What a box is told at its start.
+//! Settings of a box, given at its start.
 
 use std::net::SocketAddr;
 
@@ -7,31 +7,31 @@
 
 use crate::box_capacity::BoxCapacity;
 
-/// A box's settings, checked.
+/// Validated settings of a box.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Its name.
+    /// Id of the box.
     pub box_id: BoxId,
-    /// Its availability zone.
+    /// Availability zone of the box.
     pub availability_zone: AvailabilityZoneId,
-    /// Where other boxes reach it.
+    /// Address at which other boxes reach the box.
     pub peers_address: SocketAddr,
-    /// Boxes known from the start; they may be gone.
+    /// Addresses of boxes known from the start; these boxes may no longer exist.
     pub seeds: Vec<SocketAddr>,
-    /// Share of a core that the box has: larger boxes stand for election earlier.
+    /// Share of a core that the box has; boxes with more become candidates earlier.
     pub cpu_share: f64,
-    /// What the box's link carries, in Mbit/s: boxes with wider links stand for election earlier.
+    /// Bandwidth of the link of the box, in Mbit/s; boxes with more become candidates earlier.
     pub link_mbps: f64,
-    /// Memory that the box's process may take, in MB: boxes with more of it stand for election earlier.
+    /// Memory that the process may use, in MB; boxes with more become candidates earlier.
     pub memory_mb: f64,
-    /// How many backend servers the box can carry as the scheduler.
+    /// Number of backend servers that the box can have links to as the scheduler.
     pub capacity: BoxCapacity,
-    /// Lease of the scheduler's key: how long after its death another is elected.
+    /// Lease of the scheduler's key: the time after the failure of a scheduler at which another one can be elected.
     pub election_ttl: Duration,
-    /// Longest wait of a watch that also tells whether the store is reached.
+    /// Longest wait of a watch on the configuration, whose response also shows that the store is reachable.
     pub watch_wait: Duration,
-    /// Without an answer of the store for this long, requests go through other boxes.
+    /// Time without a response of the store after which requests are relayed to other boxes.
     pub store_silence: Duration,
-    /// Times of the scheduler.
+    /// Timing of the scheduler.
     pub timing: Timing,
 }
