--- a/crates/runtime/src/cleaner.rs
+++ b/crates/runtime/src/cleaner.rs
@@ -1,4 +1,5 @@
-//! Clears the store of what has ended: jobs leave the intake for a small record, and records go in time.
+//! Cleans the store up: replaces the records of ended jobs by small archive records, and removes those when they
+//! expire.
 
 use std::sync::Arc;
 
@@ -9,27 +10,27 @@
 
 use crate::{active::Active, context::Context, keys, timers::pause};
 
-/// Most entries of a transaction that the users' store allows.
-const MOST_ENTRIES: usize = 32;
-/// Entries of one job's archival, beside its progress: the record, the job and its cancellation.
-const JOB_ENTRIES: usize = 3;
-/// Jobs in one archival: with one occurrence each they fill a transaction.
-const MOST_ARCHIVED: usize = 7;
-/// Keys in one removal, beside the condition on the scheduler's key. Each job's may take two.
-const MOST_REMOVED: usize = 30;
-/// How often there is a look for what has ended: often enough that a new scheduler finds little of it, seldom enough
-/// that each call is full at 7 ends a second.
-const CLEAN_EVERY: Duration = Duration::from_secs(1);
-/// Limit of a call; what it leaves in doubt is done again.
-const CALL_LIMIT: Duration = Duration::from_millis(800);
+/// Most entries of a transaction, by the protocol of the platform's store.
+const MAX_ENTRIES: usize = 32;
+/// Entries that the archival of a job needs besides its progress: the archive record, the job and its cancellation.
+const ENTRIES_PER_JOB: usize = 3;
+/// Most jobs per archival; with one occurrence each, they fill a transaction.
+const MAX_ARCHIVED_JOBS: usize = 7;
+/// Most keys per removal, besides the condition on the scheduler's key. Each job may need two.
+const MAX_REMOVED_KEYS: usize = 30;
+/// Interval between cleanups: short enough that a new scheduler finds few ended jobs, and long enough that calls are
+/// full at 7 ended jobs a second.
+const CLEAN_INTERVAL: Duration = Duration::from_secs(1);
+/// Timeout of a call. A call with unknown outcome is repeated.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Clears the store, until it is dropped. Its calls are beside the writer's, which they do not hold up: what they
-/// touch is over, and what is over is not written any more.
+/// Cleans the store up until it is dropped. Its calls run beside those of the writer without blocking them: they
+/// concern only ended jobs, which are not written any more.
 pub(crate) async fn run(cx: Context, active: Arc<Active>) {
     let cleaner = Cleaner { cx, active };
     loop {
-        pause(CLEAN_EVERY).await;
-        if let Err(outcome) = cleaner.clean().await {
+        pause(CLEAN_INTERVAL).await;
+        if let Err(outcome) = cleaner.clean_up().await {
             log::info!("event=not_cleared fence={} outcome={outcome:?}", cleaner.active.fence);
         }
     }
@@ -40,20 +41,20 @@
     active: Arc<Active>,
 }
 
-/// Why a removal was not made: the answer to it.
-type NotDone = Result<Committed, StoreError>;
+/// Response to a transaction that was not made.
+type FailedCommit = Result<Committed, StoreError>;
 
 impl Cleaner {
-    /// Clears all that can be cleared now.
-    async fn clean(&self) -> Result<(), NotDone> {
+    /// Removes everything that can be removed now.
+    async fn clean_up(&self) -> Result<(), FailedCommit> {
         let now = self.cx.view.clock().now();
-        while self.archive(now).await? || self.remove_orphans().await? || self.forget(now).await? {}
+        while self.archive(now).await? || self.remove_orphans().await? || self.remove_expired(now).await? {}
         Ok(())
     }
 
-    /// Moves jobs that are over out of the intake.
-    async fn archive(&self, now: Moment) -> Result<bool, NotDone> {
-        let archivals = fitting(self.active.lock().archivable(MOST_ARCHIVED));
+    /// Archives ended jobs. Returns whether there were any.
+    async fn archive(&self, now: Moment) -> Result<bool, FailedCommit> {
+        let archivals = fit_transaction(self.active.lock().archivable(MAX_ARCHIVED_JOBS));
         if archivals.is_empty() {
             return Ok(false);
         }
@@ -74,8 +75,8 @@
         Ok(true)
     }
 
-    async fn remove_orphans(&self) -> Result<bool, NotDone> {
-        let orphans = self.active.lock().orphans(MOST_REMOVED);
+    async fn remove_orphans(&self) -> Result<bool, FailedCommit> {
+        let orphans = self.active.lock().orphans(MAX_REMOVED_KEYS);
         if orphans.is_empty() {
             return Ok(false);
         }
@@ -85,41 +86,41 @@
         Ok(true)
     }
 
-    async fn forget(&self, now: Moment) -> Result<bool, NotDone> {
-        let old = self.active.lock().expired_records(now, MOST_REMOVED / 2);
-        if old.is_empty() {
+    async fn remove_expired(&self, now: Moment) -> Result<bool, FailedCommit> {
+        let expired = self.active.lock().expired_records(now, MAX_REMOVED_KEYS / 2);
+        if expired.is_empty() {
             return Ok(false);
         }
-        let remove = old.iter().flat_map(|id| [keys::ended(*id), keys::cancel(*id)]).collect();
+        let remove = expired.iter().flat_map(|id| [keys::ended(*id), keys::cancel(*id)]).collect();
         self.commit(Transaction { remove, ..Transaction::default() }).await?;
-        log::info!("event=forgotten jobs={} first={}", old.len(), old[0]);
-        self.active.lock().remove_records(&old);
+        log::info!("event=forgotten jobs={} first={}", expired.len(), expired[0]);
+        self.active.lock().remove_records(&expired);
         Ok(true)
     }
 
-    /// Makes a write that only the elected scheduler can make.
-    async fn commit(&self, mut transaction: Transaction) -> Result<(), NotDone> {
+    /// Commits a transaction on the condition that this scheduler is the elected one.
+    async fn commit(&self, mut transaction: Transaction) -> Result<(), FailedCommit> {
         transaction.expect.push((keys::SCHEDULER.to_owned(), Revision(self.active.fence.0)));
-        match self.cx.store.commit(transaction, CALL_LIMIT).await {
+        match self.cx.store.commit(transaction, CALL_TIMEOUT).await {
             Ok(Committed::Done(_)) => Ok(()),
             outcome => Err(outcome),
         }
     }
 }
 
-/// As many archivals as fit into one transaction, with the progress of each that goes along: all of it but of the
-/// first, which may have more occurrences than there is room for.
-fn fitting(archivals: Vec<Archival>) -> Vec<(Archival, Vec<OccurrenceId>)> {
-    let mut room = MOST_ENTRIES - 1;
-    let mut fitting = Vec::new();
+/// Returns as many archivals as fit into one transaction, each with the progress records that it removes. That is all
+/// of them, except for the first archival, which may have more occurrences than fit.
+fn fit_transaction(archivals: Vec<Archival>) -> Vec<(Archival, Vec<OccurrenceId>)> {
+    let mut free_entries = MAX_ENTRIES - 1;
+    let mut fit_transaction = Vec::new();
     for archival in archivals {
-        if !fitting.is_empty() && JOB_ENTRIES + archival.progress.len() > room {
+        if !fit_transaction.is_empty() && ENTRIES_PER_JOB + archival.progress.len() > free_entries {
             break;
         }
-        let along = archival.progress.len().min(room - JOB_ENTRIES);
-        room -= JOB_ENTRIES + along;
-        let progress = archival.progress[..along].to_vec();
-        fitting.push((archival, progress));
+        let included = archival.progress.len().min(free_entries - ENTRIES_PER_JOB);
+        free_entries -= ENTRIES_PER_JOB + included;
+        let progress = archival.progress[..included].to_vec();
+        fit_transaction.push((archival, progress));
     }
-    fitting
+    fit_transaction
 }
--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -1,12 +1,12 @@
-//! Follows the configuration: in the store, or by way of a box that does.
+//! Follows the configuration, in the store or by way of a relay box.
 //!
-//! The store sends each watch the whole document. Sent to every box at once it fills the store's link for as long as
-//! the boxes are many and the document is large, and every other answer of the store waits behind it. So where boxes
-//! are many, those that the scheduler has named watch the store, and each of the others waits at one of these for what
-//! is new.
+//! The store sends the whole document to each watch. If every box watched the store, the document would occupy its link
+//! for as long as there are many boxes and the document is large, and delay all its other responses. So where boxes are
+//! many, only the relay boxes that the scheduler has named watch the store, and each of the others waits at one of them
+//! for a newer version.
 //!
-//! A box that is asked vouches for its configuration only by its own watch of the store, never by what another box has
-//! told it. Whoever finds none that does goes to the store itself.
+//! A relay confirms its configuration only by its own watch of the store, never by what another box has sent. A box
+//! that finds no relay that does so queries the store itself.
 
 use std::net::SocketAddr;
 
@@ -20,61 +20,61 @@
     view::View,
 };
 
-/// Longest wait at another box: what one that falls silent has missed is found out within this and [`RELAY_SLACK`].
+/// Longest wait at a relay. If a relay stops responding, this is noticed within this time and [`RELAY_SLACK`].
 const RELAY_WAIT: Duration = Duration::from_millis(1000);
-/// Added to the wait at another box: a whole document over a link of 10 Mbit/s.
+/// Added to the wait at a relay: the time for a whole document over a link of 10 Mbit/s.
 const RELAY_SLACK: Duration = Duration::from_millis(500);
-/// A box that begins waits so long to learn which boxes are named, before it asks the store.
-const FIRST_WAIT: Duration = Duration::from_millis(150);
-/// Wait of a watch that is only to tell what is new by now.
+/// Time that a starting box waits to learn the relay boxes before it queries the store.
+const RELAY_BOXES_DELAY: Duration = Duration::from_millis(150);
+/// Wait of a watch that only fetches the changes up to now.
 const NO_WAIT: Duration = Duration::from_millis(1);
 
 /// Follows the configuration until it is dropped.
 pub(crate) async fn follow_configuration(settings: Settings, cx: Context) {
     let key = cx.decoder.configuration_key();
     let mut source = Source::default();
-    let mut follower = PrefixWatcher { from: None, backoff: Backoff::new() };
-    pause(FIRST_WAIT).await;
+    let mut watcher = PrefixWatcher { from: None, backoff: Backoff::new() };
+    pause(RELAY_BOXES_DELAY).await;
     loop {
         let relay = source.relay(&settings, &cx.view);
         if let Some(addr) = relay {
-            source.take_reply(addr, ask_relay(&cx, addr).await);
+            source.record_result(addr, wait_at_relay(&cx, addr).await);
             continue;
         }
-        let pace = WatchTiming::immediate(source.store_wait(settings.watch_wait));
-        let mut on = |seen: PrefixUpdate| take(&cx, &key, seen);
-        if follower.step(&*cx.store, &cx.view, &key, pace, &mut on).await {
+        let timing = WatchTiming::immediate(source.store_wait(settings.watch_wait));
+        let mut on = |seen: PrefixUpdate| apply_update(&cx, &key, seen);
+        if watcher.step(&*cx.store, &cx.view, &key, timing, &mut on).await {
             cx.view.confirm_configuration();
         }
-        source.ask_store = false;
+        source.is_store_next = false;
     }
 }
 
-/// Where the configuration is asked for.
+/// Selects where the configuration is requested from.
 #[derive(Debug, Default)]
 struct Source {
-    /// Named boxes that were asked in vain, one after the other.
+    /// Relays in succession that have failed.
     failed: usize,
-    /// Place of the box that is asked, in this box's order.
-    at: usize,
-    /// It is the store's turn.
-    ask_store: bool,
+    /// Index of the current relay in the order of this box.
+    relay_index: usize,
+    /// Whether the store is queried next.
+    is_store_next: bool,
 }
 
 impl Source {
-    /// The box to be asked; `None` if the store is.
+    /// Returns the relay to query; `None` for the store.
     fn relay(&self, settings: &Settings, view: &View) -> Option<SocketAddr> {
         let relay_boxes = view.relay_boxes();
-        if self.ask_store || !relay_boxes.is_relayed(&settings.box_id) {
+        if self.is_store_next || !relay_boxes.is_relayed(&settings.box_id) {
             return None;
         }
         let order = relay_boxes.order_for(&settings.box_id, &settings.availability_zone);
-        (!order.is_empty()).then(|| order[self.at % order.len()])
+        (!order.is_empty()).then(|| order[self.relay_index % order.len()])
     }
 
-    /// After a box that was asked in vain the store is asked once, then the next box.
-    fn take_reply(&mut self, addr: SocketAddr, vouched: bool) {
-        if vouched {
+    /// Records the result of a query. After a relay has failed, the store is queried once, then the next relay.
+    fn record_result(&mut self, addr: SocketAddr, is_confirmed: bool) {
+        if is_confirmed {
             if self.failed > 0 {
                 log::info!("event=relay_found addr={addr} failed={}", self.failed);
             }
@@ -84,22 +84,23 @@
                 log::info!("event=relay_lost addr={addr}");
             }
             self.failed += 1;
-            self.at += 1;
-            self.ask_store = true;
+            self.relay_index += 1;
+            self.is_store_next = true;
         }
     }
 
-    /// How long the store may let a watch wait: a box that finds none to go through stays with the store for a while.
+    /// Returns the wait of a watch at the store. A box that finds no working relay stays with the store for longer.
     fn store_wait(&self, longest: Duration) -> Duration {
         if self.failed == 1 { NO_WAIT } else { longest }
     }
 }
 
-/// Waits at another box for a configuration above the known one. Returns whether that box vouches for what is known now.
-async fn ask_relay(cx: &Context, addr: SocketAddr) -> bool {
+/// Waits at a relay for a configuration above the current one. Returns whether the relay confirms the configuration
+/// that is now current here.
+async fn wait_at_relay(cx: &Context, addr: SocketAddr) -> bool {
     let above = cx.view.configuration().map_or(0, |known| known.version);
-    let asked = cx.peers.configuration(addr, above, RELAY_WAIT, RELAY_WAIT + RELAY_SLACK).await;
-    let Some(document) = asked else { return false };
+    let reply = cx.peers.configuration(addr, above, RELAY_WAIT, RELAY_WAIT + RELAY_SLACK).await;
+    let Some(document) = reply else { return false };
     cx.view.record_peer_response();
     if !document.is_empty() {
         apply_document(cx, &document);
@@ -107,13 +108,13 @@
     cx.view.configuration().is_some()
 }
 
-fn take(cx: &Context, key: &str, seen: PrefixUpdate) {
+fn apply_update(cx: &Context, key: &str, seen: PrefixUpdate) {
     for item in seen.written().iter().filter(|item| item.key == key) {
         apply_document(cx, &item.value);
     }
 }
 
-/// Takes in a document as the operators wrote it.
+/// Decodes and applies a document as the operators wrote it.
 pub(crate) fn apply_document(cx: &Context, document: &[u8]) {
     match cx.decoder.configuration(document) {
         Ok(new) => {
--- a/crates/runtime/src/maintenance.rs
+++ b/crates/runtime/src/maintenance.rs
@@ -1,4 +1,5 @@
-//! Waves of upkeep: read from the store, carried out on the platform's machines, and told of in the store.
+//! Maintenance batches: requested by operators in the store, carried out on the platform's machines, with their
+//! progress written back to the store.
 
 use std::sync::Arc;
 
@@ -16,16 +17,17 @@
     timers::{Backoff, pause},
 };
 
-/// Longest wait of the watch on waves.
+/// Longest wait of the watch on maintenance requests.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
-/// While a wave is open, machines are listed this often: an upkeep takes some seconds (users: 2 s).
-const LIST_EVERY: Duration = Duration::from_millis(700);
-/// While none is, one is looked for this often.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
-/// How long a write of a wave's progress may take.
-const WRITE_LIMIT: Duration = Duration::from_millis(800);
+/// Interval at which machines are listed while a batch is open. Maintenance takes some seconds (2 s by the platform
+/// rules).
+const LIST_INTERVAL: Duration = Duration::from_millis(700);
+/// Interval of checks for an open batch while there is none.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of a write of the progress of a batch.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Follows the waves that operators ask for.
+/// Follows the maintenance requests of operators until it is dropped.
 pub(crate) async fn follow_requests(cx: Context, active: Arc<Active>) {
     let prefix = cx.decoder.maintenance_prefix();
     let (tx, rx) = smol::channel::unbounded();
@@ -53,7 +55,7 @@
     active.update(|scheduler| scheduler.maintenance_requested(request, progress, now));
 }
 
-/// What an earlier scheduler has done of a wave, read for as long as it takes.
+/// Reads the progress that earlier schedulers made with a batch, with retries until the store responds.
 async fn read_progress(cx: &Context, number: u64) -> MaintenanceProgress {
     let mut backoff = Backoff::new();
     loop {
@@ -74,11 +76,11 @@
     }
 }
 
-/// Carries waves out, until it is dropped.
+/// Carries maintenance batches out, until it is dropped.
 pub(crate) async fn run(cx: Context, active: Arc<Active>, box_id: BoxId) {
     loop {
         if !active.lock().has_open_maintenance() {
-            pause(LOOK_EVERY).await;
+            pause(CHECK_INTERVAL).await;
             continue;
         }
         let Some(machines) = cx.machines.clone() else {
@@ -87,11 +89,11 @@
         };
         hand_over_due(&cx, &active, &*machines, &box_id).await;
         store_progress(&cx, &active).await;
-        pause(LIST_EVERY).await;
+        pause(LIST_INTERVAL).await;
     }
 }
 
-/// Lists the machines, and hands over those that are due.
+/// Lists the machines, and hands over those that are due for maintenance.
 async fn hand_over_due(cx: &Context, active: &Active, machines: &dyn Machines, box_id: &BoxId) {
     let listed = machines.list().await;
     telemetry::count_server_reply("list_machines", &listed);
@@ -104,21 +106,22 @@
         scheduler.machines_listed(listed, now);
         scheduler.machines_due_for_maintenance(now)
     });
-    for (wave, machine) in due {
-        // The keeper of the machines may not compare fencing tokens, so nothing else would hold up a scheduler that has woken.
+    for (batch, machine) in due {
+        // The machine service may not compare fencing tokens, so nothing else would stop a scheduler that resumes after
+        // a suspension.
         if !cx.view.may_schedule() {
             return;
         }
-        let reply = machines.begin_maintenance(machine.clone(), wave, box_id.clone(), active.fence).await;
+        let reply = machines.begin_maintenance(machine.clone(), batch, box_id.clone(), active.fence).await;
         let now = cx.view.clock().now();
-        active.update(|scheduler| scheduler.maintenance_replied(wave, &machine, reply, now));
+        active.update(|scheduler| scheduler.maintenance_replied(batch, &machine, reply, now));
     }
 }
 
-/// Stores how far waves have come, for the next scheduler and for operators.
+/// Stores the progress of batches for the next scheduler and for operators.
 async fn store_progress(cx: &Context, active: &Active) {
-    let unstored = active.lock().pending_maintenance_writes();
-    for (number, progress) in unstored {
+    let pending = active.lock().pending_maintenance_writes();
+    for (number, progress) in pending {
         let (status_key, status) = cx.decoder.maintenance_status(number, progress.succeeded);
         let value = serde_json::to_vec(&progress).expect("our own types always serialize");
         let puts = [(keys::maintenance(number), value), (status_key, status)];
@@ -127,7 +130,7 @@
             put: puts.into_iter().map(|(key, value)| Put { key, value, lease: None }).collect(),
             remove: Vec::new(),
         };
-        match cx.store.commit(transaction, WRITE_LIMIT).await {
+        match cx.store.commit(transaction, WRITE_TIMEOUT).await {
             Ok(Committed::Done(_)) => active.lock().maintenance_stored(number, &progress),
             outcome => log::info!("event=wave_not_stored number={number} outcome={outcome:?}"),
         }
