--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -1,9 +1,9 @@
-//! Evacuations of availability zones: read before the first start, followed, and asked for by operators.
+//! Evacuations of availability zones: restored before the first start, then followed, and requested by operators.
 //!
-//! Two may ask: the platform's operators, under a prefix of theirs, and martenscale's own through the box that
-//! schedules. Nothing hangs on how soon a watch tells of the former: each write that places a run has as its condition
-//! that the evacuations of the availability zones in question stand as the scheduler knows them, and a start leaves only
-//! after its write. Their own are written by the scheduling box alone, under its fence.
+//! There are two sources: the operators of the platform, under a prefix of theirs, and those of martenscale, through
+//! the box that schedules. Correctness does not depend on how soon the watch reports the former: each write that places
+//! a run is conditional on the known revisions of the evacuation keys of its availability zones, and a start is sent
+//! only after that write. The latter are written by the scheduling box alone, under its fencing token.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,47 +22,47 @@
 
 /// Longest wait of the watch on the platform's evacuations.
 const WATCH_WAIT: Duration = Duration::from_secs(2);
-/// How long a write of an operators' evacuation may take.
-const WRITE_LIMIT: Duration = Duration::from_millis(800);
+/// Timeout of a write of an evacuation by operators.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What came of operators' wish.
+/// Outcome of a request to start or end an evacuation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum EvacuationOutcome {
-    /// It is in force, and the store holds it.
+    /// The change is in force, and the store holds it.
     Done,
-    /// It may not be.
+    /// The change is not allowed.
     Refused(EvacuationError),
     /// Another box schedules.
     NotHere,
-    /// The store did not take it, or gave no answer: it may be in force. Asking again is safe.
+    /// The store rejected the write or did not respond; the change may be in force. Repeating the request is safe.
     Unknown,
 }
 
-/// Reads all evacuations, for a new scheduler before its first plan. The returned revision is where the platform's are
-/// known to.
+/// Restores all evacuations for a new scheduler, before its first plan. Returns the revision up to which those of the
+/// platform have been read.
 pub(crate) async fn restore(cx: &Context, known: &EvacuationRevisions, scheduler: &mut Scheduler) -> Revision {
     let prefix = cx.decoder.evacuations_prefix();
-    let platforms = paged_reads::read_all(&*cx.store, &cx.view, &prefix);
-    let operators = paged_reads::read_all(&*cx.store, &cx.view, keys::EVACUATIONS);
-    let (platforms, operators) = futures_lite::future::zip(platforms, operators).await;
+    let platform_zones = paged_reads::read_all(&*cx.store, &cx.view, &prefix);
+    let operator_zones = paged_reads::read_all(&*cx.store, &cx.view, keys::EVACUATIONS);
+    let (platform_zones, operator_zones) = futures_lite::future::zip(platform_zones, operator_zones).await;
     let now = cx.view.clock().now();
-    let own: BTreeSet<AvailabilityZoneId> =
-        operators.items.iter().filter_map(|item| keys::evacuated_zone(&item.key)).collect();
-    scheduler.set_evacuated(EvacuatedBy::Operators, &own, now);
-    take_all(&*cx.decoder, known, scheduler, &platforms.items, now);
-    platforms.at
+    let operator_evacuated: BTreeSet<AvailabilityZoneId> =
+        operator_zones.items.iter().filter_map(|item| keys::evacuated_zone(&item.key)).collect();
+    scheduler.set_evacuated(EvacuatedBy::Operators, &operator_evacuated, now);
+    apply_all(&*cx.decoder, known, scheduler, &platform_zones.items, now);
+    platform_zones.at
 }
 
-/// Follows the platform's evacuations, from where [`restore`] has read to.
+/// Follows the platform's evacuations from the revision that [`restore`] returned, until it is dropped.
 pub(crate) async fn follow_platform(cx: Context, active: std::sync::Arc<Active>, from: Revision) {
     let prefix = cx.decoder.evacuations_prefix();
     let on = |seen: PrefixUpdate| {
         let now = cx.view.clock().now();
         active.update(|scheduler| match &seen {
-            PrefixUpdate::All(items) => take_all(&*cx.decoder, &active.evacuations, scheduler, items, now),
+            PrefixUpdate::All(items) => apply_all(&*cx.decoder, &active.evacuations, scheduler, items, now),
             PrefixUpdate::Changes(changes) => {
                 for change in changes {
-                    take_change(&*cx.decoder, &active.evacuations, scheduler, change, now);
+                    apply_change(&*cx.decoder, &active.evacuations, scheduler, change, now);
                 }
             }
         });
@@ -70,7 +70,7 @@
     follow(&*cx.store, &cx.view, &prefix, Some(from), WatchTiming::immediate(WATCH_WAIT), on).await;
 }
 
-fn take_all(
+fn apply_all(
     decoder: &dyn Decoder,
     known: &EvacuationRevisions,
     scheduler: &mut Scheduler,
@@ -83,7 +83,7 @@
     known.replace(all);
 }
 
-fn take_change(
+fn apply_change(
     decoder: &dyn Decoder,
     known: &EvacuationRevisions,
     scheduler: &mut Scheduler,
@@ -95,13 +95,13 @@
         Change::Removed { key } => (key, None),
     };
     match decoder.evacuated_zone(key) {
-        Some(zone) => take(known, scheduler, &zone, revision, now),
+        Some(zone) => apply_revision(known, scheduler, &zone, revision, now),
         None => log::error!("event=evacuation_unreadable key={key}"),
     }
 }
 
-/// The key of an availability zone stands at a revision, or is not there.
-fn take(
+/// Applies the revision of the key of an availability zone; `None` if the key does not exist.
+fn apply_revision(
     known: &EvacuationRevisions,
     scheduler: &mut Scheduler,
     zone: &AvailabilityZoneId,
@@ -115,7 +115,7 @@
     }
 }
 
-/// The conditions under which runs may be placed in these availability zones.
+/// Returns the conditions of a write that places runs in these availability zones.
 pub(crate) fn conditions(
     decoder: &dyn Decoder,
     known: &EvacuationRevisions,
@@ -124,20 +124,20 @@
     zones.iter().map(|zone| (decoder.evacuation_key(zone), known.revision(zone))).collect()
 }
 
-/// A write that placed runs in these availability zones found other items than it expected: what they tell of
-/// evacuations is taken in before the watch tells it.
+/// Applies the evacuations that a conflict has shown: a write that places runs in these availability zones found other
+/// revisions than expected, before the watch has reported them.
 pub(crate) fn apply_conflict(cx: &Context, active: &Active, zones: &BTreeSet<AvailabilityZoneId>, items: &[Item]) {
     let now = cx.view.clock().now();
     for zone in zones {
         let key = cx.decoder.evacuation_key(zone);
         let found = items.iter().find(|item| item.key == key).map(|item| item.revision);
         if found.unwrap_or(Revision(0)) != active.evacuations.revision(zone) {
-            active.update(|scheduler| take(&active.evacuations, scheduler, zone, found, now));
+            active.update(|scheduler| apply_revision(&active.evacuations, scheduler, zone, found, now));
         }
     }
 }
 
-/// Operators evacuate an availability zone, or take it back, on the box that schedules.
+/// Starts or ends an evacuation for operators, on the box that schedules.
 pub(crate) async fn request(
     store: &dyn CoordinationStore,
     active: &Active,
@@ -156,7 +156,7 @@
     } else {
         transaction.remove.push(key);
     }
-    match store.commit(transaction, WRITE_LIMIT).await {
+    match store.commit(transaction, WRITE_TIMEOUT).await {
         Ok(Committed::Done(_)) => {}
         Ok(Committed::Conflict(_)) => return EvacuationOutcome::NotHere,
         Ok(Committed::LeaseGone) | Err(_) => return EvacuationOutcome::Unknown,
@@ -171,7 +171,7 @@
     EvacuationOutcome::Done
 }
 
-/// How far each evacuation has come, on the box that schedules.
+/// Returns the progress of each evacuation, on the box that schedules.
 pub(crate) fn status(active: &Active, now: Moment) -> Vec<EvacuationStatus> {
     active.lock().evacuations(now)
 }
--- a/crates/runtime/src/evacuation_revisions.rs
+++ b/crates/runtime/src/evacuation_revisions.rs
@@ -1,10 +1,11 @@
-//! Which availability zones the platform evacuates, as far as the scheduling box knows.
+//! Revisions of the keys by which the platform evacuates availability zones, as the scheduler knows them.
 
 use std::{collections::BTreeMap, sync::Mutex};
 
 use model::{AvailabilityZoneId, Revision};
 
-/// The platform's evacuations as they are known: each with the revision of its key.
+/// The platform's evacuated availability zones, each with the revision of its key. Writes that place runs are
+/// conditional on these revisions.
 #[derive(Debug, Default)]
 pub(crate) struct EvacuationRevisions {
     revisions: Mutex<BTreeMap<AvailabilityZoneId, Revision>>,
@@ -23,7 +24,7 @@
         *self.revisions.lock().expect("no holder panics") = all;
     }
 
-    /// The revision at which an availability zone's key is known to stand; 0 if it is not evacuated.
+    /// Returns the known revision of the key of an availability zone; 0 if the zone is not evacuated.
     pub(crate) fn revision(&self, zone: &AvailabilityZoneId) -> Revision {
         self.revisions.lock().expect("no holder panics").get(zone).copied().unwrap_or(Revision(0))
     }
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -1,4 +1,4 @@
-//! One box: its beliefs, its requests, and its part in the election.
+//! A running box: its view of the system, its handling of requests, and its part in the election.
 
 use std::sync::Arc;
 
@@ -27,69 +27,69 @@
     view::View,
 };
 
-/// How often a box that does not reach the store asks another for the configuration.
-const ASK_EVERY: Duration = Duration::from_millis(500);
-/// Limit of such a question, whose answer may be a whole configuration of some 100 KB, over a narrow link.
-const ASK_LIMIT: Duration = Duration::from_millis(1000);
+/// Interval at which a box without a connection to the store requests the configuration from other boxes.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of such a request. The response may be a whole configuration of some 100 KB, over a narrow link.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What a box believes; fields of a scheduler are there on the box that schedules.
+/// Status of a box. Fields about the scheduler are `None` on a box that does not schedule.
 #[derive(Debug, Clone, Serialize)]
 pub struct Status {
-    /// The box.
+    /// Id of the box.
     #[serde(rename = "box")]
     pub box_id: BoxId,
-    /// New callers should come.
+    /// Whether new callers should be sent to this box.
     pub ready: bool,
-    /// It is leaving.
+    /// Whether the box is draining.
     pub draining: bool,
-    /// The configuration in force here.
+    /// Version of the current configuration; `None` before the first one.
     pub configuration_version: Option<u64>,
-    /// Since the store last answered.
+    /// Time since the latest response of the store, in milliseconds; `None` if there was none.
     pub store_silent_ms: Option<u64>,
-    /// The box that schedules, as far as this one knows.
+    /// Box that schedules, as far as this box knows.
     pub scheduler: Option<BoxId>,
-    /// Its fence.
+    /// Fencing token of that scheduler.
     pub scheduler_fence: Option<u64>,
-    /// This box schedules, with this fence.
+    /// Fencing token with which this box schedules; `None` if it does not.
     pub schedules_with_fence: Option<u64>,
-    /// Jobs of which something runs or may run.
+    /// Number of jobs with occurrences that run or may still run.
     pub open_jobs: Option<usize>,
-    /// Backend servers known.
+    /// Number of tracked backend servers.
     pub servers: Option<usize>,
-    /// Backend servers not heard under this fence.
+    /// Number of backend servers that have not responded under this fencing token.
     #[serde(rename = "unheard_servers")]
     pub unresponsive_servers: Option<usize>,
-    /// Backend servers that this box holds links to. Fewer than are known where it cannot carry all.
+    /// Number of backend servers that this box has links to. Fewer than are tracked if its capacity does not suffice.
     #[serde(rename = "held_servers")]
     pub linked_servers: Option<usize>,
-    /// Occurrences of which something could start and is held back, or finds no room.
+    /// Number of occurrences that could start but are held back, or for which there is no capacity.
     pub waiting: Option<usize>,
-    /// Occurrences of which nothing has run for long, though something could.
+    /// Number of stalled occurrences, of which nothing has run for long although something could.
     #[serde(rename = "standing")]
     pub stalled: Option<usize>,
-    /// Occurrences whose progress the store does not hold yet.
+    /// Number of occurrences with progress that is not yet stored.
     #[serde(rename = "unstored")]
     pub pending_writes: Option<usize>,
-    /// How fast backend servers work.
+    /// Speeds of the backend servers.
     pub speeds: Option<SpeedSummary>,
-    /// Availability zones where nothing starts.
+    /// Evacuated availability zones, where nothing starts.
     pub evacuations: Option<Vec<EvacuationStatus>>,
 }
 
-/// What a platform may have beside its store and its backend servers.
+/// Services that a platform may offer beside its store and its backend servers.
 #[derive(Clone, Default)]
 pub struct OptionalServices {
-    /// Tells where steps of some queues may run.
+    /// Permit service; `None` on a platform without one.
     pub permit_service: Option<Arc<dyn PermitService>>,
-    /// Its machines, and the upkeep that it gives them.
+    /// Machines and their maintenance; `None` on a platform that offers no maintenance.
     pub machines: Option<Arc<dyn Machines>>,
 }
 
-/// A box at work; dropping it ends all that it does.
+/// A running box. Dropping it stops all its tasks.
 pub struct RunningBox {
-    /// Takes callers' requests.
+    /// Handler of callers' requests.
     pub requests: Arc<Requests>,
-    /// What the box believes.
+    /// View that the box has of the system.
     pub view: Arc<View>,
     active: ActiveSlot,
     store: Arc<dyn CoordinationStore>,
@@ -141,13 +141,13 @@
             smol::spawn(probe::run(Arc::clone(&store), Arc::clone(&view))),
             smol::spawn(election::follow_leader(Arc::clone(&store), Arc::clone(&view))),
             smol::spawn(box_list::register_box(settings.clone(), cx.clone())),
-            smol::spawn(ask_for_configuration(relay, cx.clone())),
+            smol::spawn(request_configuration(relay, cx.clone())),
             smol::spawn(election::run(settings.clone(), cx, active.clone())),
         ];
         RunningBox { requests, view, active, store, box_id: settings.box_id, _tasks: tasks }
     }
 
-    /// What the box believes, with the age or version of each belief.
+    /// Returns the status of the box.
     pub fn status(&self) -> Status {
         let leader = self.view.leader();
         let (fence, counts) = self.active.counts().unzip();
@@ -172,18 +172,18 @@
         }
     }
 
-    /// How far each evacuation has come; `None` on a box that does not schedule.
+    /// Returns the progress of each evacuation; `None` on a box that does not schedule.
     pub fn evacuations(&self) -> Option<Vec<EvacuationStatus>> {
         Some(evacuation::status(&*self.active.get()?, self.view.clock().now()))
     }
 
-    /// Operators want an availability zone evacuated, or take it back. Safe to ask again.
+    /// Starts or ends the evacuation of an availability zone for operators. Idempotent.
     pub async fn request_evacuation(&self, zone: &AvailabilityZoneId, evacuated: bool) -> EvacuationOutcome {
         let Some(active) = self.active.get() else { return EvacuationOutcome::NotHere };
         evacuation::request(&*self.store, &active, zone, evacuated, || self.view.clock().now()).await
     }
 
-    /// Sets the gauges that are read off the box when it is asked.
+    /// Sets the gauges that are derived from the status. Called when metrics are read.
     pub fn set_gauges(&self) {
         telemetry::count_traffic();
         let status = self.status();
@@ -217,16 +217,16 @@
     }
 }
 
-/// While the store is out of reach, asks other boxes for the configuration.
-async fn ask_for_configuration(relay: RelayService, cx: Context) {
+/// Requests the configuration from other boxes while the store is unreachable.
+async fn request_configuration(relay: RelayService, cx: Context) {
     loop {
-        pause(ASK_EVERY).await;
+        pause(REQUEST_INTERVAL).await;
         if relay.view.is_store_reachable() {
             continue;
         }
         let above = relay.view.configuration().map_or(0, |known| known.version);
         for addr in relay.requests.other_boxes() {
-            match cx.peers.configuration(addr, above, Duration::ZERO, ASK_LIMIT).await {
+            match cx.peers.configuration(addr, above, Duration::ZERO, REQUEST_TIMEOUT).await {
                 Some(document) => {
                     relay.view.record_peer_response();
                     if !document.is_empty() {
