--- a/crates/runtime/src/telemetry.rs
+++ b/crates/runtime/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics of a box: what jobs wait and take, and how calls to the outside go.
+//! Metrics of a box: waiting and completion times of jobs, and calls to external systems.
 
 use std::time::Instant;
 
@@ -10,10 +10,10 @@
 
 use crate::timers::pause;
 
-/// How often the box that schedules tells its traffic.
-const TELL_TRAFFIC_EVERY: Duration = Duration::from_secs(10);
+/// Interval at which the scheduling box logs its traffic.
+const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Counts what the scheduler has seen.
+/// Records the observations of the scheduler as metrics.
 pub(crate) fn record_observations(observations: Vec<Observation>) {
     for observation in observations {
         match observation {
@@ -58,9 +58,9 @@
     [("customer", customer), ("queue", queue.to_string())]
 }
 
-/// Records what a new scheduler had to read before it could schedule.
-pub(crate) fn record_restore(took: Duration, pages: usize, bytes: usize) {
-    metrics::histogram!("martenscale_restore_seconds").record(took.secs_f64());
+/// Records the size and the duration of the restore of a new scheduler.
+pub(crate) fn record_restore(duration: Duration, pages: usize, bytes: usize) {
+    metrics::histogram!("martenscale_restore_seconds").record(duration.secs_f64());
     metrics::counter!("martenscale_restore_pages_total").increment(pages as u64);
     metrics::counter!("martenscale_restore_bytes_total").increment(bytes as u64);
 }
@@ -76,20 +76,20 @@
     metrics::counter!("martenscale_server_calls_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-/// Counts a call of which only matters whether it was answered.
+/// Counts a call by whether there was a response.
 pub(crate) fn count_server_reply<T, E>(kind: &'static str, reply: &Result<T, E>) {
     count_server_call(kind, if reply.is_ok() { "answered" } else { "lost" });
 }
 
-/// Tells what the box that schedules has sent and received, for as long as it does.
+/// Logs the traffic of the scheduling box, until it is dropped.
 pub(crate) async fn log_traffic(fence: Fence) {
     loop {
         log::info!("event=traffic fence={fence} {AllTraffic}");
-        pause(TELL_TRAFFIC_EVERY).await;
+        pause(TRAFFIC_LOG_INTERVAL).await;
     }
 }
 
-/// Publishes what this process has sent and received.
+/// Publishes the traffic of this process as metrics.
 pub(crate) fn count_traffic() {
     for purpose in Purpose::ALL {
         let traffic = purpose.traffic();
@@ -103,7 +103,7 @@
 pub(crate) struct MeasuredStore<S>(pub(crate) S);
 
 async fn measured<T>(kind: &'static str, call: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let result = call.await;
     let outcome = match &result {
         Ok(_) => "answered",
@@ -112,7 +112,7 @@
     };
     metrics::counter!("martenscale_store_calls_total", "kind" => kind, "outcome" => outcome).increment(1);
     if kind != "watch" {
-        metrics::histogram!("martenscale_store_call_seconds", "kind" => kind).record(begun.elapsed().as_secs_f64());
+        metrics::histogram!("martenscale_store_call_seconds", "kind" => kind).record(started.elapsed().as_secs_f64());
     }
     result
 }
--- a/crates/runtime/src/timeout_estimator.rs
+++ b/crates/runtime/src/timeout_estimator.rs
@@ -1,54 +1,54 @@
-//! How long the store may take to answer before a call is made again: learned from its answers, as in RFC 6298.
+//! Estimates the timeout of calls to the store from its response times, as in RFC 6298.
 
 use model::Duration;
 
-/// A call is not made again before this, however quick answers have been: a small box stands still for as long now and then.
-const SHORTEST: Duration = Duration::from_millis(100);
-/// Weight of the latest answer in the mean time of answers, and in their deviation.
-const IN_MEAN: f64 = 0.125;
-const IN_DEVIATION: f64 = 0.25;
-/// So many deviations above the mean an answer is given up.
+/// Shortest timeout, however fast responses are: a small box is now and then suspended for as long.
+const MIN_TIMEOUT: Duration = Duration::from_millis(100);
+/// Weight of the latest response time in the mean and in the deviation.
+const MEAN_WEIGHT: f64 = 0.125;
+const DEVIATION_WEIGHT: f64 = 0.25;
+/// Deviations above the mean after which a call times out.
 const DEVIATIONS: f64 = 4.0;
 
-/// How long the store takes to answer.
+/// Estimator of the response time of the store.
 #[derive(Debug)]
 pub struct TimeoutEstimator {
-    /// Milliseconds; `None` before the first answer.
+    /// Mean response time in milliseconds; `None` before the first response.
     mean: Option<f64>,
     deviation: f64,
-    /// Doubled by each call without an answer, until one is answered.
-    patience: f64,
-    longest: Duration,
+    /// Doubled by each timeout, until a response arrives.
+    backoff_factor: f64,
+    max_timeout: Duration,
 }
 
 impl TimeoutEstimator {
-    /// Before anything is known, a call may take `longest`; it never gets longer.
-    pub fn new(longest: Duration) -> TimeoutEstimator {
-        TimeoutEstimator { mean: None, deviation: 0.0, patience: 1.0, longest }
+    /// Creates an estimator. `max_timeout` is the timeout before the first response, and the upper limit afterwards.
+    pub fn new(max_timeout: Duration) -> TimeoutEstimator {
+        TimeoutEstimator { mean: None, deviation: 0.0, backoff_factor: 1.0, max_timeout }
     }
 
-    /// How long the next call may take.
+    /// Returns the timeout of the next call.
     pub fn timeout(&self) -> Duration {
-        let Some(mean) = self.mean else { return self.longest };
-        let learned = Duration::from_millis((mean + DEVIATIONS * self.deviation) as u64);
-        learned.max(SHORTEST).scaled(self.patience).min(self.longest)
+        let Some(mean) = self.mean else { return self.max_timeout };
+        let estimate = Duration::from_millis((mean + DEVIATIONS * self.deviation) as u64);
+        estimate.max(MIN_TIMEOUT).scaled(self.backoff_factor).min(self.max_timeout)
     }
 
-    /// A call was answered after so long.
+    /// Records the response time of a call.
     pub fn record_response(&mut self, after: Duration) {
         let after = after.millis() as f64;
         match &mut self.mean {
             None => (self.mean, self.deviation) = (Some(after), after / 2.0),
             Some(mean) => {
-                self.deviation += IN_DEVIATION * ((after - *mean).abs() - self.deviation);
-                *mean += IN_MEAN * (after - *mean);
+                self.deviation += DEVIATION_WEIGHT * ((after - *mean).abs() - self.deviation);
+                *mean += MEAN_WEIGHT * (after - *mean);
             }
         }
-        self.patience = 1.0;
+        self.backoff_factor = 1.0;
     }
 
-    /// A call was not answered in time.
+    /// Records a call that timed out.
     pub fn record_timeout(&mut self) {
-        self.patience = (self.patience * 2.0).min(self.longest.secs_f64() / SHORTEST.secs_f64());
+        self.backoff_factor = (self.backoff_factor * 2.0).min(self.max_timeout.secs_f64() / MIN_TIMEOUT.secs_f64());
     }
 }
--- a/crates/runtime/src/timers.rs
+++ b/crates/runtime/src/timers.rs
@@ -1,13 +1,14 @@
-//! Pauses: between tries of a call, and until something happens.
+//! Timers: backoff between attempts of a call, pauses and timeouts.
 
 use model::Duration;
 
-/// Pause after a failed call, doubled up to [`LONGEST_PAUSE`], each time with half of it drawn at random.
+/// Pause after a first failed call. Doubled after each further failure up to [`MAX_PAUSE`]; half of each pause is
+/// random.
 const FIRST_PAUSE: Duration = Duration::from_millis(50);
-/// A box that is cut off looks this often whether it still is.
-const LONGEST_PAUSE: Duration = Duration::from_millis(400);
+/// Longest pause between attempts: a box without a connection retries this often.
+const MAX_PAUSE: Duration = Duration::from_millis(400);
 
-/// Waits between tries of a call.
+/// Exponential backoff with jitter.
 pub(crate) struct Backoff {
     pause: Duration,
 }
@@ -22,29 +23,29 @@
     }
 
     pub(crate) async fn wait(&mut self) {
-        self.wait_at_most(LONGEST_PAUSE).await;
+        self.wait_at_most(MAX_PAUSE).await;
     }
 
-    /// Waits, but no longer than what is left of the caller's time.
+    /// Waits for the next pause, but at most for `left`, the remaining time of the caller.
     pub(crate) async fn wait_at_most(&mut self, left: Duration) {
         let next = self.next();
         pause(next.min(left)).await;
     }
 
-    /// How long to wait before the next try.
+    /// Returns the pause before the next attempt, and doubles the following one.
     pub(crate) fn next(&mut self) -> Duration {
         let next = self.pause.scaled(0.5 + fastrand::f64() / 2.0);
-        self.pause = self.pause.scaled(2.0).min(LONGEST_PAUSE);
+        self.pause = self.pause.scaled(2.0).min(MAX_PAUSE);
         next
     }
 }
 
-/// Lets time pass.
+/// Waits for a duration.
 pub(crate) async fn pause(time: Duration) {
     smol::Timer::after(time.into()).await;
 }
 
-/// Waits for an event, but no longer than `limit`.
+/// Waits for an event, for at most `limit`.
 pub(crate) async fn with_timeout(limit: Duration, event: impl Future<Output = ()>) {
     futures_lite::FutureExt::or(event, pause(limit)).await;
 }
