--- a/crates/runtime/tests/access.rs
+++ b/crates/runtime/tests/access.rs
@@ -1,4 +1,4 @@
-//! Who may hand in what: the host, the longest prefix and the key decide.
+//! Access of requests: decided by the host, the longest matching prefix and the key.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_decides() {
+fn longest_prefix_of_the_host_decides() {
     let configuration = configuration();
     let queue = |path: &str| configuration.access("jobs.example:8080", path, Some("k1")).map(|a| a.queue.to_string());
     assert_eq!(queue("/desk/1"), Ok("desk".to_owned()));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_key_that_no_customer_has_is_denied_unless_the_queue_is_open() {
+fn unknown_key_is_denied_unless_the_queue_is_open() {
     let configuration = configuration();
     assert_eq!(configuration.access("jobs.example", "/desk/1", None), Err(Denied::UnknownKey));
     assert_eq!(configuration.access("jobs.example", "/desk/1", Some("k2")), Err(Denied::UnknownKey));
