--- a/crates/runtime/src/configuration_watch.rs
+++ b/crates/runtime/src/configuration_watch.rs
@@ -42,8 +42,8 @@
             continue;
         }
         let timing = WatchTiming::immediate(source.store_wait(settings.watch_wait));
-        let mut on = |seen: PrefixUpdate| apply_update(&cx, &key, seen);
-        if watcher.step(&*cx.store, &cx.view, &key, timing, &mut on).await {
+        let mut on_update = |update: PrefixUpdate| apply_update(&cx, &key, update);
+        if watcher.step(&*cx.store, &cx.view, &key, timing, &mut on_update).await {
             cx.view.confirm_configuration();
         }
         source.is_store_next = false;
@@ -90,15 +90,15 @@
     }
 
     /// Returns the wait of a watch at the store. A box that finds no working relay stays with the store for longer.
-    fn store_wait(&self, longest: Duration) -> Duration {
-        if self.failed == 1 { NO_WAIT } else { longest }
+    fn store_wait(&self, max_wait: Duration) -> Duration {
+        if self.failed == 1 { NO_WAIT } else { max_wait }
     }
 }
 
 /// Waits at a relay for a configuration above the current one. Returns whether the relay confirms the configuration
 /// that is now current here.
 async fn wait_at_relay(cx: &Context, addr: SocketAddr) -> bool {
-    let above = cx.view.configuration().map_or(0, |known| known.version);
+    let above = cx.view.configuration().map_or(0, |current| current.version);
     let reply = cx.peers.configuration(addr, above, RELAY_WAIT, RELAY_WAIT + RELAY_SLACK).await;
     let Some(document) = reply else { return false };
     cx.view.record_peer_response();
@@ -108,8 +108,8 @@
     cx.view.configuration().is_some()
 }
 
-fn apply_update(cx: &Context, key: &str, seen: PrefixUpdate) {
-    for item in seen.written().iter().filter(|item| item.key == key) {
+fn apply_update(cx: &Context, key: &str, update: PrefixUpdate) {
+    for item in update.written().iter().filter(|item| item.key == key) {
         apply_document(cx, &item.value);
     }
 }
--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -33,7 +33,7 @@
 pub(crate) async fn follow_servers(cx: Context, active: Arc<Active>) {
     let prefix = cx.decoder.servers_prefix();
     let mut listed = Listed::new();
-    let on = |seen: PrefixUpdate| match seen {
+    let on_update = |update: PrefixUpdate| match update {
         PrefixUpdate::All(items) => apply_all(&cx, &active, &mut listed, &items),
         PrefixUpdate::Changes(changes) => {
             for change in &changes {
@@ -48,7 +48,7 @@
             }
         }
     };
-    follow(&*cx.store, &cx.view, &prefix, None, WATCH, on).await;
+    follow(&*cx.store, &cx.view, &prefix, None, WATCH, on_update).await;
 }
 
 fn apply_all(cx: &Context, active: &Arc<Active>, listed: &mut Listed, items: &[Item]) {
@@ -106,9 +106,9 @@
 fn decode_entry(cx: &Context, listed: &Listed, item: &Item) -> Result<ListedServer, DecodeError> {
     let server = cx.decoder.server(item)?;
     let service = &server.info.service;
-    let known = listed.get(&server.target.id).is_some_and(|known| known.info.service == *service);
-    let configured = || cx.view.configuration().is_some_and(|known| known.services.contains(service));
-    if known || configured() {
+    let is_known = listed.get(&server.target.id).is_some_and(|entry| entry.info.service == *service);
+    let is_configured = || cx.view.configuration().is_some_and(|current| current.services.contains(service));
+    if is_known || is_configured() {
         return Ok(server);
     }
     Err(DecodeError { key: item.key.clone(), why: format!("no configuration names the service {service}") })
--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -111,7 +111,7 @@
 
 /// Watches the scheduler's key and the list of relay boxes, and keeps the view up to date.
 pub(crate) async fn follow_leader(store: Arc<dyn CoordinationStore>, view: Arc<View>) {
-    let mut on = |seen: PrefixUpdate| match seen {
+    let mut on_update = |update: PrefixUpdate| match update {
         PrefixUpdate::All(items) => {
             view.set_watched_leader(items.iter().find(|item| item.key == keys::SCHEDULER).and_then(leader_of));
             items
@@ -130,10 +130,10 @@
             }
         }
     };
-    let mut follower = PrefixWatcher { from: None, backoff: Backoff::new() };
+    let mut watcher = PrefixWatcher { from: None, backoff: Backoff::new() };
     let mut wait = WATCH_WAIT;
     loop {
-        let step = follower.step(&*store, &view, keys::SCHEDULER, WatchTiming::immediate(wait), &mut on);
+        let step = watcher.step(&*store, &view, keys::SCHEDULER, WatchTiming::immediate(wait), &mut on_update);
         let answered = futures_lite::FutureExt::or(step, await_missed_change(&view)).await;
         wait = if answered { WATCH_WAIT } else { SUSPECT_WATCH_WAIT };
     }
@@ -214,18 +214,18 @@
 /// Writes the scheduler's key under a new lease, unless another box holds it. Returns `None` if the election is not
 /// won.
 async fn try_win_election(settings: &Settings, cx: &Context) -> Option<WonElection> {
-    let asked = cx.view.clock().now();
-    let (lease, found) =
+    let requested_at = cx.view.clock().now();
+    let (lease, stored_terms) =
         futures_lite::future::zip(cx.store.grant_lease(settings.election_ttl), predecessors::read(&*cx.store)).await;
-    let (lease, found) = (lease.ok()?, found.ok()?);
+    let (lease, stored_terms) = (lease.ok()?, stored_terms.ok()?);
     let record =
         LeaderRecord { box_id: settings.box_id.clone(), addr: settings.peers_address, nonce: fastrand::u64(..) };
     let value = serde_json::to_vec(&record).expect("our own types always serialize");
     let put = Put { key: keys::SCHEDULER.to_owned(), value, lease: Some(lease) };
-    let (no_other_election, term) = found.add(&settings.box_id, settings.peers_address);
+    let (no_other_election, term) = stored_terms.add(&settings.box_id, settings.peers_address);
     let expect = vec![(keys::SCHEDULER.to_owned(), Revision(0)), no_other_election];
     let transaction = Transaction { expect, put: vec![put, term], remove: Vec::new() };
-    let known_before = cx.view.newest_fence();
+    let previous_fence = cx.view.newest_fence();
     let fence = match cx.store.commit(transaction, WRITE_TIMEOUT).await {
         Ok(Committed::Done(revision)) => Fence(revision.0),
         Ok(Committed::Conflict(items)) => {
@@ -239,10 +239,10 @@
     log::info!("event=elected box={} fence={fence}", settings.box_id);
     metrics::counter!("martenscale_elections_total").increment(1);
     // Another box may have reported this very election before the response to the write arrived.
-    let others = cx.view.newest_fence().filter(|newest| *newest != fence).max(known_before);
-    let earlier = found.earlier_terms(others);
+    let newest_other = cx.view.newest_fence().filter(|newest| *newest != fence).max(previous_fence);
+    let earlier = stored_terms.earlier_terms(newest_other);
     cx.view.set_leader(Some(Leader { box_id: record.box_id, addr: record.addr, fence }));
-    Some(WonElection { fence, lease, confirmed: asked + settings.election_ttl, earlier })
+    Some(WonElection { fence, lease, confirmed: requested_at + settings.election_ttl, earlier })
 }
 
 /// Reads whether a write with unknown outcome has won the election. Returns the fencing token if it has.
--- a/crates/runtime/src/evacuation.rs
+++ b/crates/runtime/src/evacuation.rs
@@ -40,7 +40,7 @@
 
 /// Restores all evacuations for a new scheduler, before its first plan. Returns the revision up to which those of the
 /// platform have been read.
-pub(crate) async fn restore(cx: &Context, known: &EvacuationRevisions, scheduler: &mut Scheduler) -> Revision {
+pub(crate) async fn restore(cx: &Context, revisions: &EvacuationRevisions, scheduler: &mut Scheduler) -> Revision {
     let prefix = cx.decoder.evacuations_prefix();
     let platform_zones = paged_reads::read_all(&*cx.store, &cx.view, &prefix);
     let operator_zones = paged_reads::read_all(&*cx.store, &cx.view, keys::EVACUATIONS);
@@ -49,16 +49,16 @@
     let operator_evacuated: BTreeSet<AvailabilityZoneId> =
         operator_zones.items.iter().filter_map(|item| keys::evacuated_zone(&item.key)).collect();
     scheduler.set_evacuated(EvacuatedBy::Operators, &operator_evacuated, now);
-    apply_all(&*cx.decoder, known, scheduler, &platform_zones.items, now);
+    apply_all(&*cx.decoder, revisions, scheduler, &platform_zones.items, now);
     platform_zones.at
 }
 
 /// Follows the platform's evacuations from the revision that [`restore`] returned, until it is dropped.
 pub(crate) async fn follow_platform(cx: Context, active: std::sync::Arc<Active>, from: Revision) {
     let prefix = cx.decoder.evacuations_prefix();
-    let on = |seen: PrefixUpdate| {
+    let on_update = |update: PrefixUpdate| {
         let now = cx.view.clock().now();
-        active.update(|scheduler| match &seen {
+        active.update(|scheduler| match &update {
             PrefixUpdate::All(items) => apply_all(&*cx.decoder, &active.evacuations, scheduler, items, now),
             PrefixUpdate::Changes(changes) => {
                 for change in changes {
@@ -67,12 +67,12 @@
             }
         });
     };
-    follow(&*cx.store, &cx.view, &prefix, Some(from), WatchTiming::immediate(WATCH_WAIT), on).await;
+    follow(&*cx.store, &cx.view, &prefix, Some(from), WatchTiming::immediate(WATCH_WAIT), on_update).await;
 }
 
 fn apply_all(
     decoder: &dyn Decoder,
-    known: &EvacuationRevisions,
+    revisions: &EvacuationRevisions,
     scheduler: &mut Scheduler,
     items: &[Item],
     now: Moment,
@@ -80,12 +80,12 @@
     let zone = |item: &Item| Some((decoder.evacuated_zone(&item.key)?, item.revision));
     let all: BTreeMap<AvailabilityZoneId, Revision> = items.iter().filter_map(zone).collect();
     scheduler.set_evacuated(EvacuatedBy::Platform, &all.keys().cloned().collect(), now);
-    known.replace(all);
+    revisions.replace(all);
 }
 
 fn apply_change(
     decoder: &dyn Decoder,
-    known: &EvacuationRevisions,
+    revisions: &EvacuationRevisions,
     scheduler: &mut Scheduler,
     change: &Change,
     now: Moment,
@@ -95,20 +95,20 @@
         Change::Removed { key } => (key, None),
     };
     match decoder.evacuated_zone(key) {
-        Some(zone) => apply_revision(known, scheduler, &zone, revision, now),
+        Some(zone) => apply_revision(revisions, scheduler, &zone, revision, now),
         None => log::error!("event=evacuation_unreadable key={key}"),
     }
 }
 
 /// Applies the revision of the key of an availability zone; `None` if the key does not exist.
 fn apply_revision(
-    known: &EvacuationRevisions,
+    revisions: &EvacuationRevisions,
     scheduler: &mut Scheduler,
     zone: &AvailabilityZoneId,
     revision: Option<Revision>,
     now: Moment,
 ) {
-    known.set(zone, revision);
+    revisions.set(zone, revision);
     match revision {
         Some(_) => scheduler.evacuate(zone, EvacuatedBy::Platform, now),
         None => scheduler.end_evacuation(zone, EvacuatedBy::Platform),
@@ -118,10 +118,10 @@
 /// Returns the conditions of a write that places runs in these availability zones.
 pub(crate) fn conditions(
     decoder: &dyn Decoder,
-    known: &EvacuationRevisions,
+    revisions: &EvacuationRevisions,
     zones: &BTreeSet<AvailabilityZoneId>,
 ) -> Vec<(String, Revision)> {
-    zones.iter().map(|zone| (decoder.evacuation_key(zone), known.revision(zone))).collect()
+    zones.iter().map(|zone| (decoder.evacuation_key(zone), revisions.revision(zone))).collect()
 }
 
 /// Applies the evacuations that a conflict has shown: a write that places runs in these availability zones found other
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -56,11 +56,11 @@
     prefix: &str,
     from: Option<Revision>,
     timing: WatchTiming,
-    mut on: impl FnMut(PrefixUpdate),
+    mut on_update: impl FnMut(PrefixUpdate),
 ) {
     let mut watcher = PrefixWatcher { from, backoff: Backoff::new() };
     loop {
-        watcher.step(store, view, prefix, timing, &mut on).await;
+        watcher.step(store, view, prefix, timing, &mut on_update).await;
     }
 }
 
@@ -80,11 +80,11 @@
         view: &View,
         prefix: &str,
         WatchTiming { wait, cooldown }: WatchTiming,
-        on: &mut impl FnMut(PrefixUpdate),
+        on_update: &mut impl FnMut(PrefixUpdate),
     ) -> bool {
         let result = match self.from {
-            None => Ok(Some(read(store, view, prefix, on).await)),
-            Some(at) => view.abandon_on_reconnect(watch(store, prefix, at, wait, on)).await,
+            None => Ok(Some(read(store, view, prefix, on_update).await)),
+            Some(at) => view.abandon_on_reconnect(watch(store, prefix, at, wait, on_update)).await,
         };
         match result {
             Ok(at) => {
@@ -103,9 +103,14 @@
     }
 }
 
-async fn read(store: &dyn CoordinationStore, view: &View, prefix: &str, on: &mut impl FnMut(PrefixUpdate)) -> Revision {
+async fn read(
+    store: &dyn CoordinationStore,
+    view: &View,
+    prefix: &str,
+    on_update: &mut impl FnMut(PrefixUpdate),
+) -> Revision {
     let snapshot = paged_reads::read_all(store, view, prefix).await;
-    on(PrefixUpdate::All(snapshot.items));
+    on_update(PrefixUpdate::All(snapshot.items));
     snapshot.at
 }
 
@@ -114,12 +119,12 @@
     prefix: &str,
     at: Revision,
     wait: Duration,
-    on: &mut impl FnMut(PrefixUpdate),
+    on_update: &mut impl FnMut(PrefixUpdate),
 ) -> Result<Option<Revision>, StoreError> {
     match store.watch(prefix.to_owned(), at, wait).await? {
         Watched::Changes { changes, at } => {
             if !changes.is_empty() {
-                on(PrefixUpdate::Changes(changes));
+                on_update(PrefixUpdate::Changes(changes));
             }
             Ok(Some(at))
         }
--- a/crates/runtime/src/maintenance.rs
+++ b/crates/runtime/src/maintenance.rs
@@ -31,18 +31,18 @@
 pub(crate) async fn follow_requests(cx: Context, active: Arc<Active>) {
     let prefix = cx.decoder.maintenance_prefix();
     let (tx, rx) = smol::channel::unbounded();
-    let on = |seen: PrefixUpdate| {
-        for item in seen.written() {
+    let on_update = |update: PrefixUpdate| {
+        for item in update.written() {
             let _ = tx.try_send(item);
         }
     };
-    let take = async {
+    let apply = async {
         while let Ok(item) = rx.recv().await {
             apply_request(&cx, &active, &item).await;
         }
     };
-    let watch = follow(&*cx.store, &cx.view, &prefix, None, WatchTiming::immediate(WATCH_WAIT), on);
-    futures_lite::FutureExt::or(watch, take).await;
+    let watch = follow(&*cx.store, &cx.view, &prefix, None, WatchTiming::immediate(WATCH_WAIT), on_update);
+    futures_lite::FutureExt::or(watch, apply).await;
 }
 
 async fn apply_request(cx: &Context, active: &Active, item: &Item) {
--- a/crates/runtime/src/predecessors.rs
+++ b/crates/runtime/src/predecessors.rs
@@ -105,19 +105,20 @@
         ((keys::TERMS.to_owned(), self.revision), Put { key: keys::TERMS.to_owned(), value, lease: None })
     }
 
-    /// Returns the earlier schedulers. `newest` is the newest fencing token that the box observed before its own
-    /// election.
-    pub(crate) fn earlier_terms(&self, newest: Option<Fence>) -> EarlierTerms {
-        let predecessors = self.predecessors(newest);
+    /// Returns the earlier schedulers. `newest_observed` is the newest fencing token that the box observed before its
+    /// own election.
+    pub(crate) fn earlier_terms(&self, newest_observed: Option<Fence>) -> EarlierTerms {
+        let predecessors = self.predecessors(newest_observed);
         let witnessed = predecessors.is_some() && self.terms.terms.iter().all(|term| term.witnessed);
         EarlierTerms { predecessors, witnessed }
     }
 
-    fn predecessors(&self, newest: Option<Fence>) -> Option<Predecessors> {
-        let written = self.terms.terms.first().and_then(|term| term.fence);
-        let complete = !self.terms.incomplete && newest.is_none_or(|newest| Some(newest.0) <= written);
-        let known = |term: &Term| Some((term.box_id.clone(), term.addr, Fence(term.fence?)));
-        if complete { self.terms.terms.iter().map(known).collect() } else { None }
+    fn predecessors(&self, newest_observed: Option<Fence>) -> Option<Predecessors> {
+        let newest_recorded = self.terms.terms.first().and_then(|term| term.fence);
+        let is_complete =
+            !self.terms.incomplete && newest_observed.is_none_or(|fence| Some(fence.0) <= newest_recorded);
+        let predecessor = |term: &Term| Some((term.box_id.clone(), term.addr, Fence(term.fence?)));
+        if is_complete { self.terms.terms.iter().map(predecessor).collect() } else { None }
     }
 }
 
--- a/crates/runtime/src/relay_service.rs
+++ b/crates/runtime/src/relay_service.rs
@@ -125,9 +125,9 @@
             if !self.view.is_store_reachable() {
                 return Err(Status::unavailable("this box does not reach the store"));
             }
-            let left = until.since(self.view.clock().now());
-            let newer = self.view.configuration_above(above, left.min(CHECK_INTERVAL)).await;
-            if newer.is_some() || left == Duration::ZERO {
+            let remaining = until.since(self.view.clock().now());
+            let newer = self.view.configuration_above(above, remaining.min(CHECK_INTERVAL)).await;
+            if newer.is_some() || remaining == Duration::ZERO {
                 return Ok(newer);
             }
         }
--- a/crates/runtime/src/requests/cancel.rs
+++ b/crates/runtime/src/requests/cancel.rs
@@ -21,11 +21,11 @@
             outcome = self.cancel_in_store(id, customer, limit.min(STORE_WRITE_TIMEOUT)).await;
         }
         for addr in self.relay_candidates() {
-            let left = until.since(self.now()).min(RELAY_TIMEOUT);
-            if left < QUERY_TIMEOUT || !matches!(outcome, CancelOutcome::Refused | CancelOutcome::Unknown) {
+            let remaining = until.since(self.now()).min(RELAY_TIMEOUT);
+            if remaining < QUERY_TIMEOUT || !matches!(outcome, CancelOutcome::Refused | CancelOutcome::Unknown) {
                 break;
             }
-            let relayed = self.peers.cancel(addr, id, customer, left).await;
+            let relayed = self.peers.cancel(addr, id, customer, remaining).await;
             if relayed == CancelOutcome::Unknown {
                 self.mark_unresponsive(addr);
             }
@@ -58,8 +58,8 @@
             expect.push((keys::job(id), Revision(0)));
         }
         let transaction = Transaction { expect, put: vec![put], remove: Vec::new() };
-        let left = until.since(self.now());
-        match self.commit(transaction, left).await {
+        let remaining = until.since(self.now());
+        match self.commit(transaction, remaining).await {
             Ok(Committed::Done(revision)) => {
                 self.notify_scheduler(StoredRequest::Cancelled(id), revision);
                 if job.is_some() { CancelOutcome::Cancelled } else { CancelOutcome::NoSuchJob }
--- a/crates/runtime/src/requests/mod.rs
+++ b/crates/runtime/src/requests/mod.rs
@@ -78,15 +78,15 @@
         }
         let now = self.now();
         let unresponsive = self.unresponsive.lock().expect("no holder panics");
-        let mut seen = Vec::new();
+        let mut candidates = Vec::new();
         for addr in others {
             let skipped = unresponsive.get(&addr).is_some_and(|until| now < *until);
-            if addr != self.own_address && !skipped && !seen.contains(&addr) {
-                seen.push(addr);
+            if addr != self.own_address && !skipped && !candidates.contains(&addr) {
+                candidates.push(addr);
             }
         }
-        seen.truncate(MAX_PEERS);
-        seen
+        candidates.truncate(MAX_PEERS);
+        candidates
     }
 
     pub(crate) fn mark_unresponsive(&self, addr: SocketAddr) {
@@ -101,12 +101,12 @@
         let mut backoff = Backoff::new();
         let mut error = StoreError::Refused { why: "no time is left".to_owned() };
         loop {
-            let left = until.since(self.now());
+            let remaining = until.since(self.now());
             // An attempt with too little time would only have an unknown outcome.
-            if left < MIN_ATTEMPT_TIME {
+            if remaining < MIN_ATTEMPT_TIME {
                 return Err(error);
             }
-            match self.store.commit(transaction.clone(), left.min(WRITE_TIMEOUT)).await {
+            match self.store.commit(transaction.clone(), remaining.min(WRITE_TIMEOUT)).await {
                 Ok(committed) => {
                     self.view.record_store_response();
                     return Ok(committed);
--- a/crates/runtime/src/requests/state.rs
+++ b/crates/runtime/src/requests/state.rs
@@ -40,11 +40,11 @@
             }
         }
         for addr in self.other_boxes() {
-            let left = until.since(self.now()).min(QUERY_TIMEOUT);
-            if left == Duration::ZERO {
+            let remaining = until.since(self.now()).min(QUERY_TIMEOUT);
+            if remaining == Duration::ZERO {
                 break;
             }
-            let remote = self.peers.state(addr, id, customer, false, left).await;
+            let remote = self.peers.state(addr, id, customer, false, remaining).await;
             if remote != StateOutcome::Unavailable {
                 return remote;
             }
@@ -91,8 +91,8 @@
     async fn read_ended(&self, id: JobId, customer: Option<&CustomerId>) -> Result<StateOutcome, StoreError> {
         let Some(item) = self.store.get(keys::ended(id)).await? else { return Ok(StateOutcome::NoSuchJob) };
         let Ok(ended) = serde_json::from_slice::<EndedJob>(&item.value) else { return Ok(StateOutcome::Unavailable) };
-        let seen = may_see(ended.customer.as_ref(), customer);
-        Ok(if seen { StateOutcome::Found(ended.state) } else { StateOutcome::NotYours })
+        let is_visible = may_see(ended.customer.as_ref(), customer);
+        Ok(if is_visible { StateOutcome::Found(ended.state) } else { StateOutcome::NotYours })
     }
 
     /// Counts the accepted jobs of a queue that have not started; `None` if the scheduler cannot be reached.
--- a/crates/runtime/src/requests/submit.rs
+++ b/crates/runtime/src/requests/submit.rs
@@ -30,11 +30,11 @@
             }
         }
         for addr in self.relay_candidates() {
-            let left = until.since(self.now()).min(RELAY_TIMEOUT);
-            if left < QUERY_TIMEOUT {
+            let remaining = until.since(self.now()).min(RELAY_TIMEOUT);
+            if remaining < QUERY_TIMEOUT {
                 break;
             }
-            match self.peers.submit(addr, job, left).await {
+            match self.peers.submit(addr, job, remaining).await {
                 SubmitOutcome::Refused => {}
                 SubmitOutcome::Unknown => {
                     may_be_stored = true;
@@ -71,7 +71,7 @@
         let transaction = Transaction { expect, put: vec![put], remove: Vec::new() };
         match self.commit(transaction, limit).await {
             Ok(Committed::Done(revision)) => {
-                let config = self.view.configuration().map_or(0, |known| known.version);
+                let config = self.view.configuration().map_or(0, |current| current.version);
                 log::info!("job={} event=accepted revision={revision} queue={} config={config}", job.id, job.queue);
                 self.notify_scheduler(StoredRequest::Job(job.clone()), revision);
                 SubmitOutcome::Accepted
@@ -88,7 +88,8 @@
 fn conflict_outcome(job: &Job, items: &[Item]) -> SubmitOutcome {
     let find = |key: String| items.iter().find(|item| item.key == key);
     let is_same = if let Some(item) = find(keys::job(job.id)) {
-        serde_json::from_slice::<Job>(&item.value).map(|known| known.same_work(job) && known.customer == job.customer)
+        serde_json::from_slice::<Job>(&item.value)
+            .map(|stored| stored.same_work(job) && stored.customer == job.customer)
     } else if let Some(item) = find(keys::ended(job.id)) {
         let is_same = |ended: EndedJob| ended.work == job.work_digest() && ended.customer == job.customer;
         serde_json::from_slice::<EndedJob>(&item.value).map(is_same)
--- a/crates/runtime/src/running_box.rs
+++ b/crates/runtime/src/running_box.rs
@@ -155,7 +155,7 @@
             box_id: self.box_id.clone(),
             ready: self.view.is_ready(),
             draining: self.view.is_draining(),
-            configuration_version: self.view.configuration().map(|known| known.version),
+            configuration_version: self.view.configuration().map(|current| current.version),
             store_silent_ms: self.view.time_since_store_response().map(Duration::millis),
             scheduler: leader.as_ref().map(|leader| leader.box_id.clone()),
             scheduler_fence: leader.map(|leader| leader.fence.0),
@@ -224,7 +224,7 @@
         if relay.view.is_store_reachable() {
             continue;
         }
-        let above = relay.view.configuration().map_or(0, |known| known.version);
+        let above = relay.view.configuration().map_or(0, |current| current.version);
         for addr in relay.requests.other_boxes() {
             match cx.peers.configuration(addr, above, Duration::ZERO, REQUEST_TIMEOUT).await {
                 Some(document) => {
--- a/crates/runtime/src/submissions.rs
+++ b/crates/runtime/src/submissions.rs
@@ -94,11 +94,11 @@
 
 /// Follows the jobs and cancellations that are submitted at any box, from the revision that [`restore`] returned.
 pub(crate) async fn follow_submissions(cx: Context, active: Arc<Active>, from: Revision) {
-    let on = |seen: PrefixUpdate| {
-        let items = seen.written();
+    let on_update = |update: PrefixUpdate| {
+        let items = update.written();
         active.update(|scheduler| apply_submissions(scheduler, &items, cx.view.clock().now()));
     };
-    follow(&*cx.store, &cx.view, keys::INTAKE, Some(from), WatchTiming::immediate(WATCH_WAIT), on).await;
+    follow(&*cx.store, &cx.view, keys::INTAKE, Some(from), WatchTiming::immediate(WATCH_WAIT), on_update).await;
 }
 
 /// Applies submission records. Jobs come before cancellations, which may refer to them.
--- a/crates/runtime/src/timers.rs
+++ b/crates/runtime/src/timers.rs
@@ -26,10 +26,10 @@
         self.wait_at_most(MAX_PAUSE).await;
     }
 
-    /// Waits for the next pause, but at most for `left`, the remaining time of the caller.
-    pub(crate) async fn wait_at_most(&mut self, left: Duration) {
+    /// Waits for the next pause, but at most for `remaining`, the time that the caller has left.
+    pub(crate) async fn wait_at_most(&mut self, remaining: Duration) {
         let next = self.next();
-        pause(next.min(left)).await;
+        pause(next.min(remaining)).await;
     }
 
     /// Returns the pause before the next attempt, and doubles the following one.
--- a/crates/runtime/src/view.rs
+++ b/crates/runtime/src/view.rs
@@ -277,7 +277,7 @@
     /// Returns the time since the latest response of the store; `None` if there was none.
     pub(crate) fn time_since_store_response(&self) -> Option<Duration> {
         let now = self.clock.now();
-        self.lock().store_responded_at.map(|seen| now.since(seen))
+        self.lock().store_responded_at.map(|at| now.since(at))
     }
 
     /// Records a response of another box that reaches the store.
@@ -293,8 +293,8 @@
     }
 
     /// Whether a response is recent enough for its sender to count as reachable.
-    fn is_recent(&self, seen: Option<Moment>, now: Moment) -> bool {
-        seen.is_some_and(|seen| now.since(seen) <= self.store_silence)
+    fn is_recent(&self, responded_at: Option<Moment>, now: Moment) -> bool {
+        responded_at.is_some_and(|at| now.since(at) <= self.store_silence)
     }
 
     pub(crate) fn set_relay_boxes(&self, relay_boxes: RelayBoxes) {
@@ -320,7 +320,7 @@
 
     /// Waits for a configuration with a version above `above`, for at most `limit`. Returns `None` on timeout.
     pub(crate) async fn configuration_above(&self, above: u64, limit: Duration) -> Option<Arc<Configuration>> {
-        let newer = || self.configuration().filter(|known| known.version > above);
+        let newer = || self.configuration().filter(|current| current.version > above);
         let arrives = async {
             loop {
                 let changed = self.configuration_changed.listen();
--- a/crates/runtime/src/writer.rs
+++ b/crates/runtime/src/writer.rs
@@ -85,17 +85,17 @@
     async fn write(self: Arc<Writer>, batch: WriteBatch) {
         let Writer { cx, active, .. } = &*self;
         let transaction = transaction(cx, active, &batch);
-        let limit = self.lock().timeout();
+        let limit = self.estimator().timeout();
         let sent = cx.view.clock().now();
         let result = cx.view.abandon_on_reconnect(cx.store.commit(transaction, limit)).await;
-        let took = cx.view.clock().now().since(sent);
+        let elapsed = cx.view.clock().now().since(sent);
         match &result {
             Ok(_) => {
-                self.lock().record_response(took);
+                self.estimator().record_response(elapsed);
                 self.backoff.lock().expect("no holder panics").reset();
                 cx.view.record_store_response();
             }
-            Err(StoreError::Lost { .. }) => self.lock().record_timeout(),
+            Err(StoreError::Lost { .. }) => self.estimator().record_timeout(),
             Err(StoreError::Refused { .. }) => {}
         }
         match result {
@@ -138,7 +138,8 @@
         self.active.update(|scheduler| scheduler.batch_failed(batch));
     }
 
-    fn lock(&self) -> MutexGuard<'_, TimeoutEstimator> {
+    /// Locks the estimator of the timeout of writes.
+    fn estimator(&self) -> MutexGuard<'_, TimeoutEstimator> {
         self.timeout_estimator.lock().expect("no holder panics")
     }
 }
