--- a/crates/runtime/src/election.rs
+++ b/crates/runtime/src/election.rs
@@ -207,7 +207,7 @@
     fence: Fence,
     lease: LeaseId,
     /// Time until which the lease lasts at least.
-    confirmed: Moment,
+    confirmed_until: Moment,
     earlier: EarlierTerms,
 }
 
@@ -242,7 +242,7 @@
     let newest_other = cx.view.newest_fence().filter(|newest| *newest != fence).max(previous_fence);
     let earlier = stored_terms.earlier_terms(newest_other);
     cx.view.set_leader(Some(Leader { box_id: record.box_id, addr: record.addr, fence }));
-    Some(WonElection { fence, lease, confirmed: requested_at + settings.election_ttl, earlier })
+    Some(WonElection { fence, lease, confirmed_until: requested_at + settings.election_ttl, earlier })
 }
 
 /// Reads whether a write with unknown outcome has won the election. Returns the fencing token if it has.
@@ -290,8 +290,8 @@
 async fn renew_until_ended(settings: &Settings, cx: &Context, won: WonElection) -> Ended {
     let interval = settings.election_ttl.scaled(1.0 / RENEWALS_PER_LEASE);
     let unconfirmed = settings.timing.unconfirmed_renewal;
-    let mut confirmed = won.confirmed;
-    cx.view.confirm_election(confirmed, unconfirmed);
+    let mut confirmed_until = won.confirmed_until;
+    cx.view.confirm_election(confirmed_until, unconfirmed);
     let mut backoff = Backoff::new();
     let mut last_sent = cx.view.clock().now();
     loop {
@@ -304,9 +304,9 @@
         let sent = cx.view.clock().now();
         match cx.view.abandon_on_reconnect(renew_once(cx, won.lease)).await {
             Ok(true) => {
-                confirmed = sent + settings.election_ttl;
+                confirmed_until = sent + settings.election_ttl;
                 last_sent = sent;
-                cx.view.confirm_election(confirmed, unconfirmed);
+                cx.view.confirm_election(confirmed_until, unconfirmed);
                 cx.view.record_store_response();
                 backoff.reset();
             }
