--- a/crates/runtime/src/box_list.rs
+++ b/crates/runtime/src/box_list.rs
@@ -91,7 +91,7 @@
     let mut queries = Vec::new();
     for (id, relay) in &choice.relays {
         let (peers, addr, id) = (Arc::clone(&cx.peers), relay.addr, id.clone());
-        queries.push(smol::spawn(async move { (peers.is_answering(addr, QUERY_TIMEOUT).await, id) }));
+        queries.push(smol::spawn(async move { (peers.is_responsive(addr, QUERY_TIMEOUT).await, id) }));
     }
     for query in queries {
         let (has_responded, id) = query.await;
--- a/crates/runtime/src/relay.rs
+++ b/crates/runtime/src/relay.rs
@@ -129,7 +129,7 @@
     }
 
     /// Whether another box responds and reaches the store.
-    pub(crate) async fn is_answering(&self, addr: SocketAddr, limit: Duration) -> bool {
+    pub(crate) async fn is_responsive(&self, addr: SocketAddr, limit: Duration) -> bool {
         self.configuration(addr, u64::MAX, Duration::ZERO, limit).await.is_some()
     }
 
--- a/crates/runtime/src/relay_boxes.rs
+++ b/crates/runtime/src/relay_boxes.rs
@@ -1,8 +1,8 @@
 //! Relay boxes: which boxes watch the store on behalf of others, and which of them each box uses.
 //!
-//! The load of the store grows with the number of boxes that watch it, and the traffic between all boxes with its
-//! square. So only the scheduler reads the list of boxes; it names a few of them as relays, and the other boxes query
-//! those.
+//! If every box queried the store, its requests would grow with the number of boxes, and responses that list all boxes
+//! with the square of it. So only the scheduler reads the list of boxes; it names a few of them as relays, and the
+//! other boxes query those.
 
 use std::{collections::BTreeMap, net::SocketAddr};
 
