--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -1,4 +1,4 @@
-//! What could start, in which order, and what it asks of a place.
+//! Candidates of a plan: what could start, in which order, and what it requires of a backend server.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,8 +16,8 @@
     server_capacity::ServerCapacity,
 };
 
-/// A job that is later than this many objectives counts for nothing any more and goes behind the others.
-const HOPELESSLY_LATE: f64 = 3.0;
+/// A job that is later than this many times its objective is too late to matter and goes behind the others.
+const MAX_LATENESS_IN_OBJECTIVES: f64 = 3.0;
 
 /// Groups of one step that could start.
 #[derive(Debug)]
@@ -26,19 +26,19 @@
     pub(crate) step: usize,
     pub(crate) groups: Vec<usize>,
     pub(crate) priority: u32,
-    /// Its customer holds a guarantee that covers it.
+    /// Whether the customer's guarantee covers it.
     pub(crate) guaranteed: bool,
-    /// Its tasks run until the job is cancelled, and must run again soon however full the service is.
+    /// Whether its tasks run until the job is cancelled. They must be restarted soon however full the service is.
     pub(crate) long_running: bool,
-    /// A backend server has crashed under it as it began: it runs by itself until it has outlived its start.
+    /// Whether a backend server crashed during its start. It is placed separately until a run has outlived its start.
     pub(crate) suspect: bool,
-    /// Nothing of its occurrence has run for long, though it could.
+    /// Whether its occurrence is stalled: nothing of it has run for [`STALL_LIMIT`], although something could.
     pub(crate) is_stalled: bool,
-    /// So late that it no longer counts: it goes behind the others of its priority.
+    /// Whether it is so late that it goes behind the others of its priority.
     too_late: bool,
-    /// Wall-clock milliseconds by which its job should end.
+    /// Deadline of the job, in wall-clock milliseconds; the start of its time if deadlines do not order candidates.
     deadline_ms: u64,
-    /// Wall-clock milliseconds at which half of the time is gone that it can wait without being late.
+    /// Wall-clock milliseconds from which on half of the slack of the job is used up.
     half_slack_ms: u64,
 }
 
@@ -47,7 +47,7 @@
         StepId { occurrence: self.occurrence, step: self.step as u32 }
     }
 
-    /// One group, of which only what it asks of a place is looked at.
+    /// Returns a candidate of one group that is only used to find out what the group requires.
     pub(crate) fn for_diagnosis(name: GroupId) -> Candidate {
         Candidate {
             occurrence: name.occurrence,
@@ -69,62 +69,63 @@
     }
 }
 
-/// What a step's tasks ask of the place that they run at.
+/// What a step's tasks require of a backend server.
 pub(crate) struct Requirements<'a> {
     pub(crate) step: &'a Step,
     pub(crate) need: Resources,
     pub(crate) service: &'a ServiceId,
-    /// It may take the place of others.
+    /// Whether runs may be preempted for it.
     pub(crate) urgent: bool,
-    /// It has waited for half of the time that it can without being late.
+    /// Whether half of the slack of the job is used up.
     pub(crate) slack_half_used: bool,
-    /// Nothing of its occurrence has run for long: it goes wherever it can.
+    /// Whether its occurrence is stalled; it then accepts any backend server that can run it.
     pub(crate) is_stalled: bool,
-    /// It has failed before: one more failure costs much.
-    careful: bool,
-    /// One more crash as it begins may give it up.
+    /// Whether a run of the step has failed before, so that one more failure is costly.
+    has_failed: bool,
+    /// Whether one more crash during the start may fail the job.
     last_attempt: bool,
-    /// Tasks of the step that each backend server runs already, if their number there is limited.
-    here: BTreeMap<&'a BackendServerId, u64>,
-    /// Backend servers that the adviser allows now; `None` if its leave is not needed.
+    /// Tasks of the step that are placed on each backend server; empty if the step has no limit per backend server.
+    placed_per_server: BTreeMap<&'a BackendServerId, u64>,
+    /// Backend servers with a valid permit for the step; `None` if the queue needs no permits.
     allowed: Option<BTreeSet<&'a BackendServerId>>,
 }
 
 impl Requirements<'_> {
-    /// Whether a task of the step may run there at all.
+    /// Returns whether a task of the step may start on the backend server now.
     pub(crate) fn allows(&self, server: &ServerCapacity) -> bool {
         let advised = self.allowed.as_ref().is_none_or(|allowed| allowed.contains(&server.id));
         advised && self.could_run(server)
     }
 
-    /// The same, whatever the adviser says.
+    /// Returns whether a task of the step could run on the backend server, regardless of permits.
     pub(crate) fn could_run(&self, server: &ServerCapacity) -> bool {
         let labelled = self.step.label.as_ref().is_none_or(|label| server.labels.contains(label));
         let trusted =
-            self.is_stalled || !(server.quarantined || server.has_isolated_retry || self.careful && server.suspect);
+            self.is_stalled || !(server.quarantined || server.has_isolated_retry || self.has_failed && server.suspect);
         let trusted = trusted && !(server.has_isolated_retry && self.last_attempt);
         *self.service == server.service && trusted && labelled && server.capacity.contains(&self.need)
     }
 
-    /// How many more tasks of the step may go there by its spread limit.
-    fn spread_left(&self, id: &BackendServerId) -> u64 {
+    /// Returns how many more tasks of the step its limit per backend server allows.
+    fn left_by_server_limit(&self, id: &BackendServerId) -> u64 {
         let Some(most) = self.step.max_per_server else { return u64::MAX };
-        u64::from(most).saturating_sub(self.here.get(id).copied().unwrap_or(0))
+        u64::from(most).saturating_sub(self.placed_per_server.get(id).copied().unwrap_or(0))
     }
 
-    /// How many more tasks of the step fit into `room`.
+    /// Returns how many more tasks of the step fit into the capacity `room` of a backend server.
     pub(crate) fn fitting(&self, id: &BackendServerId, free: &Resources) -> u64 {
-        free.count_of(&self.need).min(self.spread_left(id))
+        free.count_of(&self.need).min(self.left_by_server_limit(id))
     }
 }
 
 impl Scheduler {
-    /// What could start now, in the order in which it should.
+    /// Returns what could start now, in the order in which it is to be placed.
     pub(crate) fn candidates(&self, wall_ms: u64, guarantees: &mut Guarantees) -> Vec<Candidate> {
         let mut found: Vec<Candidate> =
             self.ready.iter().flat_map(|(&id, steps)| self.candidates_of(id, steps, wall_ms)).collect();
         found.sort_by_key(|c| (c.priority, c.too_late, c.deadline_ms, c.occurrence, c.step));
-        // Guarantees are given out in this order, and what they cover then goes before the rest of its priority.
+        // Guarantees are handed out in this order; candidates that they cover then go before the rest of their
+        // priority.
         for candidate in found.iter_mut().filter(|candidate| candidate.priority == 0) {
             candidate.guaranteed = self.take_guarantee(candidate, guarantees);
         }
@@ -132,7 +133,7 @@
         found
     }
 
-    /// What could start now of one occurrence: nothing before it is due, or while its queue is not configured.
+    /// Returns what could start now of one occurrence; nothing before it is due or while its queue is not configured.
     fn candidates_of(&self, occurrence: OccurrenceId, steps: &ReadySteps, wall_ms: u64) -> Vec<Candidate> {
         let entry = &self.jobs[&occurrence.job];
         let Some(queue) = self.policy.queues.get(&entry.job.queue) else { return Vec::new() };
@@ -142,7 +143,7 @@
         }
         let objective = entry.chain.scaled(queue.stretch) + queue.objective;
         let from = due.max(entry.job.accepted_ms);
-        let turn_has_come = Duration::from_millis(wall_ms.saturating_sub(due));
+        let since_due = Duration::from_millis(wall_ms.saturating_sub(due));
         let state = self.occurrence(occurrence);
         let idle_since = state.idle_since.filter(|_| !state.is_placed);
         let idle = idle_since.map_or(Duration::ZERO, |since| self.plan_clocks.0.since(since));
@@ -152,11 +153,11 @@
             step,
             groups,
             suspect,
-            is_stalled: idle.min(turn_has_come) >= STALL_LIMIT,
+            is_stalled: idle.min(since_due) >= STALL_LIMIT,
             priority: queue.priority,
             guaranteed: false,
             long_running: entry.job.steps[step].long_running,
-            too_late: wall_ms > from + objective.scaled(HOPELESSLY_LATE).millis(),
+            too_late: wall_ms > from + objective.scaled(MAX_LATENESS_IN_OBJECTIVES).millis(),
             half_slack_ms: from + spare / 2,
             deadline_ms: if self.timing.tuning.deadline_order { from + objective.millis() } else { from },
         };
@@ -165,13 +166,15 @@
             if !groups.is_empty() {
                 candidates.push(candidate(*step, groups.clone(), false));
             }
-            // Each by itself, so that the next finds the room of the one before taken.
+            // Suspected groups are separate candidates, so that each sees the capacity that the one before has
+            // claimed.
             candidates.extend(suspects.iter().map(|&group| candidate(*step, vec![group], true)));
         }
         candidates
     }
 
-    /// Whether its customer's guarantee covers all that could start; if so, it is taken from it.
+    /// Takes the accelerators of all groups of a candidate from its customer's guarantee; returns `false` and takes
+    /// nothing if the guarantee does not cover all of them.
     fn take_guarantee(&self, candidate: &Candidate, guarantees: &mut Guarantees) -> bool {
         let job = &self.jobs[&candidate.occurrence.job].job;
         let step = &job.steps[candidate.step];
@@ -179,21 +182,21 @@
         guarantees.take(job.customer.as_ref(), step.need.accelerators * tasks)
     }
 
-    /// What a candidate asks of a place; `None` if no configuration has named the job's queue.
+    /// Returns what a candidate requires of a backend server; `None` if the job's queue is not configured.
     pub(crate) fn requirements(&self, candidate: &Candidate, now: Moment) -> Option<Requirements<'_>> {
         let entry = &self.jobs[&candidate.occurrence.job];
         let queue = self.policy.queues.get(&entry.job.queue)?;
         let step = &entry.job.steps[candidate.step];
         let occurrence = self.occurrence(candidate.occurrence);
-        let mut here = BTreeMap::new();
+        let mut placed_per_server = BTreeMap::new();
         if step.max_per_server.is_some() {
             let groups = &occurrence.groups[candidate.step];
             for member in groups.iter().flat_map(|group| &group.members) {
-                *here.entry(&member.server).or_insert(0) += 1;
+                *placed_per_server.entry(&member.server).or_insert(0) += 1;
             }
         }
         let progress = &occurrence.progress.groups[candidate.step];
-        let careful = progress.iter().any(|group| !group.failed_runs.is_empty());
+        let has_failed = progress.iter().any(|group| !group.failed_runs.is_empty());
         let last_attempt = candidate.groups.iter().any(|&group| is_last_attempt(&progress[group]));
         let need = step.counted_resources();
         let urgent = queue.priority == 0 || step.long_running;
@@ -207,9 +210,9 @@
             urgent,
             slack_half_used,
             is_stalled,
-            careful,
+            has_failed,
             last_attempt,
-            here,
+            placed_per_server,
             allowed,
         })
     }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -1,6 +1,7 @@
-//! Which backend servers the tasks of a step go to.
+//! Selection of the backend servers that the tasks of a step run on.
 //!
-//! `part` tells throughout which part of a backend server's room counts: what is free now, or soon.
+//! Throughout, `part` selects the part of a backend server's capacity that counts: what is free now, or what is free
+//! once runs that are being stopped have ended.
 
 use std::{cmp::Ordering, sync::Arc};
 
@@ -17,35 +18,35 @@
     speed::SpeedClass,
 };
 
-/// How long a group waits for another backend server than one where it failed.
-const AVOID: Duration = Duration::from_secs(3);
+/// How long a group waits for a backend server other than those where it failed.
+const AVOIDANCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Where each task of a group goes.
+/// The slot of the backend server for each task of a group, by task index.
 pub(crate) type Placements = Vec<(u32, ServerIndex)>;
 
-/// Rooms in the order in which they are to be filled, each with the number of tasks that it may take.
-type Order<'r> = Vec<(ServerIndex, &'r ServerCapacity, u64)>;
+/// Backend servers in the order in which they are filled, each with the number of tasks that it may take.
+type FillOrder<'r> = Vec<(ServerIndex, &'r ServerCapacity, u64)>;
 
 /// Tasks that are being placed.
 struct Filling<'l> {
-    /// Groups that have no place yet.
-    left: &'l mut Vec<usize>,
+    /// Groups that are not placed yet.
+    unplaced: &'l mut Vec<usize>,
     places: Placements,
 }
 
 impl Scheduler {
-    /// Places tasks that each run by themselves, taking them out of `left`: near their data first, then on trusted
-    /// backend servers, then rack by rack on the fullest.
+    /// Places independent tasks and removes them from `unplaced`: near their data first, then on backend servers that
+    /// are not suspect, then rack by rack on the fullest.
     pub(crate) fn place_tasks(
         &self,
         candidate: &Candidate,
         requirements: &Requirements<'_>,
         fleet: &FleetCapacity,
         part: impl Fn(&ServerCapacity) -> Resources,
-        left: &mut Vec<usize>,
+        unplaced: &mut Vec<usize>,
         now: Moment,
     ) -> Placements {
-        let mut filling = Filling { left, places: Placements::new() };
+        let mut filling = Filling { unplaced, places: Placements::new() };
         if !self.headroom_allows(candidate, requirements, 0, 1, fleet) {
             return filling.places;
         }
@@ -56,21 +57,21 @@
             return filling.places;
         }
         if requirements.step.best_effort || requirements.step.target.is_some() {
-            let order = least_disturbed_first(requirements, fleet, &part, filling.left.len());
+            let order = least_disturbed_first(requirements, fleet, &part, filling.unplaced.len());
             self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
             return filling.places;
         }
         let remote_is_worthwhile = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
         for (near, suspect, speed) in tiers(requirements, fleet) {
-            // One task away from its data keeps a job from standing; the others wait for room near it.
+            // One task away from its data is enough to end a stall; the other tasks wait for capacity near the data.
             let only_one = !near && !remote_is_worthwhile;
-            let nothing_near = requirements.is_stalled && filling.places.is_empty();
-            if !near && requirements.step.data_rack.is_none() || only_one && !nothing_near {
+            let is_first_of_stalled = requirements.is_stalled && filling.places.is_empty();
+            if !near && requirements.step.data_rack.is_none() || only_one && !is_first_of_stalled {
                 continue;
             }
             let racks = fleet.racks().filter(|(name, _)| is_near(requirements.step, name) == near);
             for (_, rack) in racks.filter(|(_, rack)| rack.may_hold(&requirements.need)) {
-                if filling.left.is_empty() {
+                if filling.unplaced.is_empty() {
                     return filling.places;
                 }
                 let mut order = fitting_servers(requirements, fleet, rack, &part);
@@ -91,44 +92,44 @@
         filling.places
     }
 
-    /// Fills rooms with tasks in their order, for as long as enough stays free.
+    /// Fills backend servers with tasks in the given order, as long as enough headroom stays free.
     fn fill_with_tasks(
         &self,
         candidate: &Candidate,
         requirements: &Requirements<'_>,
         fleet: &FleetCapacity,
-        order: Order<'_>,
+        order: FillOrder<'_>,
         filling: &mut Filling<'_>,
         now: Moment,
     ) {
         for (slot, server, mut fitting) in order {
-            let mut kept = Vec::new();
-            let mut looked_at = 0;
-            for &group in filling.left.iter() {
+            let mut skipped = Vec::new();
+            let mut examined = 0;
+            for &group in filling.unplaced.iter() {
                 let placed = filling.places.len() as u64;
                 let enough = self.headroom_allows(candidate, requirements, placed, 1, fleet);
-                // One task keeps a job from standing; the others wait until nothing is on trial there.
+                // One task is enough to end a stall; the other tasks wait until the isolated retry there has ended.
                 let enough = enough && !(server.has_isolated_retry && placed > 0);
                 if fitting == 0 || !enough {
                     break;
                 }
-                looked_at += 1;
+                examined += 1;
                 if !requirements.is_stalled && self.avoids(candidate.group(group), server, now) {
-                    kept.push(group);
+                    skipped.push(group);
                     continue;
                 }
                 filling.places.push((group as u32, slot));
                 fitting -= 1;
             }
-            filling.left.splice(..looked_at, kept);
-            if filling.left.is_empty() {
+            filling.unplaced.splice(..examined, skipped);
+            if filling.unplaced.is_empty() {
                 return;
             }
         }
     }
 
-    /// Places a gang, an urgent one on backend servers of which the slowest is as fast as can be: it ends when its slowest member does.
-    /// `None` if it must wait.
+    /// Places a gang; `None` if it has to wait. For an urgent gang, the slowest backend server is as fast as
+    /// possible, since a gang ends with its slowest member.
     pub(crate) fn place_gang(
         &self,
         name: GroupId,
@@ -147,7 +148,8 @@
         faster.next().or_else(|| self.place_gang_among(name, requirements, fleet, &part, now))
     }
 
-    /// Places a gang: in one rack if it fits there; else over several, if it may be. `None` if it must wait.
+    /// Places a gang in one rack if it fits there, else over several racks if the step allows that; `None` if it has
+    /// to wait.
     fn place_gang_among(
         &self,
         name: GroupId,
@@ -158,30 +160,30 @@
     ) -> Option<Placements> {
         let count = u64::from(requirements.step.count);
         let slots = self.slots_by_rack(name, requirements, fleet, &part, now);
-        // Work that can wait fills the racks from the first, so that whole racks stay free for what cannot.
+        // Work that can wait fills the racks from the first on, so that whole racks stay free for urgent gangs.
         let filling = self.timing.tuning.rack_filling;
         let first = requirements.urgent || !filling;
         let fits = slots.iter().filter(|(_, n)| *n >= count).min_by_key(|(_, n)| if first { *n } else { 0 });
         if let Some((rack, _)) = fits {
             return self.fill_with_gang(name, requirements, fleet, &[*rack], part, now);
         }
-        let one_rack_could = || {
+        let could_fit_one_rack = || {
             let whole = self.slots_by_rack(name, requirements, fleet, |server| server.capacity, now);
             whole.iter().any(|(_, n)| *n >= count)
         };
         if slots.iter().map(|(_, n)| n).sum::<u64>() < count
-            || requirements.step.same_rack && !requirements.is_stalled && one_rack_could()
+            || requirements.step.same_rack && !requirements.is_stalled && could_fit_one_rack()
         {
             return None;
         }
-        // Over several racks: the fullest first, so that whole racks stay free.
+        // Over several racks: those with the least free capacity first, so that whole racks stay free.
         let mut by_room = slots;
         by_room.sort_by_key(|(_, n)| *n);
         let racks: Vec<&Rack> = by_room.into_iter().map(|(rack, _)| rack).collect();
         self.fill_with_gang(name, requirements, fleet, &racks, part, now)
     }
 
-    /// How many tasks of the step fit into each rack, by the racks' names.
+    /// Returns how many tasks of the step fit into each rack, in the order of the racks' names.
     fn slots_by_rack<'r>(
         &self,
         name: GroupId,
@@ -210,8 +212,8 @@
         })
     }
 
-    /// Fills racks in their order, in each trusted backend servers first, then the fullest; a suspect takes those with the
-    /// fewest tasks.
+    /// Fills racks in the given order. Within a rack, backend servers that are not suspect come first, then the
+    /// fullest; a suspected gang takes those with the fewest tasks.
     fn fill_with_gang(
         &self,
         name: GroupId,
@@ -224,12 +226,12 @@
         let mut places = Placements::new();
         let mut indices = 0..requirements.step.count;
         let suspect = is_suspect(self.progress_of(name));
-        let beside = |server: &ServerCapacity| if suspect { server.tasks } else { 0 };
+        let neighbours = |server: &ServerCapacity| if suspect { server.tasks } else { 0 };
         for rack in racks {
             let mut order: Vec<(ServerIndex, &ServerCapacity)> =
                 self.servers_for_gang(name, requirements, fleet, rack, now).collect();
             order.sort_by(|a, b| {
-                let trusted = (beside(a.1), a.1.suspect).cmp(&(beside(b.1), b.1.suspect));
+                let trusted = (neighbours(a.1), a.1.suspect).cmp(&(neighbours(b.1), b.1.suspect));
                 trusted.then(fullest_first(&part, a.1, b.1))
             });
             for (slot, server) in order {
@@ -240,7 +242,8 @@
         (places.len() == requirements.step.count as usize).then_some(places)
     }
 
-    /// A task runs longer away from its data: it waits as long as that would cost before it goes there.
+    /// Returns whether tasks of a step may go to racks away from their data. They run longer there, so they first
+    /// wait for as long as the longer run would cost.
     pub(crate) fn remote_is_worthwhile(
         &self,
         candidate: &Candidate,
@@ -254,26 +257,27 @@
         !fleet.has_rack(rack) || waited > step.estimate.scaled(self.timing.far_factor - 1.0)
     }
 
-    /// A group keeps off backend servers where it failed, and off places where one crashed under it, unless it has waited for
-    /// another.
+    /// Returns whether a group avoids a backend server: the group failed there, or a backend server at that address
+    /// crashed under it. Holds until the group has waited for [`AVOIDANCE_TIMEOUT`].
     pub(crate) fn avoids(&self, name: GroupId, server: &ServerCapacity, now: Moment) -> bool {
         let occurrence = self.occurrence(name.occurrence);
         let group = &occurrence.groups[name.step][name.group];
         let progress = &occurrence.progress.groups[name.step][name.group];
-        let was_bad = group.avoid.contains(&server.id) || has_crashed_at(progress, &server.address);
-        was_bad && self.may_avoid(name, now)
+        let has_failed_there = group.avoid.contains(&server.id) || has_crashed_at(progress, &server.address);
+        has_failed_there && self.may_avoid(name, now)
     }
 
-    /// Whether a group keeps off anything.
+    /// Returns whether a group avoids any backend server now.
     pub(crate) fn may_avoid(&self, name: GroupId, now: Moment) -> bool {
         let group = self.group(name);
         let waited = group.ready_since.map_or(Duration::ZERO, |since| now.since(since));
-        let was_bad_somewhere = !group.avoid.is_empty() || !self.progress_of(name).crashes.is_empty();
-        was_bad_somewhere && self.timing.tuning.avoidance && waited < AVOID
+        let has_failed_somewhere = !group.avoid.is_empty() || !self.progress_of(name).crashes.is_empty();
+        has_failed_somewhere && self.timing.tuning.avoidance && waited < AVOIDANCE_TIMEOUT
     }
 }
 
-/// In which order rooms are taken: near, trusted and, by urgent tasks, fast ones first.
+/// Returns the order in which kinds of backend servers are filled: near ones first, then those that are not suspect,
+/// then, for urgent tasks, fast ones.
 fn tiers(requirements: &Requirements<'_>, fleet: &FleetCapacity) -> Vec<(bool, bool, Option<SpeedClass>)> {
     let speeds = match fleet.slowest() {
         slowest if requirements.urgent && slowest > SpeedClass::Usual => SpeedClass::ALL.map(Some).to_vec(),
@@ -290,13 +294,13 @@
     step.data_rack.as_ref().is_none_or(|data| data == rack)
 }
 
-/// Rooms of a rack that one more task of the step fits into.
+/// Returns the backend servers of a rack that one more task of the step fits into.
 fn fitting_servers<'r>(
     requirements: &Requirements<'_>,
     fleet: &'r FleetCapacity,
     rack: &'r Rack,
     part: impl Fn(&ServerCapacity) -> Resources,
-) -> Order<'r> {
+) -> FillOrder<'r> {
     let fits = |server: &ServerCapacity| part(server).contains(&requirements.need) && requirements.allows(server);
     let fitting = fleet.in_rack(rack).filter(|(_, server)| fits(server));
     fitting.map(|(slot, server)| (slot, server, requirements.fitting(&server.id, &part(server)))).collect()
@@ -310,32 +314,36 @@
     free(a).cmp(&free(b)).then_with(|| a.id.cmp(&b.id))
 }
 
-/// For a task that may crash its backend server: the fewer tasks run there the better, and best on one that is empty.
+/// Orders backend servers for a task that may crash its backend server: those with the fewest tasks first, ideally
+/// empty ones.
 fn fewest_tasks_first<'r>(
     requirements: &Requirements<'_>,
     fleet: &'r FleetCapacity,
     part: impl Fn(&ServerCapacity) -> Resources,
     far: bool,
-) -> Order<'r> {
+) -> FillOrder<'r> {
     let near_enough = |rack: &Arc<str>| far || is_near(requirements.step, rack);
     let racks = fleet.racks().filter(|(name, rack)| rack.may_hold(&requirements.need) && near_enough(name));
-    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_servers(requirements, fleet, rack, &part)).collect();
+    let mut order: FillOrder<'r> =
+        racks.flat_map(|(_, rack)| fitting_servers(requirements, fleet, rack, &part)).collect();
     order.sort_by_key(|(_, server, _)| (!is_near(requirements.step, &server.rack), server.tasks, server.suspect));
     order
 }
 
-/// Best-effort tasks and tasks with a latency target keep apart, and the former spread out, since each lives on what the
-/// others leave; beyond that as any other task. Best-effort tasks take no processors by their count, so room alone would heap
-/// `count` of them on one backend server.
+/// Orders backend servers so that best-effort tasks and tasks with a latency target keep apart, and best-effort tasks
+/// spread out, since each of them runs on what the others leave over; ties are broken as for any other task.
+/// Best-effort tasks take no processors from the counted capacity, so capacity alone would put all `count` of them on
+/// one backend server.
 fn least_disturbed_first<'r>(
     requirements: &Requirements<'_>,
     fleet: &'r FleetCapacity,
     part: impl Fn(&ServerCapacity) -> Resources,
     count: usize,
-) -> Order<'r> {
+) -> FillOrder<'r> {
     let best_effort = requirements.step.best_effort;
     let racks = fleet.racks().filter(|(_, rack)| rack.may_hold(&requirements.need));
-    let mut order: Order<'r> = racks.flat_map(|(_, rack)| fitting_servers(requirements, fleet, rack, &part)).collect();
+    let mut order: FillOrder<'r> =
+        racks.flat_map(|(_, rack)| fitting_servers(requirements, fleet, rack, &part)).collect();
     order.sort_by_key(|(_, server, _)| {
         let free = part(server);
         let near = is_near(requirements.step, &server.rack);
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -1,4 +1,4 @@
-//! Where and when groups start.
+//! Planning: decides when groups start and on which backend servers.
 
 use jobs::{Resources, Step};
 use model::{BackendServerId, Moment};
@@ -9,7 +9,8 @@
 };
 
 impl Scheduler {
-    /// Places what can start now, and stops what has to make room. `wall_ms` is the time of day.
+    /// Places groups that can start now and stops runs to free capacity for urgent ones. `wall_ms` is the time of day
+    /// in milliseconds.
     pub fn plan(&mut self, now: Moment, wall_ms: u64) {
         self.plan_clocks = (now, wall_ms);
         self.refresh_ready(now);
@@ -20,7 +21,7 @@
             return;
         }
         self.refresh_capacity(now);
-        // Planning changes jobs and backend servers besides: the rooms are put back when it is over.
+        // Planning also changes jobs and backend servers, so the capacities are taken out and put back at the end.
         let mut fleet = std::mem::take(&mut self.fleet);
         for candidate in &candidates {
             if candidate.suspect && self.awaits_isolated_retry(candidate.group(candidate.groups[0]), now) {
@@ -40,13 +41,15 @@
         self.step(candidate.group(0))
     }
 
-    /// What of a room a candidate may take now.
+    /// Returns the part of a backend server's capacity that a candidate may use now: nothing where the candidate
+    /// waits for an empty backend server and tasks run there.
     fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&ServerCapacity) -> Resources + use<> {
-        let apart = self.awaits_empty_server(candidate, now);
-        move |server| if apart && server.tasks > 0 { Resources::default() } else { server.free }
+        let needs_empty_server = self.awaits_empty_server(candidate, now);
+        move |server| if needs_empty_server && server.tasks > 0 { Resources::default() } else { server.free }
     }
 
-    /// Starts a gang where it fits. If it is urgent, room is made or kept for it meanwhile.
+    /// Starts a gang where it fits. For an urgent gang that does not fit, frees capacity or reserves what is being
+    /// freed.
     fn plan_gang(&mut self, candidate: &Candidate, fleet: &mut FleetCapacity, guarantees: &Guarantees, now: Moment) {
         let name = candidate.group(0);
         let Some(requirements) = self.requirements(candidate, now) else { return };
@@ -56,7 +59,8 @@
         }
         let free = self.place_gang(name, &requirements, fleet, self.free_for(candidate, now), now);
         let free_after_stops = if requirements.urgent && free.is_none() {
-            // Room that is being made counts as taken, so that nothing slips in and no more is stopped for it.
+            // Capacity that is being freed is claimed, so that no other group takes it and no further run is stopped
+            // for this gang.
             self.place_gang(name, &requirements, fleet, |server| server.free_after_stops, now)
         } else {
             None
@@ -67,7 +71,7 @@
             if candidate.suspect {
                 fleet.close(&places);
             }
-            self.place(name, &named(&places, fleet), now);
+            self.place(name, &with_server_ids(&places, fleet), now);
         } else if let Some(places) = free_after_stops {
             fleet.claim(&step, &places);
         } else if urgent {
@@ -79,15 +83,16 @@
         }
     }
 
-    /// Starts tasks that each run by themselves where they fit. If they are urgent, room is made or kept for the
-    /// rest.
+    /// Starts independent tasks where they fit. For urgent tasks that do not fit, frees capacity or reserves what is
+    /// being freed.
     fn plan_tasks(&mut self, candidate: &Candidate, fleet: &mut FleetCapacity, guarantees: &Guarantees, now: Moment) {
         let Some(requirements) = self.requirements(candidate, now) else { return };
         let (step, urgent) = (requirements.step.clone(), requirements.urgent);
-        let mut left = candidate.groups.clone();
-        let placed = self.place_tasks(candidate, &requirements, fleet, self.free_for(candidate, now), &mut left, now);
-        let waiting = if urgent && !left.is_empty() {
-            self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut left, now)
+        let mut unplaced = candidate.groups.clone();
+        let placed =
+            self.place_tasks(candidate, &requirements, fleet, self.free_for(candidate, now), &mut unplaced, now);
+        let waiting = if urgent && !unplaced.is_empty() {
+            self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut unplaced, now)
         } else {
             Placements::new()
         };
@@ -96,20 +101,20 @@
             fleet.close(&placed);
         }
         fleet.claim(&step, &waiting);
-        for (group, server) in named(&placed, fleet) {
+        for (group, server) in with_server_ids(&placed, fleet) {
             self.place(candidate.group(group as usize), &[(group, server)], now);
         }
-        if urgent && !left.is_empty() {
-            self.preempt_for(candidate, &left, fleet, guarantees, now);
+        if urgent && !unplaced.is_empty() {
+            self.preempt_for(candidate, &unplaced, fleet, guarantees, now);
             let Some(requirements) = self.requirements(candidate, now) else { return };
-            let coming =
-                self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut left, now);
-            fleet.claim(&step, &coming);
+            let after_preemption =
+                self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut unplaced, now);
+            fleet.claim(&step, &after_preemption);
         }
     }
 }
 
-/// Where tasks go, by the names of the backend servers.
-fn named(places: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
+/// Replaces the slots of chosen placements by the ids of their backend servers.
+fn with_server_ids(places: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
     places.iter().map(|&(index, slot)| (index, fleet.id(slot).clone())).collect()
 }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -1,4 +1,4 @@
-//! What is stopped so that an urgent group can start.
+//! Preemption: which runs are stopped so that an urgent group can start.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -15,32 +15,33 @@
     server_capacity::ServerCapacity,
 };
 
-/// Work that a run with checkpoints loses at most, in seconds: what it does between two (users: 0.5 s and 1 s).
-const UNSAVED_S: f64 = 0.5;
-/// What starting again costs besides, in seconds: stopping, waiting for room and reading the checkpoint.
-const RESTART_S: f64 = 0.5;
-/// A task that lasts is at work from this percentage on (users' protocol page).
-const AT_WORK: u32 = 100;
-/// A core counts one, an accelerator as much as this many cores, when work is weighed (users' rules page).
+/// Seconds of work that a run with checkpoints loses at most: the time between two checkpoints (platform: 0.5 s and 1
+/// s).
+const MAX_UNSAVED_S: f64 = 0.5;
+/// Seconds that a restart costs in addition: stopping, waiting for capacity and reading the checkpoint.
+const RESTART_COST_S: f64 = 0.5;
+/// A long-running task serves from this percentage of progress on (platform protocol).
+const SERVING_PERCENT: u32 = 100;
+/// Weight of an accelerator, in cores, when work is compared (platform rules).
 const CORES_PER_ACCELERATOR: f64 = 8.0;
 
-/// A run that may be stopped, with what it holds on one backend server.
+/// A run that may be stopped, with what it occupies on one backend server.
 #[derive(Debug)]
 struct Victim {
     group: GroupId,
-    /// Core-seconds that would be thrown away.
+    /// Lost work, in core-seconds.
     waste: f64,
     freed: Resources,
 }
 
-/// What making room for some tasks on one backend server takes.
+/// What it costs to free capacity for tasks on one backend server.
 #[derive(Debug, Clone)]
 struct Offer {
     /// Tasks that would fit.
     tasks: u64,
-    /// Core-seconds that would be thrown away.
+    /// Lost work, in core-seconds.
     waste: f64,
-    /// The same for each task that is wanted.
+    /// Lost work for each requested task that would fit, in core-seconds; infinite if none would.
     rate: f64,
     victims: Vec<GroupId>,
 }
@@ -51,46 +52,46 @@
         Offer { tasks, waste, rate, victims: Vec::new() }
     }
 
-    fn for_at_most(self, tasks: u64) -> Offer {
+    fn capped_at(self, tasks: u64) -> Offer {
         Offer { tasks: self.tasks.min(tasks), ..self }
     }
 }
 
-/// Tasks that room is made for, by whether they go to any place.
-struct Takers<'a> {
+/// Groups that capacity is freed for, by whether they avoid any backend server.
+struct Beneficiaries<'a> {
     scheduler: &'a Scheduler,
     /// Tasks of each group.
-    each: u64,
-    /// Groups that keep off nothing.
-    easy: u64,
-    /// The others.
-    choosy: Vec<GroupId>,
+    tasks_per_group: u64,
+    /// Number of groups that avoid no backend server.
+    unconstrained: u64,
+    /// Groups that avoid some backend servers.
+    avoiding: Vec<GroupId>,
     now: Moment,
 }
 
-impl Takers<'_> {
-    /// How many tasks would go to a room.
-    fn of(&self, server: &ServerCapacity) -> u64 {
-        self.count(|name| self.goes(name, server))
+impl Beneficiaries<'_> {
+    /// Returns how many tasks would accept the backend server.
+    fn count_for(&self, server: &ServerCapacity) -> u64 {
+        self.count(|name| self.accepts(name, server))
     }
 
-    /// How many would go to any of these.
-    fn of_any(&self, fleet: &[&ServerCapacity]) -> u64 {
-        self.count(|name| fleet.iter().any(|server| self.goes(name, server)))
+    /// Returns how many tasks would accept at least one of the backend servers.
+    fn count_for_any(&self, fleet: &[&ServerCapacity]) -> u64 {
+        self.count(|name| fleet.iter().any(|server| self.accepts(name, server)))
     }
 
-    fn goes(&self, name: GroupId, server: &ServerCapacity) -> bool {
+    fn accepts(&self, name: GroupId, server: &ServerCapacity) -> bool {
         !self.scheduler.avoids(name, server, self.now)
     }
 
-    fn count(&self, goes: impl Fn(GroupId) -> bool) -> u64 {
-        let choosy = self.choosy.iter().filter(|name| goes(**name)).count() as u64;
-        self.each * (self.easy + choosy)
+    fn count(&self, accepts: impl Fn(GroupId) -> bool) -> u64 {
+        let avoiding = self.avoiding.iter().filter(|name| accepts(**name)).count() as u64;
+        self.tasks_per_group * (self.unconstrained + avoiding)
     }
 }
 
 impl Scheduler {
-    /// Stops the cheapest runs that make room for groups of a step of priority 0: its gang, or tasks that each run by themselves.
+    /// Stops the cheapest runs that free capacity for groups of an urgent step: its gang, or independent tasks.
     pub(crate) fn preempt_for(
         &mut self,
         candidate: &Candidate,
@@ -113,13 +114,13 @@
             candidate.guaranteed
         );
         for victim in victims {
-            // First, since a run that was not ordered yet is gone once it is stopped, and with it where it was placed.
+            // Before the stop: stopping a run that was not ordered yet removes its placement.
             self.release_after_stops(victim, fleet);
             self.stop_group(victim, StopReason::Preempted, now);
         }
     }
 
-    /// Counts what a victim holds as room that is being made.
+    /// Counts the capacity that a victim occupies as free soon.
     fn release_after_stops(&self, victim: GroupId, fleet: &mut FleetCapacity) {
         let need = self.step(victim).counted_resources();
         for member in &self.group(victim).members {
@@ -127,7 +128,8 @@
         }
     }
 
-    /// The runs to be stopped, in one rack if the step asks for one; none if no room can be made.
+    /// Returns the runs to stop and the work that they lose, in core-seconds; in one rack if the step requires that.
+    /// No runs if capacity cannot be freed.
     fn victims(
         &self,
         candidate: &Candidate,
@@ -137,44 +139,52 @@
         now: Moment,
     ) -> (f64, Vec<GroupId>) {
         let Some(requirements) = self.requirements(candidate, now) else { return (0.0, Vec::new()) };
-        // Nothing is stopped where no task of the step goes.
+        // No run is stopped where no task of the step would go.
         let far = requirements.step.gang || self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
-        let goes_there = |server: &ServerCapacity| far || is_near(requirements.step, &server.rack);
-        let takers = self.takers(candidate, &requirements, groups, now);
+        let is_near_enough = |server: &ServerCapacity| far || is_near(requirements.step, &server.rack);
+        let beneficiaries = self.beneficiaries(candidate, &requirements, groups, now);
         let mut by_rack: BTreeMap<Option<&Arc<str>>, Vec<Offer>> = BTreeMap::new();
-        // A run on trial is not stopped: its trial would begin anew.
-        let may_give =
-            |server: &&ServerCapacity| !server.has_isolated_retry && requirements.allows(server) && goes_there(server);
-        let giving: Vec<&ServerCapacity> = fleet.iter().map(|(_, server)| server).filter(may_give).collect();
-        let count = takers.of_any(&giving);
-        for server in giving {
+        // A run that is an isolated retry is not stopped, since the retry would have to be repeated.
+        let is_eligible = |server: &&ServerCapacity| {
+            !server.has_isolated_retry && requirements.allows(server) && is_near_enough(server)
+        };
+        let eligible: Vec<&ServerCapacity> = fleet.iter().map(|(_, server)| server).filter(is_eligible).collect();
+        let count = beneficiaries.count_for_any(&eligible);
+        for server in eligible {
             let rack = requirements.step.same_rack.then_some(&server.rack);
-            let takers = takers.of(server).min(count);
-            if takers == 0 {
+            let beneficiaries = beneficiaries.count_for(server).min(count);
+            if beneficiaries == 0 {
                 continue;
             }
-            let offer = self.best_offer(candidate, takers, &requirements, server, guarantees, now);
-            by_rack.entry(rack).or_default().extend(offer.map(|offer| offer.for_at_most(takers)));
+            let offer = self.best_offer(candidate, beneficiaries, &requirements, server, guarantees, now);
+            by_rack.entry(rack).or_default().extend(offer.map(|offer| offer.capped_at(beneficiaries)));
         }
         let cheapest = by_rack.into_values().filter_map(|offers| cheapest(offers, count));
         cheapest.min_by(|a, b| a.0.total_cmp(&b.0)).unwrap_or_default()
     }
 
-    /// Who would take room for groups of a step where it is made.
-    fn takers<'a>(
+    /// Returns the groups of a step that would take freed capacity.
+    fn beneficiaries<'a>(
         &'a self,
         candidate: &'a Candidate,
         requirements: &Requirements<'_>,
         groups: &'a [usize],
         now: Moment,
-    ) -> Takers<'a> {
-        let each = if requirements.step.gang { u64::from(requirements.step.count) } else { 1 };
-        let picks = |group: &&usize| !requirements.is_stalled && self.may_avoid(candidate.group(**group), now);
-        let choosy: Vec<GroupId> = groups.iter().filter(picks).map(|&group| candidate.group(group)).collect();
-        Takers { scheduler: self, each, easy: (groups.len() - choosy.len()) as u64, choosy, now }
+    ) -> Beneficiaries<'a> {
+        let tasks_per_group = if requirements.step.gang { u64::from(requirements.step.count) } else { 1 };
+        let avoids_some = |group: &&usize| !requirements.is_stalled && self.may_avoid(candidate.group(**group), now);
+        let avoiding: Vec<GroupId> = groups.iter().filter(avoids_some).map(|&group| candidate.group(group)).collect();
+        Beneficiaries {
+            scheduler: self,
+            tasks_per_group,
+            unconstrained: (groups.len() - avoiding.len()) as u64,
+            avoiding,
+            now,
+        }
     }
 
-    /// What one backend server offers at the least waste for each task: the cheapest of its runs are stopped first.
+    /// Returns the offer of one backend server with the least lost work per task: its cheapest runs are stopped
+    /// first. `None` if no task would fit.
     fn best_offer(
         &self,
         candidate: &Candidate,
@@ -194,18 +204,18 @@
         }
         victims.sort_by(|a, b| a.waste.total_cmp(&b.waste));
         let mut used_after_stops = server.used_after_stops;
-        let free_beside = |used_after_stops: &Resources| {
+        let free_without = |used_after_stops: &Resources| {
             let mut free = server.capacity;
             free.remove(used_after_stops);
             free
         };
-        let mut offer = Offer::of(requirements.fitting(&server.id, &free_beside(&used_after_stops)), 0.0, count);
+        let mut offer = Offer::of(requirements.fitting(&server.id, &free_without(&used_after_stops)), 0.0, count);
         let mut stopped = 0;
         let mut waste = 0.0;
         for (i, victim) in victims.iter().enumerate() {
             used_after_stops.remove(&victim.freed);
             waste += victim.waste;
-            let more = Offer::of(requirements.fitting(&server.id, &free_beside(&used_after_stops)), waste, count);
+            let more = Offer::of(requirements.fitting(&server.id, &free_without(&used_after_stops)), waste, count);
             if more.rate < offer.rate {
                 offer = more;
                 stopped = i + 1;
@@ -215,7 +225,7 @@
         (offer.tasks > 0).then_some(offer)
     }
 
-    /// The run that a task belongs to, if it may be stopped for the candidate.
+    /// Returns the run that a task belongs to, if it may be stopped for the candidate.
     fn victim(&self, candidate: &Candidate, task: TaskId, guarantees: &Guarantees, now: Moment) -> Option<Victim> {
         let job = task.occurrence.job;
         let entry = self.jobs.get(&job).filter(|_| job != candidate.occurrence.job)?;
@@ -225,50 +235,54 @@
         if group.stopping.is_some() {
             return None;
         }
-        // What lasts must run again soon, so it takes the place of its equals that end by themselves.
-        let outlasted = candidate.long_running && entry.priority == candidate.priority && !step.long_running;
+        // Long-running tasks must be restarted soon, so they preempt tasks of the same priority that end by
+        // themselves.
+        let yields_to_long_running =
+            candidate.long_running && entry.priority == candidate.priority && !step.long_running;
         let reclaimed = || candidate.guaranteed && guarantees.is_beyond(entry.job.customer.as_ref());
-        let gives_way = entry.priority > candidate.priority || outlasted || reclaimed();
-        if !gives_way || step.max_absent.is_some() && !self.may_interrupt(name) {
+        let may_be_stopped = entry.priority > candidate.priority || yields_to_long_running || reclaimed();
+        if !may_be_stopped || step.max_absent.is_some() && !self.may_interrupt(name) {
             return None;
         }
         let ran = now.since(group.placed_at).secs_f64();
         if self.timing.tuning.spare_ending && !step.long_running && self.ends_before_a_stop(name, now) {
             return None;
         }
-        let lost = if step.checkpoints { ran.min(UNSAVED_S) } else { ran };
-        let waste = weight(&step.need) * (group.members.len() as f64) * (lost + RESTART_S);
+        let lost = if step.checkpoints { ran.min(MAX_UNSAVED_S) } else { ran };
+        let waste = weight_in_cores(&step.need) * (group.members.len() as f64) * (lost + RESTART_COST_S);
         Some(Victim { group: name, waste, freed: step.counted_resources() })
     }
 
-    /// Whether a run ends sooner than it could be stopped, as far as its progress tells; that of a task that lasts tells
-    /// nothing of its end.
+    /// Returns whether a run will end sooner than a stop would take, by its reported progress. The progress of a
+    /// long-running task says nothing about its end.
     fn ends_before_a_stop(&self, name: GroupId, now: Moment) -> bool {
-        let told = self.group(name).members.iter().all(|member| member.percent > 0);
-        told && self.time_left(name, now).secs_f64() < self.stop_durations.mean_s()
+        let all_reported = self.group(name).members.iter().all(|member| member.percent > 0);
+        all_reported && self.time_left(name, now).secs_f64() < self.stop_durations.mean_s()
     }
 
-    /// Most core-seconds that are thrown away so that groups of a candidate without a guarantee can start.
+    /// Returns the most core-seconds that may be lost so that groups of a candidate without a guarantee can start.
     fn most_waste(&self, candidate: &Candidate, groups: &[usize]) -> f64 {
         let step = &self.jobs[&candidate.occurrence.job].job.steps[candidate.step];
         let tasks = if step.gang { step.count as usize } else { groups.len() };
-        weight(&step.need) * tasks as f64 * step.estimate.secs_f64() * self.timing.tuning.most_waste
+        weight_in_cores(&step.need) * tasks as f64 * step.estimate.secs_f64() * self.timing.tuning.most_waste
     }
 
-    /// Whether one more task of the step may be away through the system's doing. One that is not at work yet, or is
-    /// out of reach, counts as away whatever the cause.
+    /// Returns whether the system may take one more task of the step out of service. A task that does not serve yet,
+    /// or whose backend server is unreachable, counts as absent whatever the cause.
     pub(crate) fn may_interrupt(&self, name: GroupId) -> bool {
         let Some(most) = self.step(name).max_absent else { return true };
         let reachable = |id: &BackendServerId| self.servers.get(id).is_some_and(|server| server.failed_calls == 0);
-        let at_work = |member: &Member| member.percent >= AT_WORK && reachable(&member.server);
-        let away =
-            |group: &&Group| group.members.is_empty() || group.stopping.is_some() || !group.members.iter().all(at_work);
-        let absent = self.occurrence(name.occurrence).groups[name.step].iter().filter(away).count();
+        let is_serving = |member: &Member| member.percent >= SERVING_PERCENT && reachable(&member.server);
+        let is_absent = |group: &&Group| {
+            group.members.is_empty() || group.stopping.is_some() || !group.members.iter().all(is_serving)
+        };
+        let absent = self.occurrence(name.occurrence).groups[name.step].iter().filter(is_absent).count();
         absent < most as usize
     }
 }
 
-/// The cheapest runs whose end makes room for `count` tasks, by what each further task costs.
+/// Returns the cheapest set of runs to stop that frees capacity for `count` tasks, with the lost work; backend
+/// servers are taken in the order of the lost work per task.
 fn cheapest(mut offers: Vec<Offer>, count: u64) -> Option<(f64, Vec<GroupId>)> {
     offers.sort_by(|a, b| a.rate.total_cmp(&b.rate));
     let (mut tasks, mut waste, mut victims) = (0, 0.0, Vec::new());
@@ -285,7 +299,7 @@
     (tasks >= count).then_some((waste, victims))
 }
 
-/// Weighs room in cores.
-fn weight(need: &Resources) -> f64 {
+/// Weighs resources in cores.
+fn weight_in_cores(need: &Resources) -> f64 {
     need.cpu_milli as f64 / 1000.0 + need.accelerators as f64 * CORES_PER_ACCELERATOR
 }
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -1,4 +1,4 @@
-//! Which groups could start, kept up to date by what has changed.
+//! Groups that could start, updated only for occurrences that have changed.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +12,20 @@
     server::Server,
 };
 
-/// Groups that could start, by step.
+/// Groups of an occurrence that could start, by step.
 pub(crate) type ReadySteps = Vec<ReadyStep>;
 
-/// Groups of one step that could start.
 #[derive(Debug, Default)]
 pub(crate) struct ReadyStep {
     pub(crate) step: usize,
-    /// Placed together.
+    /// Groups that are placed together.
     pub(crate) groups: Vec<usize>,
-    /// Each placed by itself: a backend server has crashed under it.
+    /// Suspected groups, each placed separately: a backend server crashed during their start.
     pub(crate) suspects: Vec<usize>,
 }
 
 impl Scheduler {
-    /// Looks again at the occurrences that have changed.
+    /// Recomputes the ready groups of the occurrences that have changed.
     pub(crate) fn refresh_ready(&mut self, now: Moment) {
         let changed = std::mem::take(&mut self.changed);
         self.refreshed += changed.len() as u64;
@@ -48,7 +47,7 @@
 }
 
 impl Occurrence {
-    fn note_idle(&mut self, servers: &BTreeMap<BackendServerId, Server>, now: Moment) {
+    fn update_idle(&mut self, servers: &BTreeMap<BackendServerId, Server>, now: Moment) {
         let reachable = |member: &&Member| servers.get(&member.server).is_some_and(Server::is_reachable);
         let placed = || self.groups.iter().flatten().flat_map(|group| &group.members).filter(reachable);
         let idle = !placed().any(Member::is_running);
@@ -64,7 +63,7 @@
     now: Moment,
 ) -> ReadySteps {
     let occurrence = &mut entry.occurrences[id.number as usize];
-    occurrence.note_idle(servers, now);
+    occurrence.update_idle(servers, now);
     if entry.cancelled || occurrence.progress.failed {
         return Vec::new();
     }
