--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -1,4 +1,4 @@
-//! Room of the backend servers, kept from plan to plan and refreshed where something has changed.
+//! Capacities of all backend servers, kept between plans and refreshed only where something has changed.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,58 +17,59 @@
     speed::SpeedClass,
 };
 
-/// Names a backend server's room while plans are made: an index that stays with it for as long as it is known.
+/// Index of a backend server's capacity while plans are made; it stays the same for as long as the backend server is
+/// known.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct ServerIndex(usize);
 
-/// Rooms of one rack, by the names of their backend servers.
+/// Backend servers of one rack, ordered by id.
 #[derive(Debug, Default)]
 pub(crate) struct Rack {
     slots: Vec<ServerIndex>,
-    /// At least what is free soon on any of them, in each part of a need.
+    /// Upper bound, for each kind of resource, of what is free soon on any of them.
     bound: Resources,
 }
 
-/// Room by backend server.
+/// Capacities of all backend servers.
 ///
-/// A plan touches what has moved since the one before.
+/// Between plans only those are recomputed that may have changed.
 #[derive(Debug, Default)]
 pub(crate) struct FleetCapacity {
-    /// By slot; `None` where a backend server has gone.
+    /// Capacities by slot; `None` for unused slots.
     by_index: Vec<Option<ServerCapacity>>,
     slots: HashMap<BackendServerId, ServerIndex>,
-    unused: Vec<ServerIndex>,
+    free_slots: Vec<ServerIndex>,
     racks: BTreeMap<Arc<str>, Rack>,
     totals: BTreeMap<ServiceId, Totals>,
-    /// How many rooms there are of each class of speed.
+    /// Number of backend servers in each speed class.
     speeds: BTreeMap<SpeedClass, usize>,
-    /// Rooms that the latest plan has claimed or promised parts of.
+    /// Backend servers whose capacity the latest plan has claimed or freed in part.
     claimed: Vec<ServerIndex>,
 }
 
 impl FleetCapacity {
-    /// The rooms that take work, by rack and then by backend server.
+    /// Returns the backend servers that take work, by rack and then by id.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (ServerIndex, &ServerCapacity)> {
         self.racks.values().flat_map(|rack| self.in_rack(rack))
     }
 
-    /// Racks, by name.
+    /// Returns the racks, by name.
     pub(crate) fn racks(&self) -> impl Iterator<Item = (&Arc<str>, &Rack)> {
         self.racks.iter()
     }
 
-    /// The rooms of a rack that take work, by backend server.
+    /// Returns the backend servers of a rack that take work, by id.
     pub(crate) fn in_rack<'r>(&'r self, rack: &'r Rack) -> impl Iterator<Item = (ServerIndex, &'r ServerCapacity)> {
         rack.slots.iter().filter_map(|&slot| self.open_server(slot).map(|server| (slot, server)))
     }
 
-    /// The slowest class that there is.
+    /// Returns the slowest speed class that any backend server is in.
     pub(crate) fn slowest(&self) -> SpeedClass {
-        let there = self.speeds.iter().rev().find(|(_, count)| **count > 0);
-        there.map_or_else(SpeedClass::default, |(class, _)| *class)
+        let in_use = self.speeds.iter().rev().find(|(_, count)| **count > 0);
+        in_use.map_or_else(SpeedClass::default, |(class, _)| *class)
     }
 
-    /// Whether a rack is known.
+    /// Returns whether a rack has backend servers.
     pub(crate) fn has_rack(&self, name: &Arc<str>) -> bool {
         self.racks.contains_key(name)
     }
@@ -85,7 +86,7 @@
         self.totals.get(service).copied().unwrap_or_default()
     }
 
-    /// Takes room for a task of a step at each place.
+    /// Claims capacity for one task of the step at each placement.
     pub(crate) fn claim(&mut self, step: &Step, places: &Placements) {
         let need = &step.counted_resources();
         for &(_, slot) in places {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Nothing else is placed there for now.
+    /// Excludes the backend servers from further placements of this plan.
     pub(crate) fn close(&mut self, places: &Placements) {
         for &(_, slot) in places {
             let server = self.by_index[slot.0].as_mut().expect("places are chosen among the rooms");
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Counts what is being stopped on a backend server as free soon.
+    /// Counts resources of a run that is being stopped on a backend server as free soon.
     pub(crate) fn release_after_stops(&mut self, id: &BackendServerId, need: &Resources) {
         let Some(&slot) = self.slots.get(id) else { return };
         let Some(server) = self.by_index[slot.0].as_mut() else { return };
@@ -125,18 +126,18 @@
         self.claimed.push(slot);
     }
 
-    /// Backend servers whose rooms a plan has changed; they are to be refreshed before the next.
+    /// Returns the backend servers whose capacities the plan has changed, which must be refreshed before the next.
     fn take_claimed(&mut self) -> Vec<BackendServerId> {
         let claimed = std::mem::take(&mut self.claimed);
         claimed.into_iter().filter_map(|slot| Some(self.by_index[slot.0].as_ref()?.id.clone())).collect()
     }
 
-    /// Sets or removes the room of a backend server.
+    /// Sets the capacity of a backend server, or removes it.
     pub(crate) fn set(&mut self, id: &BackendServerId, server: Option<ServerCapacity>) {
         if let Some(&slot) = self.slots.get(id) {
             self.replace(slot, server);
         } else if let Some(server) = server {
-            let slot = self.unused.pop().unwrap_or(ServerIndex(self.by_index.len()));
+            let slot = self.free_slots.pop().unwrap_or(ServerIndex(self.by_index.len()));
             self.by_index.resize_with(self.by_index.len().max(slot.0 + 1), || None);
             self.slots.insert(id.clone(), slot);
             self.insert(slot, server);
@@ -150,13 +151,13 @@
         match server {
             Some(server) if server.rack == old.rack => self.put(slot, server),
             Some(server) => {
-                self.leave_rack(slot, &old);
+                self.remove_from_rack(slot, &old);
                 self.insert(slot, server);
             }
             None => {
-                self.leave_rack(slot, &old);
+                self.remove_from_rack(slot, &old);
                 self.slots.remove(&old.id);
-                self.unused.push(slot);
+                self.free_slots.push(slot);
             }
         }
     }
@@ -176,7 +177,7 @@
         self.by_index[slot.0] = Some(server);
     }
 
-    fn leave_rack(&mut self, slot: ServerIndex, server: &ServerCapacity) {
+    fn remove_from_rack(&mut self, slot: ServerIndex, server: &ServerCapacity) {
         let Some(rack) = self.racks.get_mut(&server.rack) else { return };
         rack.slots.retain(|&other| other != slot);
         if rack.slots.is_empty() {
@@ -184,7 +185,7 @@
         }
     }
 
-    fn bound_rack(&mut self, name: &Arc<str>) {
+    fn update_rack_bound(&mut self, name: &Arc<str>) {
         let by_index = &self.by_index;
         let Some(rack) = self.racks.get_mut(name) else { return };
         let free_after_stops =
@@ -195,14 +196,14 @@
 }
 
 impl Rack {
-    /// Whether a task that needs so much may fit into one of the rooms, now or soon.
+    /// Returns whether a task with these resources may fit onto one of the backend servers, now or soon.
     pub(crate) fn may_hold(&self, need: &Resources) -> bool {
         self.bound.contains(need)
     }
 }
 
 impl Scheduler {
-    /// A backend server, whose room is looked at anew by the next plan.
+    /// Returns a backend server for changes; the next plan recomputes its capacity.
     pub(crate) fn server_mut(&mut self, id: &BackendServerId) -> Option<&mut Server> {
         let server = self.servers.get_mut(id)?;
         if !std::mem::replace(&mut server.is_stale, true) {
@@ -211,12 +212,13 @@
         Some(server)
     }
 
-    /// The room of a backend server is to be looked at anew by the next plan.
+    /// Makes the next plan recompute the capacity of a backend server.
     pub(crate) fn mark_stale(&mut self, id: &BackendServerId) {
         let _ = self.server_mut(id);
     }
 
-    /// Brings the rooms up to date: of what has changed, what the plan before has claimed, and what time changes.
+    /// Recomputes the capacities of backend servers that have changed, that the previous plan has claimed, or that
+    /// change with time.
     pub(crate) fn refresh_capacity(&mut self, now: Moment) {
         let mut fleet = std::mem::take(&mut self.fleet);
         let mut stale = std::mem::take(&mut self.stale_servers);
@@ -239,28 +241,28 @@
         racks.sort();
         racks.dedup();
         for rack in &racks {
-            fleet.bound_rack(rack);
+            fleet.update_rack_bound(rack);
         }
         self.fleet = fleet;
     }
 }
 
 impl FleetCapacity {
-    /// Tells how these rooms differ from others.
+    /// Compares with other capacities and returns a description of the first difference.
     pub(crate) fn check_same(&self, other: &FleetCapacity) -> Result<(), String> {
         let server = |fleet: &FleetCapacity, id| {
             fleet.slots.get(id).and_then(|slot: &ServerIndex| fleet.by_index[slot.0].clone())
         };
         for id in self.slots.keys().chain(other.slots.keys()) {
-            let (kept, anew) = (server(self, id), server(other, id));
-            if kept != anew {
-                return Err(format!("{id}: kept {kept:?}, anew {anew:?}"));
+            let (cached, recomputed) = (server(self, id), server(other, id));
+            if cached != recomputed {
+                return Err(format!("{id}: cached {cached:?}, recomputed {recomputed:?}"));
             }
         }
-        let (kept, anew) = (self.totals_in_use(), other.totals_in_use());
+        let (cached, recomputed) = (self.totals_in_use(), other.totals_in_use());
         let order = |fleet: &FleetCapacity| fleet.iter().map(|(_, server)| server.id.clone()).collect::<Vec<_>>();
-        if kept != anew || order(self) != order(other) {
-            return Err(format!("totals or order: kept {kept:?}, anew {anew:?}"));
+        if cached != recomputed || order(self) != order(other) {
+            return Err(format!("totals or order: cached {cached:?}, recomputed {recomputed:?}"));
         }
         Ok(())
     }
--- a/crates/scheduler/src/guarantee.rs
+++ b/crates/scheduler/src/guarantee.rs
@@ -1,4 +1,4 @@
-//! What customers' guarantees cover while a plan is made.
+//! Customers' guarantees of accelerators, as they are used up while a plan is made.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 /// Guaranteed accelerators by customer.
 #[derive(Debug)]
 pub(crate) struct Guarantees {
-    /// Covered beside the running jobs of priority 0.
-    left: BTreeMap<CustomerId, u64>,
-    /// Customers whose running jobs of priority 0 hold more than is guaranteed.
-    beyond: BTreeMap<CustomerId, bool>,
+    /// Guaranteed accelerators that running jobs of priority 0 do not use.
+    remaining: BTreeMap<CustomerId, u64>,
+    /// Whether the running jobs of priority 0 use more accelerators than guaranteed.
+    exceeded: BTreeMap<CustomerId, bool>,
 }
 
 impl Guarantees {
@@ -25,34 +25,36 @@
             }
         }
         let customers = &scheduler.policy.customers;
-        let left = customers.iter().map(|(id, policy)| {
+        let remaining = customers.iter().map(|(id, policy)| {
             let held = held.get(id).copied().unwrap_or(0);
             (id.clone(), policy.guaranteed_accelerators.saturating_sub(held))
         });
-        let beyond = held.iter().map(|(id, held)| {
+        let exceeded = held.iter().map(|(id, held)| {
             let guaranteed = customers.get(*id).map_or(0, |policy| policy.guaranteed_accelerators);
             ((*id).clone(), *held > guaranteed)
         });
-        Guarantees { left: left.collect(), beyond: beyond.collect() }
+        Guarantees { remaining: remaining.collect(), exceeded: exceeded.collect() }
     }
 
-    /// Whether a customer's guarantee covers so many more accelerators; if so, they are taken from it.
+    /// Takes accelerators from a customer's guarantee; returns `false` and takes nothing if it does not cover all of
+    /// them.
     pub(crate) fn take(&mut self, customer: Option<&CustomerId>, accelerators: u64) -> bool {
-        let Some(left) = customer.and_then(|customer| self.left.get_mut(customer)) else { return false };
-        if *left < accelerators {
+        let Some(remaining) = customer.and_then(|customer| self.remaining.get_mut(customer)) else { return false };
+        if *remaining < accelerators {
             return false;
         }
-        *left -= accelerators;
+        *remaining -= accelerators;
         true
     }
 
-    /// Whether a customer's running jobs of priority 0 hold more than is guaranteed.
+    /// Returns whether a customer's running jobs of priority 0 use more accelerators than guaranteed. True for jobs
+    /// without a customer.
     pub(crate) fn is_beyond(&self, customer: Option<&CustomerId>) -> bool {
-        customer.is_none_or(|customer| self.beyond.get(customer).copied().unwrap_or(false))
+        customer.is_none_or(|customer| self.exceeded.get(customer).copied().unwrap_or(false))
     }
 }
 
-/// Accelerators that a job's members hold, the ones that are being stopped included.
+/// Returns the accelerators that a job's tasks occupy, including those that are being stopped.
 fn accelerators_held(entry: &JobEntry) -> u64 {
     let mut sum = 0;
     for occurrence in &entry.occurrences {
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -1,7 +1,7 @@
-//! How much room is kept free of work that can wait, so that urgent jobs need not wait for a stop.
+//! Headroom: accelerators that stay free of work that can wait, so that urgent jobs can start without stopping runs.
 //!
-//! Room that is kept free and room that is made by a stop do the same for an urgent job, but for the time that a stop
-//! takes. So the more is kept free, the longer stops have taken lately.
+//! For an urgent job, headroom and preemption differ only by the time that a stop takes. So the headroom grows with
+//! the time that stops have taken recently.
 
 use model::Duration;
 
@@ -11,29 +11,31 @@
     fleet_capacity::FleetCapacity,
 };
 
-/// Share of a service's accelerators that is kept free where stops take no time: it spares work that is thrown away
-/// in stops.
-const AT_LEAST: f64 = 0.15;
-/// What is added for each second that a stop takes: urgent jobs wait for as long.
-const PER_SECOND: f64 = 0.7;
-/// The most that is kept free of work that has waited for half of the time that it can: what can wait must not starve.
-const AT_MOST_IF_PRESSED: f64 = 0.35;
-/// More changes nothing, since nothing is held back while less than 0.55 of the accelerators are in use.
-const AT_MOST: f64 = 0.5;
-/// What is taken for the time of a stop before one was seen: 0.36 is kept free then.
-const UNSEEN: Duration = Duration::from_millis(300);
-/// Weight of the latest stop in the mean: some five count, so that a new scheduler soon knows.
-const LATEST: f64 = 0.3;
-/// Below this share in use, nothing that fits is held back (users' rules: half of a service's capacity).
-const LITTLE_USED: f64 = 0.55;
-/// A job of which nothing runs is held back for so long at most (users' rules: 3 s until something of it runs).
+/// Least share of a service's accelerators that stays free, used where stops take no time: it avoids the work that
+/// stops would lose.
+const MIN_SHARE: f64 = 0.15;
+/// Additional share for each second that a stop takes, since urgent jobs wait that long.
+const SHARE_PER_STOP_SECOND: f64 = 0.7;
+/// Largest share for work that has used up half of its slack, so that work that can wait does not starve.
+const MAX_SHARE_IF_PRESSED: f64 = 0.35;
+/// Largest share for other work. A larger one would have no effect, since nothing is held back while less than
+/// [`LOW_USE_SHARE`] of the accelerators is in use.
+const MAX_SHARE: f64 = 0.5;
+/// Assumed time of a stop until one was measured; the headroom is then 0.36.
+const INITIAL_STOP_TIME: Duration = Duration::from_millis(300);
+/// Weight of the latest stop in the mean: about five stops count, so that a new scheduler adapts soon.
+const LATEST_WEIGHT: f64 = 0.3;
+/// Share in use below which no work that fits is held back (platform rules: half of a service's capacity).
+const LOW_USE_SHARE: f64 = 0.55;
+/// How long a job of which nothing runs is held back at most (platform rules: 3 s until something of it runs).
 pub(crate) const STALL_LIMIT: Duration = Duration::from_millis(2000);
-/// So many times as much as such a job takes has to be free (users' rules).
-const ROOM_BESIDE: u64 = 2;
-/// Longer ones tell of a backend server that was out of reach, not of stops.
-const LONGEST: Duration = Duration::from_millis(3000);
+/// Accelerators that must be free so that a stalled job may use headroom, as a multiple of what it takes (platform
+/// rules).
+const STALLED_FREE_FACTOR: u64 = 2;
+/// Longer stops indicate an unreachable backend server rather than the time of a stop.
+const MAX_STOP_TIME: Duration = Duration::from_millis(3000);
 
-/// How long stops have taken lately, from the decision to the end in a listing.
+/// Mean time of recent stops, from the decision until the end of the run is listed.
 #[derive(Debug)]
 pub(crate) struct StopDurations {
     mean_s: f64,
@@ -41,31 +43,32 @@
 
 impl StopDurations {
     pub(crate) fn initial() -> StopDurations {
-        StopDurations { mean_s: UNSEEN.secs_f64() }
+        StopDurations { mean_s: INITIAL_STOP_TIME.secs_f64() }
     }
 
     pub(crate) fn mean_s(&self) -> f64 {
         self.mean_s
     }
 
-    /// A stop has taken so long.
+    /// Records the time that a stop has taken.
     pub(crate) fn record(&mut self, took: Duration) {
-        let took = took.min(LONGEST).secs_f64();
-        self.mean_s += LATEST * (took - self.mean_s);
+        let took = took.min(MAX_STOP_TIME).secs_f64();
+        self.mean_s += LATEST_WEIGHT * (took - self.mean_s);
     }
 }
 
 impl Scheduler {
-    /// Share of a service's accelerators that is to stay free when work that can wait starts; `pressed` tells that it
-    /// has waited for half of the time that it can.
+    /// Returns the share of a service's accelerators that must stay free when work that can wait starts; `pressed`
+    /// means that it has used up half of its slack.
     fn headroom(&self, slack_half_used: bool) -> f64 {
-        let most = if slack_half_used { AT_MOST_IF_PRESSED } else { AT_MOST };
-        let learned = AT_LEAST + PER_SECOND * self.stop_durations.mean_s;
+        let most = if slack_half_used { MAX_SHARE_IF_PRESSED } else { MAX_SHARE };
+        let learned = MIN_SHARE + SHARE_PER_STOP_SECOND * self.stop_durations.mean_s;
         self.timing.tuning.headroom.unwrap_or(learned.min(most))
     }
 
-    /// Whether `count` tasks may start beside `taken` that are about to, as far as what is kept free for urgent jobs goes. A job of which nothing has run for long
-    /// gets as much of that as lets something of it run: kept room must not starve it.
+    /// Returns whether `count` tasks may start in addition to `taken` that are about to start, given the headroom for
+    /// urgent jobs. A stalled job may use as much of the headroom as one of its groups takes, so that headroom cannot
+    /// starve it.
     pub(crate) fn headroom_allows(
         &self,
         candidate: &Candidate,
@@ -76,13 +79,13 @@
     ) -> bool {
         let is_stalled = || {
             let free = fleet.totals(requirements.service).free;
-            candidate.is_stalled && taken == 0 && free >= ROOM_BESIDE * count * requirements.need.accelerators
+            candidate.is_stalled && taken == 0 && free >= STALLED_FREE_FACTOR * count * requirements.need.accelerators
         };
         requirements.urgent || self.leaves_headroom(requirements, taken, count, fleet) || is_stalled()
     }
 
-    /// Whether enough accelerators stay free for urgent jobs if `count` tasks start beside `taken` that are
-    /// about to. While the service is used little, work is never held back for that.
+    /// Returns whether enough accelerators stay free for urgent jobs if `count` tasks start in addition to `taken`
+    /// that are about to start. While little of the service is in use, work is never held back.
     pub(crate) fn leaves_headroom(
         &self,
         requirements: &Requirements<'_>,
@@ -92,13 +95,13 @@
     ) -> bool {
         let totals = fleet.totals(requirements.service);
         let each = requirements.need.accelerators;
-        let asked = (each * (taken + count)) as f64 + self.kept_free(requirements, fleet);
+        let required = (each * (taken + count)) as f64 + self.reserved_accelerators(requirements, fleet);
         let used = totals.used + each * taken;
-        totals.free as f64 >= asked || (used as f64) < totals.all as f64 * LITTLE_USED
+        totals.free as f64 >= required || (used as f64) < totals.all as f64 * LOW_USE_SHARE
     }
 
-    /// Accelerators of a service that are to stay free.
-    fn kept_free(&self, requirements: &Requirements<'_>, fleet: &FleetCapacity) -> f64 {
+    /// Returns the accelerators of a service that must stay free.
+    fn reserved_accelerators(&self, requirements: &Requirements<'_>, fleet: &FleetCapacity) -> f64 {
         fleet.totals(requirements.service).all as f64 * self.headroom(requirements.slack_half_used)
     }
 }
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -1,4 +1,4 @@
-//! Room of one backend server, as plans see it.
+//! Capacity of one backend server, as plans see it.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
     speed::SpeedClass,
 };
 
-/// Room of one backend server.
+/// Capacity of one backend server and what is placed there.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct ServerCapacity {
     pub(crate) id: BackendServerId,
@@ -22,43 +22,47 @@
     pub(crate) address: ServerAddress,
     pub(crate) labels: Vec<Arc<str>>,
     pub(crate) capacity: Resources,
-    /// Taken by what is placed there.
+    /// Resources of all runs that are placed there.
     pub(crate) used: Resources,
-    /// Taken by what stays: nothing of it is being stopped. More than there is where the capacity has shrunk.
+    /// Resources of the runs that are not being stopped. More than `capacity` if the capacity has shrunk.
     pub(crate) used_after_stops: Resources,
-    /// Its backend server answers this scheduler.
+    /// Whether the backend server responds to this scheduler.
     pub(crate) reachable: bool,
-    /// New work may be placed there.
+    /// Whether new work may be placed there.
     pub(crate) accepts_work: bool,
-    /// Free now.
+    /// Resources that are free now.
     pub(crate) free: Resources,
-    /// Free once everything that is being stopped has ended.
+    /// Resources that are free once every run that is being stopped has ended.
     pub(crate) free_after_stops: Resources,
-    /// Tasks there, those among them that nobody wants.
+    /// Number of tasks there, including unknown runs.
     pub(crate) tasks: usize,
-    /// Best-effort tasks there.
+    /// Number of best-effort tasks there.
     pub(crate) best_effort: u64,
-    /// Tasks with a latency target there.
+    /// Number of tasks with a latency target there.
     pub(crate) serving: u64,
-    /// Tasks of several jobs failed there lately: it takes work only of jobs that stand.
+    /// Whether it is quarantined: tasks of several jobs failed there recently. It takes work only from stalled jobs.
     pub(crate) quarantined: bool,
-    /// A suspect is on trial there: it takes work only of jobs that stand, one task or gang of each.
+    /// Whether a suspected task runs there as an isolated retry. It takes work only from stalled jobs, one task or
+    /// gang of each.
     pub(crate) has_isolated_retry: bool,
-    /// A task failed there lately and none has been done since, or something is on trial there.
+    /// Whether it is suspect: a task failed there recently and none has succeeded since, or an isolated retry runs
+    /// there.
     pub(crate) suspect: bool,
-    /// How fast it works.
+    /// Learned speed class.
     pub(crate) speed: SpeedClass,
 }
 
-/// Accelerators of a service. What was placed on backend servers that do not answer may run no more: taken for in use,
-/// it would hold back what could start on the rest. They are part of the whole all the same.
+/// Accelerators of a service.
+///
+/// Runs that were placed on unresponsive backend servers may have ended. Counted as used, they would hold back work
+/// that could start on the rest, so they count only towards `all`.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct Totals {
-    /// Free on backend servers that take work.
+    /// Free accelerators, on backend servers that take work.
     pub(crate) free: u64,
-    /// Taken, on backend servers that answer.
+    /// Used accelerators, on backend servers that respond.
     pub(crate) used: u64,
-    /// All.
+    /// Accelerators of all backend servers of the service.
     pub(crate) all: u64,
 }
 
@@ -77,7 +81,7 @@
 }
 
 impl ServerCapacity {
-    /// Takes more, or gives back what is being stopped.
+    /// Changes the resources that stay occupied, and updates `soon` accordingly.
     pub(crate) fn update_used_after_stops(&mut self, change: impl FnOnce(&mut Resources)) {
         change(&mut self.used_after_stops);
         self.free_after_stops = self.capacity;
@@ -94,7 +98,8 @@
 }
 
 impl Scheduler {
-    /// Room as it is now; `None` of a backend server of which only an earlier scheduler's placements tell.
+    /// Returns the current capacity; `None` if the backend server is known only from an earlier scheduler's
+    /// placements.
     pub(crate) fn server_capacity(&self, id: &BackendServerId, now: Moment) -> Option<ServerCapacity> {
         let server = self.servers.get(id)?;
         let info = server.info.as_ref()?;
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -1,4 +1,5 @@
-//! Jobs that stand: nothing of them runs although something could, as far as the scheduler knows. For how long, and what each waits for.
+//! Stalled occurrences: nothing of them is known to run although something could. Records how long each has been
+//! stalled and logs what it waits for.
 
 use std::{collections::BTreeMap, fmt};
 
@@ -13,45 +14,45 @@
     server::Server,
 };
 
-/// How often is looked which jobs stand.
-const LOOK_EVERY: Duration = Duration::from_millis(1000);
-/// What stands for less is on its way: it is being placed, stored and ordered.
-const ON_ITS_WAY: Duration = Duration::from_millis(2000);
-/// Most lines of one look; the gauge counts the others.
-const MOST_LINES: usize = 10;
+/// Interval between two checks for stalled occurrences.
+const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
+/// Occurrences that are stalled for less than this are being placed, stored and ordered.
+const STALLED_FOR_LONG: Duration = Duration::from_millis(2000);
+/// Most occurrences that one check logs; the gauge counts all.
+const MAX_LOG_LINES: usize = 10;
 
-/// Since when occurrences stand.
+/// Stalled occurrences, with the time since when they are stalled.
 #[derive(Debug, Default)]
 pub(crate) struct Stalled {
     since: BTreeMap<OccurrenceId, Moment>,
-    looked: Moment,
-    /// How many stood for long at the latest look.
+    checked: Moment,
+    /// Number of occurrences that were stalled for at least [`STALLED_FOR_LONG`] at the latest check.
     pub(crate) long: usize,
 }
 
 /// What an occurrence waits for.
 enum WaitsFor {
-    /// Something of it may run on a backend server that does not answer, until its leases are over.
+    /// A run may be active on an unresponsive backend server until the leases there expire.
     Lease { server: BackendServerId, left: Duration },
-    /// A run is being stopped there.
+    /// A run is being stopped on the backend server.
     Stop { server: BackendServerId },
-    /// The store has to take where a run goes.
+    /// The placement of a run is not stored yet.
     Store,
-    /// A backend server has not answered the order to start a run, or has not listed it.
+    /// The backend server has not responded to the start order, or has not listed the run.
     Start { server: BackendServerId },
-    /// A place.
-    Place(Places),
+    /// A placement.
+    Place(PlacementOptions),
 }
 
-/// Backend servers that a task might go to.
-struct Places {
-    /// There is room for one of them.
+/// Numbers of backend servers that a task might be placed on.
+struct PlacementOptions {
+    /// Backend servers with enough free capacity for one task.
     with_room: usize,
-    /// These of them may be taken.
+    /// Backend servers among those that the task is allowed on.
     allowed: usize,
-    /// It keeps off these of those.
+    /// Backend servers among the allowed ones that the task avoids.
     avoided: usize,
-    /// What else holds it back, if anything.
+    /// Another reason that holds the task back; `None` if there is none.
     held_back_by: Option<&'static str>,
 }
 
@@ -62,7 +63,7 @@
             WaitsFor::Stop { server } => write!(f, "stop server={server}"),
             WaitsFor::Store => f.write_str("store"),
             WaitsFor::Start { server } => write!(f, "start server={server}"),
-            WaitsFor::Place(Places { with_room, allowed, avoided, held_back_by }) => {
+            WaitsFor::Place(PlacementOptions { with_room, allowed, avoided, held_back_by }) => {
                 let held_back_by = held_back_by.unwrap_or("nothing");
                 write!(f, "place with_room={with_room} allowed={allowed} avoided={avoided} held_back_by={held_back_by}")
             }
@@ -71,9 +72,9 @@
 }
 
 impl Scheduler {
-    /// Looks which occurrences stand, and tells what those wait for that have stood for long.
+    /// Checks which occurrences are stalled, and logs what those wait for that have been stalled for long.
     pub(crate) fn detect_stalled(&mut self, now: Moment) {
-        if now.since(self.stalled.looked) < LOOK_EVERY {
+        if now.since(self.stalled.checked) < CHECK_INTERVAL {
             return;
         }
         let before = std::mem::take(&mut self.stalled.since);
@@ -83,9 +84,12 @@
             .filter(is_stalled)
             .map(|id| (id, before.get(&id).copied().unwrap_or(now)))
             .collect();
-        let long: Vec<(OccurrenceId, Duration)> =
-            since.iter().map(|(id, since)| (*id, now.since(*since))).filter(|(_, time)| *time >= ON_ITS_WAY).collect();
-        for (id, time) in long.iter().take(MOST_LINES) {
+        let long: Vec<(OccurrenceId, Duration)> = since
+            .iter()
+            .map(|(id, since)| (*id, now.since(*since)))
+            .filter(|(_, time)| *time >= STALLED_FOR_LONG)
+            .collect();
+        for (id, time) in long.iter().take(MAX_LOG_LINES) {
             if let Some(waits_for) = self.waits_for(*id, now) {
                 log::info!(
                     "job={} event=stands occurrence={} for_ms={} waits_for={waits_for}",
@@ -95,14 +99,14 @@
                 );
             }
         }
-        self.stalled = Stalled { since, looked: now, long: long.len() };
+        self.stalled = Stalled { since, checked: now, long: long.len() };
     }
 
     fn open_occurrences(&self) -> impl Iterator<Item = OccurrenceId> {
         self.open_jobs.iter().flat_map(|id| self.jobs[id].occurrence_ids())
     }
 
-    /// Whether nothing of an occurrence is known to run, and something of it is placed or could be.
+    /// Returns whether nothing of an occurrence is known to run although something of it is placed or could be.
     fn is_stalled(&self, id: OccurrenceId, now: Moment) -> bool {
         let entry = &self.jobs[&id.job];
         let occurrence = self.occurrence(id);
@@ -110,25 +114,25 @@
             return false;
         }
         let members = || occurrence.groups.iter().flatten().flat_map(|group| &group.members);
-        let runs = members().any(|member| member.phase == Phase::Running && self.answers(&member.server));
+        let runs = members().any(|member| member.phase == Phase::Running && self.is_responsive(&member.server));
         !runs && (self.ready.contains_key(&id) || members().next().is_some())
     }
 
-    fn answers(&self, id: &BackendServerId) -> bool {
+    fn is_responsive(&self, id: &BackendServerId) -> bool {
         self.servers.get(id).is_some_and(Server::is_reachable)
     }
 
     fn waits_for(&self, id: OccurrenceId, now: Moment) -> Option<WaitsFor> {
-        let place = self.ready.get(&id).and_then(|steps| self.waits_for_place(id, steps.first()?, now));
+        let place = self.ready.get(&id).and_then(|steps| self.placement_wait(id, steps.first()?, now));
         let groups = || self.occurrence(id).groups.iter().flatten();
-        place.or_else(|| groups().find_map(|group| self.waits_for_run(group, now)))
+        place.or_else(|| groups().find_map(|group| self.run_wait(group, now)))
     }
 
-    fn waits_for_run(&self, group: &Group, now: Moment) -> Option<WaitsFor> {
-        let lost = group.members.iter().find(|member| !self.answers(&member.server));
-        let member: &Member = lost.or_else(|| group.members.first())?;
+    fn run_wait(&self, group: &Group, now: Moment) -> Option<WaitsFor> {
+        let unreachable = group.members.iter().find(|member| !self.is_responsive(&member.server));
+        let member: &Member = unreachable.or_else(|| group.members.first())?;
         let server = member.server.clone();
-        if lost.is_some() {
+        if unreachable.is_some() {
             let left = self.servers.get(&server).map_or(Duration::ZERO, |server| server.lease_expiry.since(now));
             return Some(WaitsFor::Lease { server, left });
         }
@@ -138,8 +142,8 @@
         Some(if member.phase == Phase::Planned { WaitsFor::Store } else { WaitsFor::Start { server } })
     }
 
-    /// What keeps the first group that could start from its place.
-    fn waits_for_place(&self, occurrence: OccurrenceId, ready: &ReadyStep, now: Moment) -> Option<WaitsFor> {
+    /// Returns why the first ready group of an occurrence is not placed.
+    fn placement_wait(&self, occurrence: OccurrenceId, ready: &ReadyStep, now: Moment) -> Option<WaitsFor> {
         let group = *ready.groups.first().or(ready.suspects.first())?;
         let name = GroupId { occurrence, step: ready.step, group };
         let requirements = self.requirements(&Candidate::for_diagnosis(name), now)?;
@@ -150,6 +154,11 @@
             self.fleet.iter().filter(|(_, server)| server.free.contains(&requirements.need)).collect();
         let allowed: Vec<_> = with_room.iter().filter(|(_, server)| requirements.allows(server)).collect();
         let avoided = allowed.iter().filter(|(_, server)| self.avoids(name, server, now)).count();
-        Some(WaitsFor::Place(Places { with_room: with_room.len(), allowed: allowed.len(), avoided, held_back_by }))
+        Some(WaitsFor::Place(PlacementOptions {
+            with_room: with_room.len(),
+            allowed: allowed.len(),
+            avoided,
+            held_back_by,
+        }))
     }
 }
