--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -1,12 +1,13 @@
-//! Backend servers that crash under tasks, and tasks that are given up for it.
+//! Crashes of backend servers, charged to the tasks that ran there, and tasks that are abandoned because of them.
 //!
-//! A backend server that crashes lists no end of what it ran: that it has crashed is known once another life answers at its
-//! address and it had not said that it leaves. The crash is charged to each task that it ran, and stored with the task's progress before
-//! the task can be placed again, so that it counts whoever schedules. A run that is cut off, or whose lease is over, costs nothing:
-//! nobody knows what became of it.
+//! A crashed backend server does not list completions of its runs. The scheduler detects a crash when another
+//! incarnation responds at the same address although no departure was announced. The crash is charged to each task
+//! that ran there and stored with the task's progress before the task can be placed again, so that it counts for
+//! every scheduler. A run that is cut off from the scheduler, or whose lease expires, is not charged: its fate is
+//! unknown.
 //!
-//! Most tasks that lie on a crashed backend server have nothing to do with it. What tells them from the one that has: a task that crashes
-//! whatever starts it never outlives its start.
+//! Most tasks on a crashed backend server did not cause the crash. The task that does cause crashes can be told apart
+//! because it never outlives its start.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -22,39 +23,39 @@
     server::ServerAddress,
 };
 
-/// A run that its backend server still lists this long after its start has outlived it. Seen on the users' platform: such
-/// tasks take their backend server down 10 ms after they begin.
-const OUTLIVES: Duration = Duration::from_secs(2);
-/// A run on trial that is still listed this long after its start goes well: a quarter of the time, and many times what such tasks take.
-const GOES_WELL: Duration = Duration::from_millis(500);
-/// So many crashes under one task that has not outlived its start, and the task is given up (users' rules: it may be
-/// after two, and it must not start three times more after three). Three, since two backend servers fail by chance
-/// under a task of some hours now and then, at 14,000 tasks: two starts are left for crashes that nobody could learn
-/// of.
-const EARLY_CRASHES: usize = 3;
-/// So many of them must have struck a run that is known to have begun. A start that got no answer, or that an earlier
-/// scheduler placed, may never have reached the backend server, and a job must not be given up by crashes that struck
-/// nothing of it (users' rules: two).
-const KNOWN_TO_HAVE_BEGUN: usize = 2;
-/// The same for all crashes under a task that ends by itself, whatever it had outlived: the last start that the rule
-/// allows has been used up by then.
-const CRASHES: usize = 5;
+/// A run that its backend server still lists this long after the start has outlived its start. Tasks that crash their
+/// backend server were observed on the platform to do so 10 ms after they start.
+const START_OUTLIVED_AFTER: Duration = Duration::from_secs(2);
+/// An isolated retry that is still listed this long after the start is stable. A quarter of [`START_OUTLIVED_AFTER`],
+/// and many times what it takes such tasks to crash their backend server.
+const RETRY_STABLE_AFTER: Duration = Duration::from_millis(500);
+/// Crashes during the start after which a task is abandoned. The platform rules allow this after two crashes, and
+/// forbid three further starts after three. Three, since two backend servers occasionally fail by chance under a task
+/// of some hours when 14,000 tasks run; two starts remain for crashes that the scheduler could not detect.
+const MAX_EARLY_CRASHES: usize = 3;
+/// How many of those crashes must have hit a run that is known to have started (platform rules: two). A start without
+/// a response, or one placed by an earlier scheduler, may never have reached the backend server, and a job must not
+/// be abandoned for crashes that did not hit its runs.
+const MIN_CONFIRMED_CRASHES: usize = 2;
+/// Crashes in total after which a task that ends by itself is abandoned, whether or not it had outlived its start. By
+/// then the last start that the platform rules allow has been used.
+const MAX_CRASHES: usize = 5;
 
-/// A crashed backend server of the users answers again within this.
-const BACK_WITHIN: Duration = Duration::from_secs(4);
+/// Time within which a crashed backend server responds again on the platform.
+const RECOVERY_TIME: Duration = Duration::from_secs(4);
 
-/// How long it is remembered what ran where a lease was over. A crashed backend server is back after some seconds (users'
-/// protocol page), or has been replaced.
-const REMEMBERED: Duration = Duration::from_secs(120);
+/// How long runs are remembered whose leases expired. A crashed backend server recovers within seconds (platform
+/// protocol) or has been replaced.
+const LAPSED_RETENTION: Duration = Duration::from_secs(120);
 
-/// Runs that were lost with their lease. Whether their backend servers had crashed is known only if another life answers in their
-/// place: on some deployments that takes longer than a lease of 6 s.
+/// Runs that were lost when their leases expired. Whether their backend servers crashed is known only if another
+/// incarnation responds at their address; on some deployments that takes longer than a lease of 6 s.
 #[derive(Debug, Default)]
 pub(crate) struct LapsedLeases {
     by_server: BTreeMap<BackendServerId, LapsedRuns>,
 }
 
-/// What was lost with the leases of one life of a backend server.
+/// Runs that were lost with the leases of one incarnation of a backend server.
 #[derive(Debug)]
 struct LapsedRuns {
     since: Moment,
@@ -64,36 +65,38 @@
 
 impl LapsedLeases {
     pub(crate) fn remove_expired(&mut self, now: Moment) {
-        self.by_server.retain(|_, lapsed| now.since(lapsed.since) < REMEMBERED);
+        self.by_server.retain(|_, lapsed| now.since(lapsed.since) < LAPSED_RETENTION);
     }
 
-    /// The backend server is there after all, or another life is in its place: what it is remembered for.
+    /// Removes and returns the runs recorded for a backend server.
     pub(crate) fn remove(&mut self, id: &BackendServerId) -> Vec<(GroupId, Crash)> {
         self.by_server.remove(id).map_or_else(Vec::new, |lapsed| lapsed.runs)
     }
 }
 
-/// Whether a backend server has crashed under a group as it began. It then runs by itself until it has outlived its start: the next
-/// crash strikes nothing else, and what lay beside it by chance is soon known to be innocent.
+/// Returns whether a group is suspected: a backend server crashed during its start. Its runs are then isolated
+/// retries until one outlives its start, so that another crash affects nothing else and tasks that ran beside it by
+/// chance are soon cleared.
 pub(crate) fn is_suspect(progress: &GroupProgress) -> bool {
     progress.crashes.iter().any(|crash| crash.early)
 }
 
-/// Whether one more crash as it begins may give a group up. Its run shares a backend server with nothing else that is
-/// on trial, and with nothing that stands.
+/// Returns whether one more crash during the start may abandon a group. Its run shares a backend server neither with
+/// another isolated retry nor with a stalled job.
 pub(crate) fn is_last_attempt(progress: &GroupProgress) -> bool {
-    progress.crashes.iter().filter(|crash| crash.early).count() + 1 >= EARLY_CRASHES
+    progress.crashes.iter().filter(|crash| crash.early).count() + 1 >= MAX_EARLY_CRASHES
 }
 
-/// Whether a backend server has crashed under a group at a place: the machine may be at fault.
+/// Returns whether a backend server at this address has crashed under a group, so that the machine may be faulty.
 pub(crate) fn has_crashed_at(progress: &GroupProgress, address: &ServerAddress) -> bool {
     progress.crashes.iter().any(|crash| *crash.address == *address.as_str())
 }
 
 impl Group {
-    /// Whether its run is known to have outlived its start on backend servers of which one was last heard at `heard`.
+    /// Returns whether its run is known to have outlived its start. `heard` is the time of the latest response from
+    /// one of its backend servers.
     pub(crate) fn survived_start(&self, heard: Option<Moment>) -> bool {
-        self.known_run_time(heard) >= Some(OUTLIVES)
+        self.known_run_time(heard) >= Some(START_OUTLIVED_AFTER)
     }
 
     fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
@@ -102,21 +105,21 @@
 }
 
 impl Scheduler {
-    /// A backend server has crashed: what it ran is charged with it.
+    /// Charges a crash of a backend server to all runs there.
     pub(crate) fn charge_crash(&mut self, id: &BackendServerId, now: Moment) {
         self.charge_crash_if(id, |_| true, now);
     }
 
-    /// The same for some of what it ran.
+    /// Charges a crash of a backend server to some of the runs there.
     pub(crate) fn charge_crash_if(&mut self, id: &BackendServerId, which: impl Fn(&Member) -> bool, now: Moment) {
-        for (name, crash) in self.under_crash(id, which) {
+        for (name, crash) in self.crashes_to_charge(id, which) {
             self.charge(name, crash, id, now);
         }
     }
 
-    /// The leases of a backend server are over, and nothing tells whether it has crashed.
+    /// Records the runs of a backend server whose leases have expired while it is unknown whether it crashed.
     pub(crate) fn record_lapsed(&mut self, id: &BackendServerId, now: Moment) {
-        let runs = self.under_crash(id, |_| true);
+        let runs = self.crashes_to_charge(id, |_| true);
         let Some(server) = self.servers.get(id) else { return };
         if !runs.is_empty() && !server.announced() {
             let lapsed = LapsedRuns { since: now, incarnation: server.incarnation, runs };
@@ -124,7 +127,7 @@
         }
     }
 
-    /// Another life answers in place of a backend server whose leases were over: it had crashed.
+    /// Charges a crash to the recorded runs of a backend server, since another incarnation responds at its address.
     pub(crate) fn charge_lapsed(&mut self, id: &BackendServerId, now: Moment) {
         for (name, crash) in self.lapsed.remove(id) {
             if self.jobs.contains_key(&name.occurrence.job) {
@@ -133,7 +136,7 @@
         }
     }
 
-    /// A backend server answers again after its leases were over: if in another life, it had crashed.
+    /// Resolves the recorded runs of a backend server that responds again: another incarnation means that it crashed.
     pub(crate) fn resolve_lapsed(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         let Some(lapsed) = self.lapsed.by_server.get(id) else { return };
         if lapsed.incarnation.is_some_and(|earlier| earlier != incarnation) {
@@ -143,8 +146,9 @@
         }
     }
 
-    /// What a crash of a backend server now would be charged to: each run that may have begun there.
-    fn under_crash(&self, id: &BackendServerId, which: impl Fn(&Member) -> bool) -> Vec<(GroupId, Crash)> {
+    /// Returns the crashes that would be charged if a backend server crashed now: one for each run that may have
+    /// started there.
+    fn crashes_to_charge(&self, id: &BackendServerId, which: impl Fn(&Member) -> bool) -> Vec<(GroupId, Crash)> {
         let Some(server) = self.servers.get(id) else { return Vec::new() };
         let charged = |(task, run): (&TaskId, &RunNumber)| {
             let name = self.group_of(*task)?;
@@ -173,43 +177,46 @@
         log::warn!("job={job} event=crashed_under task={task} run={run} server={id} early={early}");
         self.observations.push(Observation::CrashedUnderTask { early });
         if !early && self.step(name).long_running {
-            // It was at work: it does not crash what starts it, and over months chance crashes add up.
+            // It was serving, so it does not crash its backend server on start; over months, unrelated crashes would
+            // add up.
             self.change(name, |progress| progress.crashes.retain(|crash| crash.index != index));
             return;
         }
         self.change(name, |progress| progress.crashes.push(crash));
-        if self.has_crashed_enough(name, index) {
+        if self.has_reached_crash_limit(name, index) {
             self.fail_occurrence(name, "crashes", now);
         }
     }
 
-    /// Whether a suspect has to wait for another of its job. Before its last try only one at a time is on trial: if it crashes its
-    /// backend server, the job has failed. The first try after a crash is not held up, since most suspects are bystanders.
+    /// Returns whether a suspected group has to wait for another one of its job. Before the last attempt, only one
+    /// isolated retry of a job runs at a time, since the job fails if it crashes its backend server. The first retry
+    /// after a crash does not wait, since most suspected tasks did not cause the crash.
     pub(crate) fn awaits_isolated_retry(&self, name: GroupId, now: Moment) -> bool {
-        let goes_on = |member: &Member| self.may_tell_of_crash(&member.server, now);
+        let is_undecided = |member: &Member| self.may_reveal_crash(&member.server, now);
         let has_isolated_retry = |other: &GroupId| {
             let group = self.group(*other);
-            group.isolated_retry.is_some() && group.members.iter().any(goes_on)
+            group.isolated_retry.is_some() && group.members.iter().any(is_undecided)
         };
         is_last_attempt(self.progress_of(name)) && self.group_names(name.occurrence.job).iter().any(has_isolated_retry)
     }
 
-    /// Whether a backend server answers, or is silent for so short that it may have crashed and its next life is not there yet.
-    fn may_tell_of_crash(&self, id: &BackendServerId, now: Moment) -> bool {
+    /// Returns whether a backend server responds, or has been unresponsive for so short a time that it may have
+    /// crashed and its next incarnation has not responded yet.
+    fn may_reveal_crash(&self, id: &BackendServerId, now: Moment) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
         let silent = || now.since(server.contact.failing_since.unwrap_or(self.elected));
-        server.is_reachable() || silent() < BACK_WITHIN
+        server.is_reachable() || silent() < RECOVERY_TIME
     }
 
-    /// Whether a suspect waits for an empty backend server before its last try: after two crashes it is likely that
-    /// the next one takes along what runs there.
+    /// Returns whether a suspected group waits for an empty backend server before its last attempt: after two crashes
+    /// the next run is likely to crash the tasks beside it too.
     pub(crate) fn awaits_empty_server(&self, candidate: &Candidate, now: Moment) -> bool {
         let name = candidate.group(candidate.groups[0]);
         let waited = self.group(name).ready_since.map_or(Duration::ZERO, |since| now.since(since));
         candidate.suspect && is_last_attempt(self.progress_of(name)) && waited < STALL_LIMIT
     }
 
-    /// A run of a group is placed, or is found by a new scheduler: that of a suspect is on trial.
+    /// Starts the isolated retry of a suspected group whose run was placed, or was found by a new scheduler.
     pub(crate) fn begin_isolated_retry(&mut self, name: GroupId) {
         let isolated_retry = is_suspect(self.progress_of(name)).then_some(IsolatedRetry::Started);
         self.group_mut(name).isolated_retry = isolated_retry;
@@ -220,7 +227,7 @@
         }
     }
 
-    /// A backend server was heard: trials there of what has outlived its start end, and others have come further.
+    /// Ends or advances the isolated retries on a backend server that has responded.
     pub(crate) fn update_isolated_retries(&mut self, id: &BackendServerId) {
         if !self.isolated_retries.contains_key(id) {
             return;
@@ -229,10 +236,11 @@
         for name in self.groups_on(id) {
             let group = self.group(name);
             let Some(isolated_retry) = group.isolated_retry else { continue };
-            let goes_well = group.known_run_time(heard) >= Some(GOES_WELL) && !is_last_attempt(self.progress_of(name));
+            let is_stable =
+                group.known_run_time(heard) >= Some(RETRY_STABLE_AFTER) && !is_last_attempt(self.progress_of(name));
             let now = match isolated_retry {
                 _ if group.survived_start(heard) => None,
-                IsolatedRetry::Started if goes_well => Some(IsolatedRetry::Stable),
+                IsolatedRetry::Started if is_stable => Some(IsolatedRetry::Stable),
                 isolated_retry => Some(isolated_retry),
             };
             if now != Some(isolated_retry) {
@@ -246,7 +254,8 @@
         self.group(name).members.iter().map(|member| member.server.clone()).collect()
     }
 
-    /// Lets other work onto a backend server again as far as the trials allow it that are left there.
+    /// Recomputes the isolated retry that restricts a backend server, so that it takes other work again where
+    /// possible.
     pub(crate) fn refresh_isolated_retry(&mut self, id: &BackendServerId) {
         let Some(before) = self.isolated_retries.get(id).copied() else { return };
         let now = self.isolated_retry_on(id);
@@ -261,15 +270,15 @@
         self.plan_requested = true;
     }
 
-    /// The trial on a backend server that has come least far.
+    /// Returns the least advanced isolated retry on a backend server.
     pub(crate) fn isolated_retry_on(&self, id: &BackendServerId) -> Option<IsolatedRetry> {
         self.groups_on(id).into_iter().filter_map(|name| self.group(name).isolated_retry).min()
     }
 
-    fn has_crashed_enough(&self, name: GroupId, index: u32) -> bool {
+    fn has_reached_crash_limit(&self, name: GroupId, index: u32) -> bool {
         let crashes = self.progress_of(name).crashes.iter().filter(|crash| crash.index == index);
         let (early, late): (Vec<&Crash>, Vec<&Crash>) = crashes.partition(|crash| crash.early);
         let started = early.iter().filter(|crash| crash.started).count();
-        early.len() >= EARLY_CRASHES && started >= KNOWN_TO_HAVE_BEGUN || early.len() + late.len() >= CRASHES
+        early.len() >= MAX_EARLY_CRASHES && started >= MIN_CONFIRMED_CRASHES || early.len() + late.len() >= MAX_CRASHES
     }
 }
