--- a/crates/scheduler/src/throttle.rs
+++ b/crates/scheduler/src/throttle.rs
@@ -1,8 +1,8 @@
-//! Best-effort tasks beside tasks with a latency target: slowed while they push a target, let go again after.
+//! Throttling of best-effort tasks that share a backend server with tasks that have a latency target.
 //!
-//! A backend server shows the tail latency of what its serving tasks answer, over the last half second. What
-//! lives on the rest of its processors is slowed at once when a target is missed, since a miss costs far more than
-//! the work held back, and goes faster again in small steps.
+//! A backend server reports the tail latency of its serving tasks over the last half second. Best-effort tasks, which
+//! run on the remaining processors, are throttled at once when a target is missed, since a miss costs far more than
+//! the work held back, and are sped up again in small steps.
 
 use jobs::{RunNumber, Step, TaskId};
 use model::{BackendServerId, Duration, Moment};
@@ -14,47 +14,48 @@
 };
 
 /// Full speed, in percent.
-const FULL: u32 = 100;
-/// A run that an earlier scheduler started is taken for this fast until it has been told, in percent: between a
-/// target missed and work held back.
-const AFTER_ELECTION: u32 = 50;
-/// A pace takes effect after 0.1 s and latency is measured over 0.5 s (users' protocol page): before that a listing
-/// tells nothing of the latest change.
-const SETTLES: Duration = Duration::from_millis(600);
-/// An order without an answer is repeated after this long.
-const REPEAT: Duration = Duration::from_millis(400);
-/// Below this share of a target, best-effort tasks go faster; above [`CLOSE`] they are slowed a little.
-const EASY: f64 = 0.7;
-const CLOSE: f64 = 0.9;
-/// Slower by these factors close to a target and beyond it; faster by so many percent of full speed.
-const SLOW_A_LITTLE: f64 = 0.8;
-const SLOW_A_LOT: f64 = 0.4;
-const FASTER: u32 = 10;
-/// Below this, a run is held still: so little work is not worth the disturbance.
-const LEAST: u32 = 8;
+const FULL_PERCENT: u32 = 100;
+/// Speed that a run started by an earlier scheduler is assumed to have until it is set, in percent: a compromise
+/// between a missed target and work held back.
+const AFTER_ELECTION_PERCENT: u32 = 50;
+/// A throttle takes effect after 0.1 s and latency is measured over 0.5 s (platform protocol); until then a listing
+/// does not reflect the latest change.
+const SETTLING_TIME: Duration = Duration::from_millis(600);
+/// An order without a response is repeated after this long.
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
+/// Below this share of a target, best-effort tasks are sped up; from [`SLOW_DOWN_FROM`] on they are slowed a little.
+const SPEED_UP_BELOW: f64 = 0.7;
+const SLOW_DOWN_FROM: f64 = 0.9;
+/// Factors by which tasks are slowed close to a target and beyond it, and the percentage points by which they are
+/// sped up.
+const SLOW_DOWN_FACTOR: f64 = 0.8;
+const MISSED_TARGET_FACTOR: f64 = 0.4;
+const SPEED_UP_POINTS: u32 = 10;
+/// Below this percentage a run is paused: the little work is not worth the disturbance.
+const PAUSE_BELOW_PERCENT: u32 = 8;
 
-/// How fast a run may work, and what its backend server has been told.
+/// Throttle of a run: the speed that was requested and the one that its backend server has confirmed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Throttle {
-    /// In percent of its full speed.
+    /// Requested speed, in percent of full speed.
     requested: u32,
-    /// What its backend server has confirmed; `None` if that is not known.
+    /// Speed that the backend server has confirmed, in percent; `None` if unknown.
     confirmed: Option<u32>,
-    /// When an order was last sent.
+    /// Time when the order was last sent.
     sent: Option<Moment>,
-    /// When `wanted` last changed.
+    /// Time when the requested speed last changed.
     changed: Option<Moment>,
 }
 
 impl Throttle {
-    /// As a run begins.
+    /// Returns the throttle of a run that starts: full speed.
     pub(crate) fn full() -> Throttle {
-        Throttle { requested: FULL, confirmed: Some(FULL), sent: None, changed: None }
+        Throttle { requested: FULL_PERCENT, confirmed: Some(FULL_PERCENT), sent: None, changed: None }
     }
 
-    /// Of a run that an earlier scheduler may have slowed.
+    /// Returns the throttle of a run that an earlier scheduler may have slowed.
     pub(crate) fn unknown() -> Throttle {
-        Throttle { requested: AFTER_ELECTION, confirmed: None, sent: None, changed: None }
+        Throttle { requested: AFTER_ELECTION_PERCENT, confirmed: None, sent: None, changed: None }
     }
 
     fn set(&mut self, requested: u32, now: Moment) {
@@ -63,18 +64,18 @@
         }
     }
 
-    fn settled(&self, now: Moment) -> bool {
-        self.confirmed == Some(self.requested) && self.changed.is_none_or(|changed| now.since(changed) >= SETTLES)
+    fn is_settled(&self, now: Moment) -> bool {
+        self.confirmed == Some(self.requested) && self.changed.is_none_or(|changed| now.since(changed) >= SETTLING_TIME)
     }
 
     fn is_due(&self, now: Moment) -> bool {
-        self.confirmed != Some(self.requested) && self.sent.is_none_or(|sent| now.since(sent) >= REPEAT)
+        self.confirmed != Some(self.requested) && self.sent.is_none_or(|sent| now.since(sent) >= RETRY_INTERVAL)
     }
 }
 
 impl Scheduler {
-    /// Whether a backend server runs both best-effort tasks and tasks with a latency target, so that its listings
-    /// should be looked at often.
+    /// Returns whether a backend server runs both best-effort tasks and tasks with a latency target, so that it
+    /// should be listed often.
     pub fn watches_latency(&self, id: &BackendServerId) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
         let runs = |is: fn(&Step) -> bool| {
@@ -83,7 +84,8 @@
         runs(|step| step.best_effort) && runs(|step| step.target.is_some())
     }
 
-    /// A backend server lets a run work at this share of its speed.
+    /// Records the speed that a backend server has confirmed for a run, in percent. Ignored if the run is not the
+    /// latest.
     pub fn throttle_replied(&mut self, server: &BackendServerId, task: TaskId, run: RunNumber, percent: u32) {
         let Some(name) = self.group_of(task) else { return };
         if self.progress_of(name).run != run {
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Sets how fast the best-effort tasks of a backend server go, by its latest listing.
+    /// Sets the speeds of the best-effort tasks of a backend server by its latest listing.
     pub(crate) fn throttle_best_effort(&mut self, id: &BackendServerId, now: Moment) {
         let best_effort = self.running_members(id, |step| step.best_effort);
         if best_effort.is_empty() {
@@ -104,7 +106,7 @@
         for (name, index) in best_effort {
             let run = self.progress_of(name).run;
             let Some(member) = self.member_mut(name, index, id) else { continue };
-            if load.is_none() || member.throttle.settled(now) {
+            if load.is_none() || member.throttle.is_settled(now) {
                 member.throttle.set(next_throttle(member.throttle.requested, load), now);
             }
             if !member.throttle.is_due(now) {
@@ -122,7 +124,8 @@
         }
     }
 
-    /// The highest tail latency on a backend server, as a share of its task's target; `None` if nothing there has one.
+    /// Returns the highest tail latency on a backend server, as a share of its task's target; `None` if no task there
+    /// has a target.
     fn highest_load(&self, id: &BackendServerId) -> Option<f64> {
         let share = |(name, index): &(GroupId, u32)| {
             let target = self.step(*name).target?;
@@ -133,7 +136,7 @@
         serving.iter().filter_map(share).reduce(f64::max)
     }
 
-    /// Members that a backend server has shown as running, of the steps that `is` is true of.
+    /// Returns the tasks that a backend server has listed as running, of steps that satisfy `is`.
     fn running_members(&self, id: &BackendServerId, is: fn(&Step) -> bool) -> Vec<(GroupId, u32)> {
         let Some(server) = self.servers.get(id) else { return Vec::new() };
         let runs = |member: &Member| member.server == *id && member.phase == Phase::Running;
@@ -147,19 +150,20 @@
     }
 }
 
-/// How fast a best-effort task goes next, by the highest share of a target that its neighbours have reached.
+/// Returns the next speed of a best-effort task in percent, given the highest share of a target that a task beside it
+/// has reached.
 fn next_throttle(pace: u32, load: Option<f64>) -> u32 {
-    let Some(load) = load else { return FULL };
+    let Some(load) = load else { return FULL_PERCENT };
     let slower = |factor: f64| {
         let slowed = (f64::from(pace) * factor) as u32;
-        if slowed < LEAST { 0 } else { slowed }
+        if slowed < PAUSE_BELOW_PERCENT { 0 } else { slowed }
     };
     if load >= 1.0 {
-        slower(SLOW_A_LOT)
-    } else if load >= CLOSE {
-        slower(SLOW_A_LITTLE)
-    } else if load < EASY {
-        (pace + FASTER).min(FULL)
+        slower(MISSED_TARGET_FACTOR)
+    } else if load >= SLOW_DOWN_FROM {
+        slower(SLOW_DOWN_FACTOR)
+    } else if load < SPEED_UP_BELOW {
+        (pace + SPEED_UP_POINTS).min(FULL_PERCENT)
     } else {
         pace
     }
