--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -1,7 +1,7 @@
-//! Waves of upkeep: machines are emptied and handed to the platform, a few at once, until each had its turn.
+//! Maintenance of machines that operators request: machines are drained and handed to the platform a few at a time.
 //!
-//! The platform answers an upkeep that a machine has had already as if it began, so that an answer that was lost is
-//! made up for by asking again, and a new scheduler by what the store remembers of the wave.
+//! If a machine has already had its maintenance, the platform responds as if it started now. A lost response is
+//! therefore recovered by repeating the request, and a new scheduler continues from the stored progress.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +15,7 @@
     run_state::{GroupId, StopReason},
 };
 
-/// All waves, and the machines as they were last listed.
+/// All maintenance requests, and the machines as they were last listed.
 #[derive(Debug, Default)]
 pub(crate) struct Maintenance {
     batches: BTreeMap<u64, MaintenanceBatch>,
@@ -23,8 +23,7 @@
 }
 
 impl Scheduler {
-    /// Operators ask for a wave of upkeep; `progress` is what the store remembers of it. Told again, it changes
-    /// nothing.
+    /// Adds operators' request for maintenance; `progress` is what the store holds of it. Idempotent.
     pub fn maintenance_requested(&mut self, request: MaintenanceRequest, progress: MaintenanceProgress, now: Moment) {
         if self.maintenance.batches.contains_key(&request.number) {
             return;
@@ -41,12 +40,12 @@
         self.maintenance.batches.insert(batch.request.number, batch);
     }
 
-    /// Whether some wave is not over, so that the platform's machines should be listed.
+    /// Returns whether any request is unfinished or not yet stored, so that the platform's machines should be listed.
     pub fn has_open_maintenance(&self) -> bool {
         self.maintenance.batches.values().any(|batch| !batch.progress.succeeded || !batch.stored)
     }
 
-    /// The platform has listed its machines; machines of waves are chosen and emptied.
+    /// Updates the machines by the platform's list, and chooses and drains machines of each request.
     pub fn machines_listed(&mut self, machines: Vec<Machine>, now: Moment) {
         self.maintenance.machines = machines.into_iter().map(|machine| (machine.id.clone(), machine)).collect();
         let Scheduler { maintenance: Maintenance { batches, machines }, servers, .. } = self;
@@ -60,7 +59,7 @@
         self.update_closed_servers();
     }
 
-    /// Machines that can be handed over now, each with its wave.
+    /// Returns the machines that can be handed over now, each with the number of its request.
     pub fn machines_due_for_maintenance(&mut self, now: Moment) -> Vec<(u64, MachineId)> {
         let mut due = Vec::new();
         for (number, id, patience_over) in self.emptying(now) {
@@ -73,7 +72,8 @@
         due
     }
 
-    /// Notes which life an upkeep ends, unless it has been asked for before: it may have ended that one then.
+    /// Records which incarnation the maintenance ends, on the first attempt to hand a machine over: that attempt may
+    /// succeed without a response.
     fn record_incarnation(&mut self, number: u64, id: &MachineId) {
         let Scheduler { maintenance, servers, .. } = self;
         let Some(drain) = maintenance.batches.get_mut(&number).and_then(|batch| batch.emptying.get_mut(id)) else {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// What came of handing a machine over.
+    /// Handles the result of handing a machine over.
     pub fn maintenance_replied(&mut self, number: u64, id: &MachineId, reply: MaintenanceReply, now: Moment) {
         log::info!("event=upkeep wave={number} machine={id} fence={} outcome={reply:?}", self.fence);
         let Some(batch) = self.maintenance.batches.get_mut(&number) else { return };
@@ -105,20 +105,21 @@
         self.update_closed_servers();
     }
 
-    /// Progress of waves that the store does not hold.
+    /// Returns the progress of requests that is not yet stored.
     pub fn pending_maintenance_writes(&self) -> Vec<(u64, MaintenanceProgress)> {
         let unstored = self.maintenance.batches.iter().filter(|(_, batch)| !batch.stored);
         unstored.map(|(number, batch)| (*number, batch.progress.clone())).collect()
     }
 
-    /// The store holds the progress of a wave.
+    /// Records that the store holds this progress of a request.
     pub fn maintenance_stored(&mut self, number: u64, progress: &MaintenanceProgress) {
         if let Some(batch) = self.maintenance.batches.get_mut(&number) {
             batch.stored = batch.progress == *progress;
         }
     }
 
-    /// Starts emptying as many more machines of a wave as may be down beside those that are: the idlest first.
+    /// Starts to drain as many more machines as may be down in addition to those that are, those with the fewest
+    /// groups first.
     fn choose_machines(&mut self, number: u64, now: Moment) {
         let Some(batch) = self.maintenance.batches.get(&number) else { return };
         let machines = &self.maintenance.machines;
@@ -130,7 +131,7 @@
                 && !batch.down.contains_key(*id)
         };
         let mut waiting: Vec<&MachineId> = batch.request.machines.iter().filter(waits).collect();
-        waiting.sort_by_cached_key(|id| self.members_on(id).len());
+        waiting.sort_by_cached_key(|id| self.groups_on_machine(id).len());
         let chosen: Vec<MachineId> =
             waiting.into_iter().take(batch.request.most_at_once.saturating_sub(taken)).cloned().collect();
         let age = now.since(batch.since);
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Backend servers on machines that are being emptied get no new work.
+    /// Closes backend servers to new work while their machines are being drained, and opens the others.
     fn update_closed_servers(&mut self) {
         let emptying = |id: &MachineId| self.maintenance.batches.values().any(|batch| batch.emptying.contains_key(id));
         let closed: BTreeSet<BackendServerId> =
@@ -155,7 +156,8 @@
         }
     }
 
-    /// Machines that are being emptied, each with its wave, and whether work there was given its time to end by itself.
+    /// Returns the machines that are being drained, each with the number of its request and whether the time for work
+    /// to end by itself is over.
     fn emptying(&self, now: Moment) -> Vec<(u64, MachineId, bool)> {
         let of_wave = |(number, batch): (&u64, &MaintenanceBatch)| {
             let (number, patience) = (*number, batch.patience());
@@ -166,22 +168,22 @@
         self.maintenance.batches.iter().flat_map(of_wave).collect()
     }
 
-    /// Moves what runs on a machine, as far as that may be; whether nothing is left there.
+    /// Stops what may be moved off a machine; returns whether nothing runs there.
     fn empty_machine(&mut self, id: &MachineId, patience_over: bool, now: Moment) -> bool {
-        let members = self.members_on(id);
+        let members = self.groups_on_machine(id);
         let empty = members.is_empty();
         for name in members {
             let step = self.step(name);
-            let moves_well = step.checkpoints || step.long_running;
-            if (moves_well || patience_over) && self.may_interrupt(name) {
+            let can_be_moved = step.checkpoints || step.long_running;
+            if (can_be_moved || patience_over) && self.may_interrupt(name) {
                 self.stop_group(name, StopReason::ServerLeaving, now);
             }
         }
         empty
     }
 
-    /// Groups with a member on a machine.
-    fn members_on(&self, id: &MachineId) -> Vec<GroupId> {
+    /// Returns the groups with a task on a machine.
+    fn groups_on_machine(&self, id: &MachineId) -> Vec<GroupId> {
         let server = self.maintenance.machines.get(id).and_then(|machine| machine.server.as_ref());
         server.map(|id| self.groups_on(id)).unwrap_or_default()
     }
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -1,4 +1,4 @@
-//! One wave of upkeep: which of its machines are being emptied, which are down, and when one is back.
+//! One maintenance request: which of its machines are being drained, which are down, and when one is back.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,14 +9,14 @@
 use model::{BackendServerId, Duration, Incarnation, Moment};
 use serde::{Deserialize, Serialize};
 
-/// Work that cannot go on elsewhere from a checkpoint may end by itself for so long, but no longer than its share of
-/// the wave's time.
-const EMPTIES_BY_ITSELF: Duration = Duration::from_secs(5);
-/// A machine that was handed over counts as down for so long at most, if nothing shows that it is back: far above
-/// what an upkeep takes (users: 2 s).
-const DOWN_AT_MOST: Duration = Duration::from_secs(30);
+/// How long work that cannot resume elsewhere from a checkpoint may take to end by itself, but at most its share of
+/// the request's time.
+const MAX_WAIT_FOR_COMPLETION: Duration = Duration::from_secs(5);
+/// A machine that was handed over counts as down for at most this long if nothing shows that it is back: far longer
+/// than maintenance takes (platform: 2 s).
+const MAX_DOWN_TIME: Duration = Duration::from_secs(30);
 
-/// A machine, whatever backend server lives on it.
+/// Id of a machine, independent of the backend server that runs on it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct MachineId(Arc<str>);
@@ -27,62 +27,63 @@
     }
 }
 
-/// A machine as the platform lists it.
+/// Machine as the platform lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Machine {
-    /// Its name.
+    /// Id of the machine.
     pub id: MachineId,
-    /// It runs; not so while it is being moved or has its upkeep.
+    /// Whether it is up; `false` while it is being moved or maintained.
     pub up: bool,
-    /// The backend server that lives on it.
+    /// Backend server that runs on it; `None` if there is none.
     pub server: Option<BackendServerId>,
 }
 
-/// Upkeep that operators ask for.
+/// Operators' request for maintenance.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MaintenanceRequest {
-    /// Its number.
+    /// Number of the request; unique.
     pub number: u64,
-    /// Which machines.
+    /// Machines to maintain.
     pub machines: Vec<MachineId>,
-    /// How long the whole wave may take.
+    /// Time that the whole request may take.
     pub term: Duration,
-    /// How many may be down at once.
+    /// How many of the machines may be down at once.
     pub most_at_once: usize,
 }
 
-/// How far a wave has come, as the store remembers it.
+/// Progress of a maintenance request, as stored.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MaintenanceProgress {
-    /// Machines that have begun their upkeep.
+    /// Machines whose maintenance has started.
     #[serde(rename = "begun")]
     pub started: BTreeSet<MachineId>,
-    /// Every machine that remains has.
+    /// Whether maintenance of all machines that still exist has started.
     pub succeeded: bool,
 }
 
-/// What the platform answers to an upkeep.
+/// Response of the platform when a machine is handed over for maintenance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MaintenanceReply {
-    /// It has begun, now or before.
+    /// The maintenance has started, now or earlier.
     Begun,
-    /// Not now: the machine is not up.
+    /// The machine is not up; retry later.
     Busy,
-    /// Never: there is no such machine, or it is not of the wave.
+    /// No such machine exists, or it does not belong to the request.
     Never,
-    /// No answer: it may have begun.
+    /// No response; the maintenance may have started.
     Unknown,
 }
 
-/// A machine that is being emptied, or that was handed over and is not known to be back; since when.
+/// Machine that is being drained, or that was handed over and is not known to be back, with the time since when.
 #[derive(Debug, Clone)]
 pub(crate) struct MachineDrain {
     pub(crate) since: Moment,
-    /// The backend server that lives on it before its upkeep.
+    /// Backend server that runs on it before its maintenance.
     pub(crate) server: Option<BackendServerId>,
-    /// In which life, when the machine was first about to be handed over: another one may come back under its id.
+    /// Incarnation of that backend server on the first attempt to hand the machine over; another one may return under
+    /// its id.
     pub(crate) incarnation: Option<Incarnation>,
-    /// It has been about to be handed over.
+    /// Whether there was an attempt to hand it over.
     pub(crate) asked: bool,
 }
 
@@ -91,29 +92,33 @@
         MachineDrain { since: now, server, incarnation: None, asked: false }
     }
 
-    /// Whether another life is on the machine, by the platform's list or by what answers.
-    fn is_followed(&self, machine: &Machine, incarnation_of: impl Fn(&BackendServerId) -> Option<Incarnation>) -> bool {
+    /// Returns whether another incarnation runs on the machine, by the platform's list or by its responses.
+    fn has_new_incarnation(
+        &self,
+        machine: &Machine,
+        incarnation_of: impl Fn(&BackendServerId) -> Option<Incarnation>,
+    ) -> bool {
         let heard = machine.server.as_ref().and_then(incarnation_of);
         machine.server != self.server || self.incarnation.zip(heard).is_some_and(|(before, now)| before != now)
     }
 }
 
-/// A wave of upkeep: what operators ask for, and how far it has come.
+/// Maintenance request and its progress.
 #[derive(Debug)]
 pub(crate) struct MaintenanceBatch {
     pub(crate) request: MaintenanceRequest,
     pub(crate) since: Moment,
     pub(crate) progress: MaintenanceProgress,
-    /// The store holds `progress` as it is.
+    /// Whether the store holds `progress` as it is.
     pub(crate) stored: bool,
-    /// Machines that are being emptied; an upkeep without an answer leaves its machine here, to be asked for again.
+    /// Machines that are being drained; one whose maintenance got no response stays here and is requested again.
     pub(crate) emptying: BTreeMap<MachineId, MachineDrain>,
     /// Machines that were handed over.
     pub(crate) down: BTreeMap<MachineId, MachineDrain>,
 }
 
 impl MaintenanceBatch {
-    /// Takes in what the platform lists: machines that are back, and that are gone.
+    /// Applies the platform's list: removes machines that are back or no longer exist.
     pub(crate) fn apply_listing(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
@@ -121,8 +126,9 @@
         now: Moment,
     ) {
         self.down.retain(|id, down| {
-            let back = machines.get(id).is_none_or(|machine| machine.up && down.is_followed(machine, &incarnation_of));
-            !back && now.since(down.since) < DOWN_AT_MOST
+            let back =
+                machines.get(id).is_none_or(|machine| machine.up && down.has_new_incarnation(machine, &incarnation_of));
+            !back && now.since(down.since) < MAX_DOWN_TIME
         });
         self.emptying.retain(|id, _| machines.contains_key(id));
         let remaining = |id: &&MachineId| machines.contains_key(*id) && !self.progress.started.contains(*id);
@@ -132,16 +138,16 @@
         }
     }
 
-    /// How many machines of the wave are down or about to be, by the list or by what was asked for.
+    /// Returns how many machines of the request are down or about to be, by the list or by what was requested.
     pub(crate) fn count_unavailable(&self, machines: &BTreeMap<MachineId, Machine>) -> usize {
         let asked = |id: &MachineId| self.down.contains_key(id) || self.emptying.contains_key(id);
         let taken = |id: &&MachineId| asked(id) || machines.get(*id).is_some_and(|machine| !machine.up);
         self.request.machines.iter().filter(taken).count()
     }
 
-    /// How long work may take to end by itself on one machine.
+    /// Returns how long work on one machine may take to end by itself.
     pub(crate) fn patience(&self) -> Duration {
         let turns = self.request.machines.len().div_ceil(self.request.most_at_once.max(1));
-        self.request.term.scaled(0.5 / turns.max(1) as f64).min(EMPTIES_BY_ITSELF)
+        self.request.term.scaled(0.5 / turns.max(1) as f64).min(MAX_WAIT_FOR_COMPLETION)
     }
 }
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -1,7 +1,7 @@
-//! Queues whose steps may run only where an adviser allows it: whom to ask about, and what it has said.
+//! Placement permits: some queues' steps may run only where the permit service allows it.
 //!
-//! The adviser's verdict on a backend server never changes for a step, but its leave is a ticket that holds for a
-//! while only. So what is refused is never asked again, and what was allowed is asked again once it is needed.
+//! Whether a backend server is allowed for a step never changes, but a permit is valid only for a while. So backend
+//! servers that were refused are never requested again, and those that were allowed are requested again when needed.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,58 +18,58 @@
     server_capacity::ServerCapacity,
 };
 
-/// The adviser's leave for a step on a backend server, opaque to the scheduler.
+/// Permit to run a step on a backend server, issued by the permit service; opaque to the scheduler.
 pub type Permit = Arc<str>;
 
-/// Backend servers that one question names at most: what the users' rules page allows for in a job's objective.
-const MOST_ASKED: usize = 30;
-/// A ticket is not used for starts in the last part of its time: a start is stored before it is sent.
-const TICKET_MARGIN: Duration = Duration::from_millis(300);
+/// Most backend servers in one request: the number that the platform rules allow for in a job's objective.
+const MAX_SERVERS_PER_REQUEST: usize = 30;
+/// A permit is not used for starts in the last part of its validity, since a start is stored before it is sent.
+const PERMIT_MARGIN: Duration = Duration::from_millis(300);
 
-/// A question to the adviser.
+/// Request to the permit service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PermitRequest {
-    /// Which step is to run.
+    /// Step that is to run.
     pub step: StepId,
-    /// Where it might.
+    /// Backend servers that the step might run on.
     pub servers: Vec<BackendServerId>,
-    /// How long the answer takes the adviser.
+    /// Time that the permit service takes to respond.
     pub takes: Duration,
-    /// How long its tickets hold.
+    /// Validity of its permits.
     valid: Duration,
 }
 
-/// What the adviser has said of a step on a backend server.
+/// Decision of the permit service on a step and a backend server.
 #[derive(Debug, Clone)]
 enum Verdict {
     Refused,
     Allowed { permit: Permit, until: Moment },
 }
 
-/// What the adviser has said, and what it is to be asked.
+/// Decisions of the permit service, and the requests to send next.
 #[derive(Debug, Default)]
 pub(crate) struct PermitBook {
     verdicts: BTreeMap<StepId, BTreeMap<BackendServerId, Verdict>>,
-    /// By the order of the latest plan.
+    /// Requests of the latest plan, in its order.
     requests: Vec<PermitRequest>,
-    /// The step that the adviser is being asked about.
-    asking: Option<StepId>,
+    /// Step of the request in flight.
+    in_flight: Option<StepId>,
 }
 
 impl PermitBook {
-    /// Questions of an earlier plan that were not asked are dropped: this one tells what is wanted now.
+    /// Drops the requests of the previous plan that were not sent; the next plan determines what is needed now.
     pub(crate) fn clear_requests(&mut self) {
         self.requests.clear();
     }
 
-    /// Where a step may start now.
+    /// Returns the backend servers with a valid permit for a step.
     pub(crate) fn allowed(&self, step: StepId, now: Moment) -> BTreeSet<&BackendServerId> {
         let holds = |verdict: &Verdict| matches!(verdict, Verdict::Allowed { until, .. } if now < *until);
         let verdicts = self.verdicts.get(&step).into_iter().flatten();
         verdicts.filter(|(_, verdict)| holds(verdict)).map(|(id, _)| id).collect()
     }
 
-    /// The ticket for a step, also once its time is over.
+    /// Returns the permit for a step on a backend server, even if it has expired.
     pub(crate) fn permit(&self, step: StepId, server: &BackendServerId) -> Option<Permit> {
         match self.verdicts.get(&step)?.get(server)? {
             Verdict::Allowed { permit, .. } => Some(Arc::clone(permit)),
@@ -77,14 +77,15 @@
         }
     }
 
-    /// A backend server did not take a ticket: it has to be asked for again.
+    /// Removes a permit that the backend server refused, so that it is requested again.
     pub(crate) fn permit_refused(&mut self, step: StepId, server: &BackendServerId) {
         if let Some(verdicts) = self.verdicts.get_mut(&step) {
             verdicts.remove(server);
         }
     }
 
-    /// Tickets hold for one life of a backend server, and another one answers there.
+    /// Removes the permits for a backend server, since they are valid for one incarnation and another one has
+    /// responded.
     pub(crate) fn remove_permits_for(&mut self, server: &BackendServerId) {
         for verdicts in self.verdicts.values_mut() {
             if matches!(verdicts.get(server), Some(Verdict::Allowed { .. })) {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// No step of the occurrence will start again.
+    /// Removes the decisions for an occurrence that starts no more steps.
     pub(crate) fn remove_occurrence(&mut self, occurrence: OccurrenceId) {
         self.verdicts.retain(|step, _| step.occurrence != occurrence);
     }
@@ -104,29 +105,31 @@
 }
 
 impl Scheduler {
-    /// Whether the adviser is to be asked something.
+    /// Returns whether a request is to be sent to the permit service now.
     pub fn has_permit_requests(&self) -> bool {
-        self.permits.asking.is_none() && !self.permits.requests.is_empty()
+        self.permits.in_flight.is_none() && !self.permits.requests.is_empty()
     }
 
-    /// What the adviser is to be asked next: one question at a time, since it answers them in turn.
+    /// Returns the next request, unless one is in flight; the permit service handles one at a time. Its outcome must
+    /// be reported before the next request is returned.
     pub fn take_permit_request(&mut self) -> Option<PermitRequest> {
-        if self.permits.asking.is_some() || self.permits.requests.is_empty() {
+        if self.permits.in_flight.is_some() || self.permits.requests.is_empty() {
             return None;
         }
         let request = self.permits.requests.remove(0);
-        self.permits.asking = Some(request.step);
+        self.permits.in_flight = Some(request.step);
         Some(request)
     }
 
-    /// The adviser left a question without an answer: the next plan asks again, if it still has to.
+    /// Records that a request got no response. The next plan requests permits again if they are still needed.
     pub fn permit_request_failed(&mut self, request: &PermitRequest) {
         log::info!("job={} event=not_advised step={}", request.step.occurrence.job, request.step);
-        self.permits.asking = None;
+        self.permits.in_flight = None;
         self.plan_requested = true;
     }
 
-    /// The adviser allows these of the backend servers of a question that was sent at `sent`, and no others.
+    /// Records the response to a request that was sent at `sent`: the backend servers with a permit; the others are
+    /// refused.
     pub fn permits_received(
         &mut self,
         request: &PermitRequest,
@@ -140,12 +143,12 @@
             request.servers.len(),
             allowed.len()
         );
-        self.permits.asking = None;
+        self.permits.in_flight = None;
         self.plan_requested = true;
         if !self.open_jobs.contains(&job) {
             return;
         }
-        let until = sent + Duration::from_millis(request.valid.millis().saturating_sub(TICKET_MARGIN.millis()));
+        let until = sent + Duration::from_millis(request.valid.millis().saturating_sub(PERMIT_MARGIN.millis()));
         let verdicts = self.permits.verdicts.entry(request.step).or_default();
         for server in &request.servers {
             let verdict = match allowed.get(server) {
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Asks about more backend servers for a candidate that has not been placed whole.
+    /// Requests permits for further backend servers for a candidate that was not placed completely.
     pub(crate) fn request_permits(&mut self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) {
         let Some(request) = self.request(candidate, fleet, now) else { return };
         if !request.servers.is_empty() {
@@ -166,35 +169,35 @@
 
     fn request(&self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) -> Option<PermitRequest> {
         let waits = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
-        if self.permits.asking == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
+        if self.permits.in_flight == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
             return None;
         }
         let queue = &self.jobs[&candidate.occurrence.job].job.queue;
         let permits = self.policy.queues.get(queue)?.permits?;
         let requirements = self.requirements(candidate, now)?;
-        let servers = self.to_be_asked(candidate, &requirements, fleet);
+        let servers = self.servers_to_request(candidate, &requirements, fleet);
         let takes = permits.base + permits.each.scaled(servers.len() as f64);
         Some(PermitRequest { step: candidate.step_id(), servers, takes, valid: permits.valid })
     }
 
-    /// Backend servers without a ticket that holds, the most promising first: those of racks with most room, if the
-    /// step has to stay in one, then those with most room themselves.
-    fn to_be_asked(
+    /// Returns the backend servers without a valid permit, the most promising first: if the step has to stay in one
+    /// rack, those of the racks with the most capacity, then those with the most capacity themselves.
+    fn servers_to_request(
         &self,
         candidate: &Candidate,
         requirements: &Requirements<'_>,
         fleet: &FleetCapacity,
     ) -> Vec<BackendServerId> {
         let step = candidate.step_id();
-        let could =
+        let may_be_allowed =
             |server: &ServerCapacity| requirements.could_run(server) && !self.permits.is_refused(step, &server.id);
         let mut free_in_rack: BTreeMap<&Arc<str>, u64> = BTreeMap::new();
-        for (_, server) in fleet.iter().filter(|(_, server)| could(server)) {
+        for (_, server) in fleet.iter().filter(|(_, server)| may_be_allowed(server)) {
             *free_in_rack.entry(&server.rack).or_default() +=
                 requirements.fitting(&server.id, &server.free_after_stops);
         }
-        let unknown = |server: &&ServerCapacity| could(server) && !requirements.allows(server);
-        let mut order: Vec<&ServerCapacity> = fleet.iter().map(|(_, server)| server).filter(unknown).collect();
+        let is_undecided = |server: &&ServerCapacity| may_be_allowed(server) && !requirements.allows(server);
+        let mut order: Vec<&ServerCapacity> = fleet.iter().map(|(_, server)| server).filter(is_undecided).collect();
         order.sort_by_key(|server| {
             let in_rack = if requirements.step.same_rack { free_in_rack[&server.rack] } else { 0 };
             let near = requirements.step.data_rack.as_ref().is_none_or(|rack| *rack == server.rack);
@@ -205,6 +208,6 @@
                 &server.id,
             )
         });
-        order.into_iter().take(MOST_ASKED).map(|server| server.id.clone()).collect()
+        order.into_iter().take(MAX_SERVERS_PER_REQUEST).map(|server| server.id.clone()).collect()
     }
 }
