--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -1,8 +1,8 @@
-//! Whether a backend server takes new work, and what becomes of what it runs once it takes none.
+//! Draining: when a backend server accepts no new work, and what then happens to its runs.
 //!
-//! It takes none while it leaves at short notice or is drained, while its machine is being emptied for upkeep, and while its
-//! availability zone is evacuated. What it runs ends there if it can; what cannot, or should not, goes on elsewhere, a
-//! gang as a whole.
+//! It accepts none after it has announced its departure or while it is drained, while its machine is drained for
+//! maintenance, and while its availability zone is evacuated. Its runs end there if they can; the others are stopped
+//! and restarted elsewhere, gangs as a whole.
 
 use jobs::{Duration, TaskId};
 use model::{BackendServerId, Moment};
@@ -14,7 +14,7 @@
 };
 
 impl Server {
-    /// Whether new work may be placed here.
+    /// Returns whether new work may be placed here.
     pub(crate) fn accepts_work(&self, now: Moment) -> bool {
         let steady = self.info.as_ref().is_some_and(|info| !info.draining);
         let stays = steady && !self.closed_for_maintenance && !self.evacuated && self.is_as_listed();
@@ -23,7 +23,7 @@
 }
 
 impl Scheduler {
-    /// Moves what cannot end before its backend server leaves.
+    /// Stops runs that cannot end before their backend server departs.
     pub(crate) fn stop_before_departure(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
         let Some(remaining) = server.info.as_ref().and_then(|info| info.remaining) else { return };
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Groups with a member on a backend server, each once.
+    /// Returns the groups with a task on a backend server, each once.
     pub(crate) fn groups_on(&self, id: &BackendServerId) -> Vec<GroupId> {
         let Some(server) = self.servers.get(id) else { return Vec::new() };
         let mut names: Vec<GroupId> = server.members.keys().filter_map(|task: &TaskId| self.group_of(*task)).collect();
@@ -42,21 +42,22 @@
         names
     }
 
-    /// How long a group's run has left: by how far its slowest member had come when it last told, or by what was declared
-    /// while one of them has told nothing.
+    /// Returns the remaining time of a group's run: by the latest progress of its slowest task, or by the declared
+    /// duration if any task has not reported progress.
     pub(crate) fn time_left(&self, name: GroupId, now: Moment) -> Duration {
         let group = self.group(name);
-        let left: Option<Vec<f64>> = group.members.iter().map(|member| member.left_s(group.placed_at, now)).collect();
+        let left: Option<Vec<f64>> =
+            group.members.iter().map(|member| member.remaining_s(group.placed_at, now)).collect();
         let declared = || self.step(name).estimate.secs_f64() - now.since(group.placed_at).secs_f64();
-        let left_s = left.map_or_else(declared, |left| left.into_iter().fold(0.0, f64::max));
-        Duration::from_millis((left_s.max(0.0) * 1000.0) as u64)
+        let remaining_s = left.map_or_else(declared, |left| left.into_iter().fold(0.0, f64::max));
+        Duration::from_millis((remaining_s.max(0.0) * 1000.0) as u64)
     }
 }
 
 impl Member {
-    /// Seconds that a run has left by how far it had come when it last told; `None` if it has told nothing. What it told may
-    /// be as old as a renewal: taken for news, half of a run of 2 s seemed to be a quarter.
-    fn left_s(&self, started: Moment, now: Moment) -> Option<f64> {
+    /// Returns the remaining seconds of a run by its latest progress; `None` if there is none. The progress may be as
+    /// old as the latest renewal: taken as current, half of a run of 2 s appeared to be a quarter.
+    fn remaining_s(&self, started: Moment, now: Moment) -> Option<f64> {
         if self.percent == 0 {
             return None;
         }
--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -1,9 +1,9 @@
-//! Availability zones that operators have evacuated: nothing starts there until they are taken back.
+//! Evacuated availability zones: nothing starts there until operators end the evacuation.
 //!
-//! From the moment the scheduler knows, nothing more is placed or ordered there. What was placed and not ordered is placed
-//! anew elsewhere; an order that got no answer is not repeated. What runs there ends there, since the zone only takes
-//! no more: moving it would throw away what it has done since its checkpoint. Tasks that never end by themselves are the
-//! exception: they go as soon as their step allows.
+//! From the moment the scheduler has recorded an evacuation, nothing is placed there and no start is ordered there.
+//! Placements that were not ordered are moved elsewhere; an order without a response is not repeated. Runs there
+//! continue until they end, since the zone only accepts no more work: moving them would lose the work since their
+//! checkpoint. Long-running tasks never end by themselves, so they are moved as soon as their step allows it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,86 +15,87 @@
     run_state::{GroupId, StopReason},
 };
 
-/// Who has asked for an evacuation. One that both have asked for is over only when both have taken it back.
+/// Who requested an evacuation. If both did, it ends only when both have ended it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, derive_more::Display)]
 #[serde(rename_all = "snake_case")]
 #[display(rename_all = "snake_case")]
 pub enum EvacuatedBy {
-    /// The platform's operators: it is obeyed whatever it leaves room for.
+    /// Operators of the platform; followed even if the capacity left is too small.
     Platform,
-    /// martenscale's own operators.
+    /// Operators of martenscale.
     Operators,
 }
 
-/// What is known of an evacuated availability zone.
+/// An evacuated availability zone.
 #[derive(Debug, Clone)]
 struct Evacuation {
     since: Moment,
     by: BTreeSet<EvacuatedBy>,
 }
 
-/// How far an evacuation has come.
+/// Progress of an evacuation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct EvacuationStatus {
-    /// Which availability zone.
+    /// Evacuated availability zone.
     pub availability_zone: AvailabilityZoneId,
-    /// Who has asked for it.
+    /// Who has requested the evacuation.
     pub by: Vec<EvacuatedBy>,
-    /// For how long this scheduler has known of it.
+    /// Milliseconds since this scheduler recorded it.
     pub known_ms: u64,
-    /// Tasks that still run there, or may.
+    /// Tasks that run there or may run there.
     pub running_tasks: usize,
-    /// How long the last of them still takes, by what was declared and how far it has come; those that never end by
-    /// themselves apart.
+    /// Longest remaining time of a run there in milliseconds, by declared durations and reported progress;
+    /// long-running tasks do not count.
     pub longest_left_ms: u64,
-    /// Accelerators that customers are guaranteed.
+    /// Accelerators that all customers are guaranteed together.
     pub guaranteed: u64,
-    /// Accelerators outside of all evacuated availability zones; guarantees cannot all be kept if they are fewer.
+    /// Accelerators outside all evacuated availability zones. If there are fewer than `guaranteed`, not all
+    /// guarantees can be kept.
     pub accelerators_elsewhere: u64,
 }
 
-/// Why operators' evacuation is refused.
+/// Reason why operators' evacuation is refused.
 #[derive(Debug, Clone, PartialEq, Eq, derive_more::Display, derive_more::Error)]
 pub enum EvacuationError {
-    /// No backend server is listed there.
+    /// The availability zone has no listed backend server.
     #[display("no backend server is in availability zone {zone}; allowed are {}", known.join(", "))]
     UnknownZone {
-        /// As asked.
+        /// Requested availability zone.
         zone: AvailabilityZoneId,
-        /// Those that have backend servers.
+        /// Availability zones that have backend servers.
         known: Vec<String>,
     },
-    /// Nothing would be left.
-    #[display("{zone} is the last availability zone that is not evacuated; take another one back first")]
+    /// No other availability zone would be left.
+    #[display("{zone} is the last availability zone that is not evacuated; end another evacuation first")]
     LastZone {
-        /// As asked.
+        /// Requested availability zone.
         zone: AvailabilityZoneId,
     },
-    /// What is left cannot hold what customers are guaranteed.
+    /// The remaining capacity cannot hold what customers are guaranteed.
     #[display(
         "without {zone} {left} accelerators are left, and customers are guaranteed {guaranteed}: {} too few",
         guaranteed - left
     )]
     Guarantees {
-        /// As asked.
+        /// Requested availability zone.
         zone: AvailabilityZoneId,
-        /// Accelerators outside of the evacuated availability zones.
+        /// Accelerators that would remain outside the evacuated availability zones.
         left: u64,
-        /// Accelerators that customers are guaranteed.
+        /// Accelerators that all customers are guaranteed together.
         guaranteed: u64,
     },
 }
 
-/// The evacuated availability zones.
+/// Evacuated availability zones.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
     zones: BTreeMap<AvailabilityZoneId, Evacuation>,
-    /// All that have had backend servers.
+    /// Availability zones that have ever had backend servers.
     known: BTreeSet<AvailabilityZoneId>,
 }
 
 impl Evacuations {
-    /// A backend server is there.
+    /// Records that an availability zone has a backend server.
     pub(crate) fn record_zone(&mut self, zone: &AvailabilityZoneId) {
         if !self.known.contains(zone) {
             self.known.insert(zone.clone());
@@ -107,7 +108,7 @@
 }
 
 impl Scheduler {
-    /// An availability zone is to be evacuated. Told again, it changes nothing.
+    /// Evacuates an availability zone. Idempotent.
     pub fn evacuate(&mut self, zone: &AvailabilityZoneId, by: EvacuatedBy, now: Moment) {
         let anew = || Evacuation { since: now, by: BTreeSet::new() };
         let was_known = self.evacuations.is_evacuated(zone);
@@ -120,7 +121,7 @@
         }
     }
 
-    /// An availability zone is taken back by one who has asked for its evacuation.
+    /// Ends an availability zone's evacuation for one of those who requested it; does nothing if `by` did not.
     pub fn end_evacuation(&mut self, zone: &AvailabilityZoneId, by: EvacuatedBy) {
         let Some(evacuation) = self.evacuations.zones.get_mut(zone) else { return };
         if !evacuation.by.remove(&by) {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Exactly these availability zones are evacuated by `by`.
+    /// Makes the zones that `by` evacuates exactly these.
     pub fn set_evacuated(&mut self, by: EvacuatedBy, zones: &BTreeSet<AvailabilityZoneId>, now: Moment) {
         let known = self.evacuations.zones.iter().filter(|(_, evacuation)| evacuation.by.contains(&by));
         let over: Vec<AvailabilityZoneId> =
@@ -148,7 +149,8 @@
         }
     }
 
-    /// Whether operators may evacuate an availability zone.
+    /// Checks whether operators may evacuate an availability zone. Fails if it has no backend servers, is the last
+    /// one that is not evacuated, or the rest could not hold all guarantees.
     pub fn check_evacuation(&self, zone: &AvailabilityZoneId) -> Result<(), EvacuationError> {
         let known = self.accelerators_by_zone();
         if !known.contains_key(zone) {
@@ -167,7 +169,7 @@
         Ok(())
     }
 
-    /// How far each evacuation has come.
+    /// Returns the progress of each evacuation.
     pub fn evacuations(&self, now: Moment) -> Vec<EvacuationStatus> {
         let by_zone = self.accelerators_by_zone();
         let elsewhere = by_zone.iter().filter(|(zone, _)| !self.evacuations.is_evacuated(zone)).map(|(_, n)| n).sum();
@@ -188,12 +190,12 @@
         self.evacuations.zones.iter().map(status).collect()
     }
 
-    /// How many availability zones have had backend servers.
+    /// Returns how many availability zones have ever had backend servers.
     pub fn availability_zones(&self) -> usize {
         self.evacuations.known.len()
     }
 
-    /// Tasks that last leave evacuated availability zones, as their steps allow.
+    /// Stops long-running tasks in evacuated availability zones as far as their steps allow it.
     pub(crate) fn evacuate_long_running(&mut self, now: Moment) {
         let zones: Vec<AvailabilityZoneId> = self.evacuations.zones.keys().cloned().collect();
         for id in zones.iter().flat_map(|zone| self.servers_in(zone)).collect::<Vec<_>>() {
@@ -205,7 +207,7 @@
         }
     }
 
-    /// Nothing starts in an availability zone from here on: what was placed there and not ordered is placed anew.
+    /// Closes an availability zone to new work: placements there that were not ordered are moved elsewhere.
     fn close_zone(&mut self, zone: &AvailabilityZoneId, now: Moment) {
         self.mark_zone(zone);
         for id in self.servers_in(zone) {
@@ -215,7 +217,7 @@
         self.plan_requested = true;
     }
 
-    /// Notes at each backend server of an availability zone whether it is evacuated.
+    /// Updates whether each backend server of an availability zone is evacuated.
     fn mark_zone(&mut self, zone: &AvailabilityZoneId) {
         let evacuated = self.evacuations.is_evacuated(zone);
         for id in self.servers_in(zone) {
--- a/crates/scheduler/src/policy.rs
+++ b/crates/scheduler/src/policy.rs
@@ -1,4 +1,4 @@
-//! What the operators' configuration asks of the scheduler.
+//! Settings of the scheduler in the operators' configuration.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,7 +7,7 @@
 use model::{CustomerId, Duration};
 use serde::{Deserialize, Serialize};
 
-/// A pool of backend servers that run one service.
+/// Id of a service: a pool of backend servers that run it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[serde(transparent)]
 pub struct ServiceId(Arc<str>);
@@ -18,54 +18,54 @@
     }
 }
 
-/// The adviser of a queue tells which backend servers may run a step, and gives a ticket for each.
+/// How a queue uses the permit service, which decides on which backend servers a step may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PermitPolicy {
-    /// What each question takes.
+    /// Time that each request takes.
     pub base: Duration,
-    /// What each backend server that it names takes besides.
+    /// Additional time for each backend server in a request.
     pub each: Duration,
-    /// How long a ticket holds.
+    /// Validity of a permit.
     pub valid: Duration,
 }
 
-/// How the jobs of one queue are served.
+/// Policy of one queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuePolicy {
-    /// 0 goes first and may take the place of others.
+    /// Priority of its jobs: 0 is the highest and may preempt others.
     pub priority: u32,
-    /// How often a task may fail before its job has failed.
+    /// How often a task may fail before its job fails.
     pub attempts: u32,
-    /// A job's objective is this many times its longest chain of work, plus `objective`.
+    /// A job's objective is this multiple of its critical path, plus `objective`.
     pub stretch: f64,
-    /// See `stretch`.
+    /// Constant part of a job's objective; see `stretch`.
     pub objective: Duration,
-    /// The backend servers that run its tasks.
+    /// Service whose backend servers run its tasks.
     pub service: ServiceId,
-    /// Set if its tasks start only where the adviser allows it.
+    /// Permit settings; `None` if its tasks need no permits.
     pub permits: Option<PermitPolicy>,
 }
 
-/// What a customer may count on.
+/// Policy of one customer.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct CustomerPolicy {
-    /// Accelerators that its jobs of priority 0 get at any time.
+    /// Accelerators that its jobs of priority 0 can use at any time.
     pub guaranteed_accelerators: u64,
 }
 
-/// The configuration in force.
+/// Configuration in force.
 #[derive(Debug, Clone, Default)]
 pub struct Policy {
-    /// The configuration's version, for logs.
+    /// Version of the configuration, for logs.
     pub version: u64,
-    /// By queue.
+    /// Policies of the configured queues.
     pub queues: BTreeMap<QueueId, QueuePolicy>,
-    /// By customer.
+    /// Policies of the configured customers.
     pub customers: BTreeMap<CustomerId, CustomerPolicy>,
 }
 
 impl Policy {
-    /// The priority of a queue's jobs: the lowest while no configuration names it.
+    /// Returns the priority of a queue's jobs; the lowest if the queue is not configured.
     pub(crate) fn priority(&self, queue: &QueueId) -> u32 {
         self.queues.get(queue).map_or(u32::MAX, |queue| queue.priority)
     }
--- a/crates/scheduler/src/tuning.rs
+++ b/crates/scheduler/src/tuning.rs
@@ -1,33 +1,34 @@
-//! Mechanisms of the scheduler that can be weighed one by one.
+//! Settings that turn mechanisms of the scheduler on and off or set their strength.
 
 use serde::Deserialize;
 
-/// How strong a mechanism is, or whether it is at work at all. The defaults are what is meant for use; others are for
-/// measuring what a mechanism is worth.
+/// Settings of single mechanisms. The defaults are meant for production; other values serve to measure the effect of
+/// a mechanism.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tuning {
-    /// Share of a service's accelerators that is left free for urgent jobs when others start; `None` to learn it.
+    /// Share of a service's accelerators that stays free for urgent jobs when others start, from 0 to 1; `None` to
+    /// derive it from measured stop times.
     pub headroom: Option<f64>,
-    /// Work that can wait is stopped for urgent jobs.
+    /// Whether work that can wait is stopped for urgent jobs.
     pub preemption: bool,
-    /// Runs that are about to end by themselves are not stopped for others.
+    /// Whether runs that are about to end by themselves are exempt from preemption.
     pub spare_ending: bool,
-    /// Most work that is thrown away for an urgent job without a guarantee, as a multiple of its own.
+    /// Most work that may be lost for an urgent job without a guarantee, as a multiple of the job's own work.
     pub most_waste: f64,
-    /// Work that can wait fills the racks from the first.
+    /// Whether work that can wait fills the racks from the first on.
     pub rack_filling: bool,
-    /// Tasks wait for room near their data.
+    /// Whether tasks wait for capacity near their data.
     pub data_rack: bool,
-    /// A group keeps off backend servers where it failed.
+    /// Whether a group avoids backend servers where it failed.
     pub avoidance: bool,
-    /// Backend servers on which something has failed lately are taken last.
+    /// Whether backend servers on which a task failed recently are used last.
     pub doubt: bool,
-    /// Backend servers on which several jobs have failed take no work for a while.
+    /// Whether backend servers on which several jobs failed are quarantined for a while.
     pub set_aside: bool,
-    /// Urgent work goes to the backend servers that have shown to be fast.
+    /// Whether urgent work prefers backend servers that were measured to be fast.
     pub speed: bool,
-    /// Jobs of one priority go by their deadlines, not in the order in which they came.
+    /// Whether jobs of one priority are ordered by deadline; otherwise by submission.
     pub deadline_order: bool,
 }
 
