--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -99,11 +99,11 @@
 
     /// Returns whether a task of the step could run on the backend server, regardless of permits.
     pub(crate) fn could_run(&self, server: &ServerCapacity) -> bool {
-        let labelled = self.step.label.as_ref().is_none_or(|label| server.labels.contains(label));
-        let trusted =
+        let has_label = self.step.label.as_ref().is_none_or(|label| server.labels.contains(label));
+        let is_trusted =
             self.is_stalled || !(server.quarantined || server.has_isolated_retry || self.has_failed && server.suspect);
-        let trusted = trusted && !(server.has_isolated_retry && self.last_attempt);
-        *self.service == server.service && trusted && labelled && server.capacity.contains(&self.need)
+        let is_trusted = is_trusted && !(server.has_isolated_retry && self.last_attempt);
+        *self.service == server.service && is_trusted && has_label && server.capacity.contains(&self.need)
     }
 
     /// Returns how many more tasks of the step its limit per backend server allows.
@@ -147,7 +147,7 @@
         let state = self.occurrence(occurrence);
         let idle_since = state.idle_since.filter(|_| !state.is_placed);
         let idle = idle_since.map_or(Duration::ZERO, |since| self.plan_clocks.0.since(since));
-        let spare = objective.millis().saturating_sub(entry.chain.millis());
+        let slack = objective.millis().saturating_sub(entry.chain.millis());
         let candidate = |step: usize, groups: Vec<usize>, suspect: bool| Candidate {
             occurrence,
             step,
@@ -158,7 +158,7 @@
             guaranteed: false,
             long_running: entry.job.steps[step].long_running,
             too_late: wall_ms > from + objective.scaled(MAX_LATENESS_IN_OBJECTIVES).millis(),
-            half_slack_ms: from + spare / 2,
+            half_slack_ms: from + slack / 2,
             deadline_ms: if self.timing.tuning.deadline_order { from + objective.millis() } else { from },
         };
         let mut candidates = Vec::new();
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -16,9 +16,9 @@
 impl Server {
     /// Returns whether new work may be placed here.
     pub(crate) fn accepts_work(&self, now: Moment) -> bool {
-        let steady = self.info.as_ref().is_some_and(|info| !info.draining);
-        let stays = steady && !self.closed_for_maintenance && !self.evacuated && self.is_as_listed();
-        stays && self.listed && self.is_reachable() && now >= self.not_before
+        let not_draining = self.info.as_ref().is_some_and(|info| !info.draining);
+        let stays_open = not_draining && !self.closed_for_maintenance && !self.evacuated && self.is_as_listed();
+        stays_open && self.listed && self.is_reachable() && now >= self.not_before
     }
 }
 
--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -110,13 +110,13 @@
 impl Scheduler {
     /// Evacuates an availability zone. Idempotent.
     pub fn evacuate(&mut self, zone: &AvailabilityZoneId, by: EvacuatedBy, now: Moment) {
-        let anew = || Evacuation { since: now, by: BTreeSet::new() };
-        let was_known = self.evacuations.is_evacuated(zone);
-        let asked = self.evacuations.zones.entry(zone.clone()).or_insert_with(anew).by.insert(by);
-        if asked {
+        let new_evacuation = || Evacuation { since: now, by: BTreeSet::new() };
+        let was_evacuated = self.evacuations.is_evacuated(zone);
+        let is_new_request = self.evacuations.zones.entry(zone.clone()).or_insert_with(new_evacuation).by.insert(by);
+        if is_new_request {
             log::warn!("event=evacuation zone={zone} by={by} fence={}", self.fence);
         }
-        if !was_known {
+        if !was_evacuated {
             self.close_zone(zone, now);
         }
     }
@@ -160,8 +160,8 @@
         if known.keys().all(|other| other == zone || self.evacuations.is_evacuated(other)) {
             return Err(EvacuationError::LastZone { zone: zone.clone() });
         }
-        let stays = |other: &AvailabilityZoneId| other != zone && !self.evacuations.is_evacuated(other);
-        let left: u64 = known.iter().filter(|(other, _)| stays(other)).map(|(_, n)| n).sum();
+        let remains = |other: &AvailabilityZoneId| other != zone && !self.evacuations.is_evacuated(other);
+        let left: u64 = known.iter().filter(|(other, _)| remains(other)).map(|(_, n)| n).sum();
         let guaranteed = self.guaranteed();
         if left < guaranteed {
             return Err(EvacuationError::Guarantees { zone: zone.clone(), left, guaranteed });
@@ -175,8 +175,8 @@
         let elsewhere = by_zone.iter().filter(|(zone, _)| !self.evacuations.is_evacuated(zone)).map(|(_, n)| n).sum();
         let status = |(zone, evacuation): (&AvailabilityZoneId, &Evacuation)| {
             let servers = self.servers_in(zone);
-            let ends = |name: &GroupId| !self.step(*name).long_running;
-            let groups = servers.iter().flat_map(|id| self.groups_on(id)).filter(ends);
+            let ends_by_itself = |name: &GroupId| !self.step(*name).long_running;
+            let groups = servers.iter().flat_map(|id| self.groups_on(id)).filter(ends_by_itself);
             EvacuationStatus {
                 availability_zone: zone.clone(),
                 by: evacuation.by.iter().copied().collect(),
--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -124,13 +124,13 @@
         let Some(batch) = self.maintenance.batches.get(&number) else { return };
         let machines = &self.maintenance.machines;
         let taken = batch.count_unavailable(machines);
-        let waits = |id: &&MachineId| {
+        let is_waiting = |id: &&MachineId| {
             machines.get(*id).is_some_and(|machine| machine.up)
                 && !batch.progress.started.contains(*id)
                 && !batch.emptying.contains_key(*id)
                 && !batch.down.contains_key(*id)
         };
-        let mut waiting: Vec<&MachineId> = batch.request.machines.iter().filter(waits).collect();
+        let mut waiting: Vec<&MachineId> = batch.request.machines.iter().filter(is_waiting).collect();
         waiting.sort_by_cached_key(|id| self.groups_on_machine(id).len());
         let chosen: Vec<MachineId> =
             waiting.into_iter().take(batch.request.most_at_once.saturating_sub(taken)).cloned().collect();
@@ -159,13 +159,13 @@
     /// Returns the machines that are being drained, each with the number of its request and whether the time for work
     /// to end by itself is over.
     fn emptying(&self, now: Moment) -> Vec<(u64, MachineId, bool)> {
-        let of_wave = |(number, batch): (&u64, &MaintenanceBatch)| {
+        let drains_of = |(number, batch): (&u64, &MaintenanceBatch)| {
             let (number, patience) = (*number, batch.patience());
-            let in_turn =
+            let with_number =
                 |(id, drain): (&MachineId, &MachineDrain)| (number, id.clone(), now.since(drain.since) >= patience);
-            batch.emptying.iter().map(in_turn).collect::<Vec<_>>()
+            batch.emptying.iter().map(with_number).collect::<Vec<_>>()
         };
-        self.maintenance.batches.iter().flat_map(of_wave).collect()
+        self.maintenance.batches.iter().flat_map(drains_of).collect()
     }
 
     /// Stops what may be moved off a machine; returns whether nothing runs there.
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -98,8 +98,8 @@
         machine: &Machine,
         incarnation_of: impl Fn(&BackendServerId) -> Option<Incarnation>,
     ) -> bool {
-        let heard = machine.server.as_ref().and_then(incarnation_of);
-        machine.server != self.server || self.incarnation.zip(heard).is_some_and(|(before, now)| before != now)
+        let observed = machine.server.as_ref().and_then(incarnation_of);
+        machine.server != self.server || self.incarnation.zip(observed).is_some_and(|(before, now)| before != now)
     }
 }
 
@@ -126,13 +126,14 @@
         now: Moment,
     ) {
         self.down.retain(|id, down| {
-            let back =
+            let is_back =
                 machines.get(id).is_none_or(|machine| machine.up && down.has_new_incarnation(machine, &incarnation_of));
-            !back && now.since(down.since) < MAX_DOWN_TIME
+            !is_back && now.since(down.since) < MAX_DOWN_TIME
         });
         self.emptying.retain(|id, _| machines.contains_key(id));
-        let remaining = |id: &&MachineId| machines.contains_key(*id) && !self.progress.started.contains(*id);
-        if !self.progress.succeeded && !machines.is_empty() && !self.request.machines.iter().any(|id| remaining(&id)) {
+        let is_remaining = |id: &&MachineId| machines.contains_key(*id) && !self.progress.started.contains(*id);
+        if !self.progress.succeeded && !machines.is_empty() && !self.request.machines.iter().any(|id| is_remaining(&id))
+        {
             self.progress.succeeded = true;
             self.stored = false;
         }
@@ -141,13 +142,13 @@
     /// Returns how many machines of the request are down or about to be, by the list or by what was requested.
     pub(crate) fn count_unavailable(&self, machines: &BTreeMap<MachineId, Machine>) -> usize {
         let asked = |id: &MachineId| self.down.contains_key(id) || self.emptying.contains_key(id);
-        let taken = |id: &&MachineId| asked(id) || machines.get(*id).is_some_and(|machine| !machine.up);
-        self.request.machines.iter().filter(taken).count()
+        let is_unavailable = |id: &&MachineId| asked(id) || machines.get(*id).is_some_and(|machine| !machine.up);
+        self.request.machines.iter().filter(is_unavailable).count()
     }
 
     /// Returns how long work on one machine may take to end by itself.
     pub(crate) fn patience(&self) -> Duration {
-        let turns = self.request.machines.len().div_ceil(self.request.most_at_once.max(1));
-        self.request.term.scaled(0.5 / turns.max(1) as f64).min(MAX_WAIT_FOR_COMPLETION)
+        let rounds = self.request.machines.len().div_ceil(self.request.most_at_once.max(1));
+        self.request.term.scaled(0.5 / rounds.max(1) as f64).min(MAX_WAIT_FOR_COMPLETION)
     }
 }
--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -64,9 +64,9 @@
 
     /// Returns the backend servers with a valid permit for a step.
     pub(crate) fn allowed(&self, step: StepId, now: Moment) -> BTreeSet<&BackendServerId> {
-        let holds = |verdict: &Verdict| matches!(verdict, Verdict::Allowed { until, .. } if now < *until);
+        let is_valid = |verdict: &Verdict| matches!(verdict, Verdict::Allowed { until, .. } if now < *until);
         let verdicts = self.verdicts.get(&step).into_iter().flatten();
-        verdicts.filter(|(_, verdict)| holds(verdict)).map(|(id, _)| id).collect()
+        verdicts.filter(|(_, verdict)| is_valid(verdict)).map(|(id, _)| id).collect()
     }
 
     /// Returns the permit for a step on a backend server, even if it has expired.
@@ -168,8 +168,8 @@
     }
 
     fn request(&self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) -> Option<PermitRequest> {
-        let waits = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
-        if self.permits.in_flight == Some(candidate.step_id()) || !candidate.groups.iter().any(waits) {
+        let is_unplaced = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
+        if self.permits.in_flight == Some(candidate.step_id()) || !candidate.groups.iter().any(is_unplaced) {
             return None;
         }
         let queue = &self.jobs[&candidate.occurrence.job].job.queue;
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -64,9 +64,9 @@
         let remote_is_worthwhile = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
         for (near, suspect, speed) in tiers(requirements, fleet) {
             // One task away from its data is enough to end a stall; the other tasks wait for capacity near the data.
-            let only_one = !near && !remote_is_worthwhile;
+            let limited_to_one = !near && !remote_is_worthwhile;
             let is_first_of_stalled = requirements.is_stalled && filling.places.is_empty();
-            if !near && requirements.step.data_rack.is_none() || only_one && !is_first_of_stalled {
+            if !near && requirements.step.data_rack.is_none() || limited_to_one && !is_first_of_stalled {
                 continue;
             }
             let racks = fleet.racks().filter(|(name, _)| is_near(requirements.step, name) == near);
@@ -79,12 +79,12 @@
                     server.suspect == suspect && speed.is_none_or(|speed| server.speed == speed)
                 });
                 order.sort_by(|a, b| fullest_first(&part, a.1, b.1));
-                if only_one {
+                if limited_to_one {
                     order.truncate(1);
                     order.iter_mut().for_each(|(_, _, fitting)| *fitting = 1);
                 }
                 self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
-                if only_one && !filling.places.is_empty() {
+                if limited_to_one && !filling.places.is_empty() {
                     return filling.places;
                 }
             }
@@ -107,10 +107,10 @@
             let mut examined = 0;
             for &group in filling.unplaced.iter() {
                 let placed = filling.places.len() as u64;
-                let enough = self.headroom_allows(candidate, requirements, placed, 1, fleet);
+                let has_headroom = self.headroom_allows(candidate, requirements, placed, 1, fleet);
                 // One task is enough to end a stall; the other tasks wait until the isolated retry there has ended.
-                let enough = enough && !(server.has_isolated_retry && placed > 0);
-                if fitting == 0 || !enough {
+                let has_headroom = has_headroom && !(server.has_isolated_retry && placed > 0);
+                if fitting == 0 || !has_headroom {
                     break;
                 }
                 examined += 1;
@@ -139,8 +139,8 @@
         now: Moment,
     ) -> Option<Placements> {
         let slowest = fleet.slowest();
-        let classes = SpeedClass::ALL.iter().filter(|class| requirements.urgent && **class < slowest);
-        let mut faster = classes.filter_map(|class| {
+        let faster_classes = SpeedClass::ALL.iter().filter(|class| requirements.urgent && **class < slowest);
+        let mut faster = faster_classes.filter_map(|class| {
             let part =
                 |server: &ServerCapacity| if server.speed <= *class { part(server) } else { Resources::default() };
             self.place_gang_among(name, requirements, fleet, part, now)
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -111,8 +111,8 @@
         learned / self.precision.powi(2)
     }
 
-    /// Learns from a run that took `log_ratio` times as long as expected, as a logarithm; `variance` is that of the
-    /// expectation.
+    /// Learns from a run. `log_ratio` is the logarithm of the ratio of its duration to the expected one, and
+    /// `variance` the variance of that expectation.
     fn learn(&mut self, log_ratio: f64, variance: f64, now: Moment) {
         let distance = (log_ratio - self.log_factor).abs();
         let trust = if distance > OUTLIER_LOG_DISTANCE { OUTLIER_LOG_DISTANCE / distance } else { 1.0 };
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -114,8 +114,8 @@
             return false;
         }
         let members = || occurrence.groups.iter().flatten().flat_map(|group| &group.members);
-        let runs = members().any(|member| member.phase == Phase::Running && self.is_responsive(&member.server));
-        !runs && (self.ready.contains_key(&id) || members().next().is_some())
+        let is_running = members().any(|member| member.phase == Phase::Running && self.is_responsive(&member.server));
+        !is_running && (self.ready.contains_key(&id) || members().next().is_some())
     }
 
     fn is_responsive(&self, id: &BackendServerId) -> bool {
