--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -30,7 +30,7 @@
     pub(crate) guaranteed: bool,
     /// Whether its tasks run until the job is cancelled. They must be restarted soon however full the service is.
     pub(crate) long_running: bool,
-    /// Whether a backend server crashed during its start. It is placed separately until a run has outlived its start.
+    /// Whether a backend server crashed during its start. It is placed separately until a run has survived its start.
     pub(crate) suspect: bool,
     /// Whether its occurrence is stalled: nothing of it has run for [`STALL_LIMIT`], although something could.
     pub(crate) is_stalled: bool,
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -7,7 +7,7 @@
 //! unknown.
 //!
 //! Most tasks on a crashed backend server did not cause the crash. The task that does cause crashes can be told apart
-//! because it never outlives its start.
+//! because it never survives its start.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -23,10 +23,10 @@
     server::ServerAddress,
 };
 
-/// A run that its backend server still lists this long after the start has outlived its start. Tasks that crash their
+/// A run that its backend server still lists this long after the start has survived its start. Tasks that crash their
 /// backend server were observed on the platform to do so 10 ms after they start.
-const START_OUTLIVED_AFTER: Duration = Duration::from_secs(2);
-/// An isolated retry that is still listed this long after the start is stable. A quarter of [`START_OUTLIVED_AFTER`],
+const START_SURVIVED_AFTER: Duration = Duration::from_secs(2);
+/// An isolated retry that is still listed this long after the start is stable. A quarter of [`START_SURVIVED_AFTER`],
 /// and many times what it takes such tasks to crash their backend server.
 const RETRY_STABLE_AFTER: Duration = Duration::from_millis(500);
 /// Crashes during the start after which a task is abandoned. The platform rules allow this after two crashes, and
@@ -37,7 +37,7 @@
 /// a response, or one placed by an earlier scheduler, may never have reached the backend server, and a job must not
 /// be abandoned for crashes that did not hit its runs.
 const MIN_CONFIRMED_CRASHES: usize = 2;
-/// Crashes in total after which a task that ends by itself is abandoned, whether or not it had outlived its start. By
+/// Crashes in total after which a task that ends by itself is abandoned, whether or not it had survived its start. By
 /// then the last start that the platform rules allow has been used.
 const MAX_CRASHES: usize = 5;
 
@@ -75,7 +75,7 @@
 }
 
 /// Returns whether a group is suspected: a backend server crashed during its start. Its runs are then isolated
-/// retries until one outlives its start, so that another crash affects nothing else and tasks that ran beside it by
+/// retries until one survives its start, so that another crash affects nothing else and tasks that ran beside it by
 /// chance are soon cleared.
 pub(crate) fn is_suspect(progress: &GroupProgress) -> bool {
     progress.crashes.iter().any(|crash| crash.early)
@@ -93,10 +93,10 @@
 }
 
 impl Group {
-    /// Returns whether its run is known to have outlived its start. `heard` is the time of the latest response from
+    /// Returns whether its run is known to have survived its start. `heard` is the time of the latest response from
     /// one of its backend servers.
     pub(crate) fn survived_start(&self, heard: Option<Moment>) -> bool {
-        self.known_run_time(heard) >= Some(START_OUTLIVED_AFTER)
+        self.known_run_time(heard) >= Some(START_SURVIVED_AFTER)
     }
 
     fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -118,7 +118,8 @@
 }
 
 impl MaintenanceBatch {
-    /// Applies the platform's list: removes machines that are back or no longer exist.
+    /// Applies the platform's list: removes machines that are back or no longer exist, and marks the request as
+    /// succeeded once maintenance of all others has started.
     pub(crate) fn apply_listing(
         &mut self,
         machines: &BTreeMap<MachineId, Machine>,
