--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -112,7 +112,7 @@
         u64::from(most).saturating_sub(self.placed_per_server.get(id).copied().unwrap_or(0))
     }
 
-    /// Returns how many more tasks of the step fit into the capacity `room` of a backend server.
+    /// Returns how many more tasks of the step fit into the free resources of a backend server.
     pub(crate) fn fitting(&self, id: &BackendServerId, free: &Resources) -> u64 {
         free.count_of(&self.need).min(self.left_by_server_limit(id))
     }
--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Rack {
     slots: Vec<ServerIndex>,
-    /// Upper bound, for each kind of resource, of what is free soon on any of them.
+    /// Upper bound, for each kind of resource, of what is free after stops on any of them.
     bound: Resources,
 }
 
@@ -35,7 +35,7 @@
 /// Between plans only those are recomputed that may have changed.
 #[derive(Debug, Default)]
 pub(crate) struct FleetCapacity {
-    /// Capacities by slot; `None` for unused slots.
+    /// Capacities by index; `None` for unused indices.
     by_index: Vec<Option<ServerCapacity>>,
     slots: HashMap<BackendServerId, ServerIndex>,
     free_slots: Vec<ServerIndex>,
@@ -79,7 +79,7 @@
     }
 
     pub(crate) fn id(&self, slot: ServerIndex) -> &BackendServerId {
-        &self.by_index[slot.0].as_ref().expect("a plan removes no rooms").id
+        &self.by_index[slot.0].as_ref().expect("a plan removes no backend servers").id
     }
 
     pub(crate) fn totals(&self, service: &ServiceId) -> Totals {
@@ -90,7 +90,7 @@
     pub(crate) fn claim(&mut self, step: &Step, places: &Placements) {
         let need = &step.counted_resources();
         for &(_, slot) in places {
-            let server = self.by_index[slot.0].as_mut().expect("places are chosen among the rooms");
+            let server = self.by_index[slot.0].as_mut().expect("placements are chosen among the backend servers");
             let totals = self.totals.entry(server.service.clone()).or_default();
             totals.remove(server);
             server.free.remove(need);
@@ -107,7 +107,7 @@
     /// Excludes the backend servers from further placements of this plan.
     pub(crate) fn close(&mut self, places: &Placements) {
         for &(_, slot) in places {
-            let server = self.by_index[slot.0].as_mut().expect("places are chosen among the rooms");
+            let server = self.by_index[slot.0].as_mut().expect("placements are chosen among the backend servers");
             let totals = self.totals.entry(server.service.clone()).or_default();
             totals.remove(server);
             server.accepts_work = false;
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Counts resources of a run that is being stopped on a backend server as free soon.
+    /// Counts resources of a run that is being stopped on a backend server as free after stops.
     pub(crate) fn release_after_stops(&mut self, id: &BackendServerId, need: &Resources) {
         let Some(&slot) = self.slots.get(id) else { return };
         let Some(server) = self.by_index[slot.0].as_mut() else { return };
@@ -196,7 +196,7 @@
 }
 
 impl Rack {
-    /// Returns whether a task with these resources may fit onto one of the backend servers, now or soon.
+    /// Returns whether a task with these resources may fit onto one of the backend servers, now or after stops.
     pub(crate) fn may_hold(&self, need: &Resources) -> bool {
         self.bound.contains(need)
     }
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -21,7 +21,7 @@
 /// How long a group waits for a backend server other than those where it failed.
 const AVOIDANCE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The slot of the backend server for each task of a group, by task index.
+/// The index of the backend server for each task of a group, by task index.
 pub(crate) type Placements = Vec<(u32, ServerIndex)>;
 
 /// Backend servers in the order in which they are filled, each with the number of tasks that it may take.
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Replaces the slots of chosen placements by the ids of their backend servers.
+/// Replaces the indices of backend servers in placements by their ids.
 fn with_server_ids(places: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
     places.iter().map(|&(index, slot)| (index, fleet.id(slot).clone())).collect()
 }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -15,8 +15,7 @@
     server_capacity::ServerCapacity,
 };
 
-/// Seconds of work that a run with checkpoints loses at most: the time between two checkpoints (platform: 0.5 s and 1
-/// s).
+/// Most seconds of work that a run with checkpoints loses: the time between two checkpoints (platform: 0.5 s, 1 s).
 const MAX_UNSAVED_S: f64 = 0.5;
 /// Seconds that a restart costs in addition: stopping, waiting for capacity and reading the checkpoint.
 const RESTART_COST_S: f64 = 0.5;
@@ -120,7 +119,7 @@
         }
     }
 
-    /// Counts the capacity that a victim occupies as free soon.
+    /// Counts the resources of a victim as free after stops.
     fn release_after_stops(&self, victim: GroupId, fleet: &mut FleetCapacity) {
         let need = self.step(victim).counted_resources();
         for member in &self.group(victim).members {
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -81,7 +81,7 @@
 }
 
 impl ServerCapacity {
-    /// Changes the resources that stay occupied, and updates `soon` accordingly.
+    /// Changes `used_after_stops`, and updates `free_after_stops` accordingly.
     pub(crate) fn update_used_after_stops(&mut self, change: impl FnOnce(&mut Resources)) {
         change(&mut self.used_after_stops);
         self.free_after_stops = self.capacity;
