--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -25,7 +25,7 @@
 /// Backend servers of one rack, ordered by id.
 #[derive(Debug, Default)]
 pub(crate) struct Rack {
-    slots: Vec<ServerIndex>,
+    servers: Vec<ServerIndex>,
     /// Upper bound, for each kind of resource, of what is free after stops on any of them.
     bound: Resources,
 }
@@ -37,8 +37,8 @@
 pub(crate) struct FleetCapacity {
     /// Capacities by index; `None` for unused indices.
     by_index: Vec<Option<ServerCapacity>>,
-    slots: HashMap<BackendServerId, ServerIndex>,
-    free_slots: Vec<ServerIndex>,
+    index_of: HashMap<BackendServerId, ServerIndex>,
+    free_indices: Vec<ServerIndex>,
     racks: BTreeMap<Arc<str>, Rack>,
     totals: BTreeMap<ServiceId, Totals>,
     /// Number of backend servers in each speed class.
@@ -60,7 +60,7 @@
 
     /// Returns the backend servers of a rack that take work, by id.
     pub(crate) fn in_rack<'r>(&'r self, rack: &'r Rack) -> impl Iterator<Item = (ServerIndex, &'r ServerCapacity)> {
-        rack.slots.iter().filter_map(|&slot| self.open_server(slot).map(|server| (slot, server)))
+        rack.servers.iter().filter_map(|&index| self.open_server(index).map(|server| (index, server)))
     }
 
     /// Returns the slowest speed class that any backend server is in.
@@ -74,12 +74,12 @@
         self.racks.contains_key(name)
     }
 
-    fn open_server(&self, slot: ServerIndex) -> Option<&ServerCapacity> {
-        self.by_index[slot.0].as_ref().filter(|server| server.accepts_work)
+    fn open_server(&self, index: ServerIndex) -> Option<&ServerCapacity> {
+        self.by_index[index.0].as_ref().filter(|server| server.accepts_work)
     }
 
-    pub(crate) fn id(&self, slot: ServerIndex) -> &BackendServerId {
-        &self.by_index[slot.0].as_ref().expect("a plan removes no backend servers").id
+    pub(crate) fn id(&self, index: ServerIndex) -> &BackendServerId {
+        &self.by_index[index.0].as_ref().expect("a plan removes no backend servers").id
     }
 
     pub(crate) fn totals(&self, service: &ServiceId) -> Totals {
@@ -89,8 +89,8 @@
     /// Claims capacity for one task of the step at each placement.
     pub(crate) fn claim(&mut self, step: &Step, places: &Placements) {
         let need = &step.counted_resources();
-        for &(_, slot) in places {
-            let server = self.by_index[slot.0].as_mut().expect("placements are chosen among the backend servers");
+        for &(_, index) in places {
+            let server = self.by_index[index.0].as_mut().expect("placements are chosen among the backend servers");
             let totals = self.totals.entry(server.service.clone()).or_default();
             totals.remove(server);
             server.free.remove(need);
@@ -100,14 +100,14 @@
             server.best_effort += u64::from(step.best_effort);
             server.serving += u64::from(step.target.is_some());
             totals.add(server);
-            self.claimed.push(slot);
+            self.claimed.push(index);
         }
     }
 
     /// Excludes the backend servers from further placements of this plan.
     pub(crate) fn close(&mut self, places: &Placements) {
-        for &(_, slot) in places {
-            let server = self.by_index[slot.0].as_mut().expect("placements are chosen among the backend servers");
+        for &(_, index) in places {
+            let server = self.by_index[index.0].as_mut().expect("placements are chosen among the backend servers");
             let totals = self.totals.entry(server.service.clone()).or_default();
             totals.remove(server);
             server.accepts_work = false;
@@ -117,70 +117,70 @@
 
     /// Counts resources of a run that is being stopped on a backend server as free after stops.
     pub(crate) fn release_after_stops(&mut self, id: &BackendServerId, need: &Resources) {
-        let Some(&slot) = self.slots.get(id) else { return };
-        let Some(server) = self.by_index[slot.0].as_mut() else { return };
+        let Some(&index) = self.index_of.get(id) else { return };
+        let Some(server) = self.by_index[index.0].as_mut() else { return };
         server.update_used_after_stops(|used_after_stops| used_after_stops.remove(need));
         if let Some(rack) = self.racks.get_mut(&server.rack) {
             rack.bound = rack.bound.max(&server.free_after_stops);
         }
-        self.claimed.push(slot);
+        self.claimed.push(index);
     }
 
     /// Returns the backend servers whose capacities the plan has changed, which must be refreshed before the next.
     fn take_claimed(&mut self) -> Vec<BackendServerId> {
         let claimed = std::mem::take(&mut self.claimed);
-        claimed.into_iter().filter_map(|slot| Some(self.by_index[slot.0].as_ref()?.id.clone())).collect()
+        claimed.into_iter().filter_map(|index| Some(self.by_index[index.0].as_ref()?.id.clone())).collect()
     }
 
     /// Sets the capacity of a backend server, or removes it.
     pub(crate) fn set(&mut self, id: &BackendServerId, server: Option<ServerCapacity>) {
-        if let Some(&slot) = self.slots.get(id) {
-            self.replace(slot, server);
+        if let Some(&index) = self.index_of.get(id) {
+            self.replace(index, server);
         } else if let Some(server) = server {
-            let slot = self.free_slots.pop().unwrap_or(ServerIndex(self.by_index.len()));
-            self.by_index.resize_with(self.by_index.len().max(slot.0 + 1), || None);
-            self.slots.insert(id.clone(), slot);
-            self.insert(slot, server);
+            let index = self.free_indices.pop().unwrap_or(ServerIndex(self.by_index.len()));
+            self.by_index.resize_with(self.by_index.len().max(index.0 + 1), || None);
+            self.index_of.insert(id.clone(), index);
+            self.insert(index, server);
         }
     }
 
-    fn replace(&mut self, slot: ServerIndex, server: Option<ServerCapacity>) {
-        let Some(old) = self.by_index[slot.0].take() else { return };
+    fn replace(&mut self, index: ServerIndex, server: Option<ServerCapacity>) {
+        let Some(old) = self.by_index[index.0].take() else { return };
         self.totals.entry(old.service.clone()).or_default().remove(&old);
         *self.speeds.entry(old.speed).or_default() -= 1;
         match server {
-            Some(server) if server.rack == old.rack => self.put(slot, server),
+            Some(server) if server.rack == old.rack => self.put(index, server),
             Some(server) => {
-                self.remove_from_rack(slot, &old);
-                self.insert(slot, server);
+                self.remove_from_rack(index, &old);
+                self.insert(index, server);
             }
             None => {
-                self.remove_from_rack(slot, &old);
-                self.slots.remove(&old.id);
-                self.free_slots.push(slot);
+                self.remove_from_rack(index, &old);
+                self.index_of.remove(&old.id);
+                self.free_indices.push(index);
             }
         }
     }
 
-    fn insert(&mut self, slot: ServerIndex, server: ServerCapacity) {
+    fn insert(&mut self, index: ServerIndex, server: ServerCapacity) {
         let by_index = &self.by_index;
         let rack = self.racks.entry(Arc::clone(&server.rack)).or_default();
         let at =
-            rack.slots.partition_point(|other| by_index[other.0].as_ref().is_some_and(|other| other.id < server.id));
-        rack.slots.insert(at, slot);
-        self.put(slot, server);
+            rack.servers.partition_point(|other| by_index[other.0].as_ref().is_some_and(|other| other.id < server.id));
+        rack.servers.insert(at, index);
+        self.put(index, server);
     }
 
-    fn put(&mut self, slot: ServerIndex, server: ServerCapacity) {
+    fn put(&mut self, index: ServerIndex, server: ServerCapacity) {
         self.totals.entry(server.service.clone()).or_default().add(&server);
         *self.speeds.entry(server.speed).or_default() += 1;
-        self.by_index[slot.0] = Some(server);
+        self.by_index[index.0] = Some(server);
     }
 
-    fn remove_from_rack(&mut self, slot: ServerIndex, server: &ServerCapacity) {
+    fn remove_from_rack(&mut self, index: ServerIndex, server: &ServerCapacity) {
         let Some(rack) = self.racks.get_mut(&server.rack) else { return };
-        rack.slots.retain(|&other| other != slot);
-        if rack.slots.is_empty() {
+        rack.servers.retain(|&other| other != index);
+        if rack.servers.is_empty() {
             self.racks.remove(&server.rack);
         }
     }
@@ -189,7 +189,7 @@
         let by_index = &self.by_index;
         let Some(rack) = self.racks.get_mut(name) else { return };
         let free_after_stops =
-            rack.slots.iter().filter_map(|slot| by_index[slot.0].as_ref()).map(|server| server.free_after_stops);
+            rack.servers.iter().filter_map(|index| by_index[index.0].as_ref()).map(|server| server.free_after_stops);
         rack.bound =
             free_after_stops.fold(Resources::default(), |bound, free_after_stops| bound.max(&free_after_stops));
     }
@@ -251,9 +251,9 @@
     /// Compares with other capacities and returns a description of the first difference.
     pub(crate) fn check_same(&self, other: &FleetCapacity) -> Result<(), String> {
         let server = |fleet: &FleetCapacity, id| {
-            fleet.slots.get(id).and_then(|slot: &ServerIndex| fleet.by_index[slot.0].clone())
+            fleet.index_of.get(id).and_then(|index: &ServerIndex| fleet.by_index[index.0].clone())
         };
-        for id in self.slots.keys().chain(other.slots.keys()) {
+        for id in self.index_of.keys().chain(other.index_of.keys()) {
             let (cached, recomputed) = (server(self, id), server(other, id));
             if cached != recomputed {
                 return Err(format!("{id}: cached {cached:?}, recomputed {recomputed:?}"));
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -102,7 +102,7 @@
         filling: &mut Filling<'_>,
         now: Moment,
     ) {
-        for (slot, server, mut fitting) in order {
+        for (server_index, server, mut fitting) in order {
             let mut skipped = Vec::new();
             let mut examined = 0;
             for &group in filling.unplaced.iter() {
@@ -118,7 +118,7 @@
                     skipped.push(group);
                     continue;
                 }
-                filling.places.push((group as u32, slot));
+                filling.places.push((group as u32, server_index));
                 fitting -= 1;
             }
             filling.unplaced.splice(..examined, skipped);
@@ -159,32 +159,32 @@
         now: Moment,
     ) -> Option<Placements> {
         let count = u64::from(requirements.step.count);
-        let slots = self.slots_by_rack(name, requirements, fleet, &part, now);
+        let fitting_tasks = self.fitting_by_rack(name, requirements, fleet, &part, now);
         // Work that can wait fills the racks from the first on, so that whole racks stay free for urgent gangs.
         let filling = self.timing.tuning.rack_filling;
         let first = requirements.urgent || !filling;
-        let fits = slots.iter().filter(|(_, n)| *n >= count).min_by_key(|(_, n)| if first { *n } else { 0 });
+        let fits = fitting_tasks.iter().filter(|(_, n)| *n >= count).min_by_key(|(_, n)| if first { *n } else { 0 });
         if let Some((rack, _)) = fits {
             return self.fill_with_gang(name, requirements, fleet, &[*rack], part, now);
         }
         let could_fit_one_rack = || {
-            let whole = self.slots_by_rack(name, requirements, fleet, |server| server.capacity, now);
+            let whole = self.fitting_by_rack(name, requirements, fleet, |server| server.capacity, now);
             whole.iter().any(|(_, n)| *n >= count)
         };
-        if slots.iter().map(|(_, n)| n).sum::<u64>() < count
+        if fitting_tasks.iter().map(|(_, n)| n).sum::<u64>() < count
             || requirements.step.same_rack && !requirements.is_stalled && could_fit_one_rack()
         {
             return None;
         }
         // Over several racks: those with the least free capacity first, so that whole racks stay free.
-        let mut by_room = slots;
-        by_room.sort_by_key(|(_, n)| *n);
-        let racks: Vec<&Rack> = by_room.into_iter().map(|(rack, _)| rack).collect();
+        let mut by_free_capacity = fitting_tasks;
+        by_free_capacity.sort_by_key(|(_, n)| *n);
+        let racks: Vec<&Rack> = by_free_capacity.into_iter().map(|(rack, _)| rack).collect();
         self.fill_with_gang(name, requirements, fleet, &racks, part, now)
     }
 
     /// Returns how many tasks of the step fit into each rack, in the order of the racks' names.
-    fn slots_by_rack<'r>(
+    fn fitting_by_rack<'r>(
         &self,
         name: GroupId,
         requirements: &Requirements<'_>,
@@ -234,9 +234,9 @@
                 let trusted = (neighbours(a.1), a.1.suspect).cmp(&(neighbours(b.1), b.1.suspect));
                 trusted.then(fullest_first(&part, a.1, b.1))
             });
-            for (slot, server) in order {
+            for (server_index, server) in order {
                 let n = requirements.fitting(&server.id, &part(server));
-                places.extend(indices.by_ref().take(n as usize).map(|index| (index, slot)));
+                places.extend(indices.by_ref().take(n as usize).map(|index| (index, server_index)));
             }
         }
         (places.len() == requirements.step.count as usize).then_some(places)
@@ -303,7 +303,9 @@
 ) -> FillOrder<'r> {
     let fits = |server: &ServerCapacity| part(server).contains(&requirements.need) && requirements.allows(server);
     let fitting = fleet.in_rack(rack).filter(|(_, server)| fits(server));
-    fitting.map(|(slot, server)| (slot, server, requirements.fitting(&server.id, &part(server)))).collect()
+    fitting
+        .map(|(server_index, server)| (server_index, server, requirements.fitting(&server.id, &part(server))))
+        .collect()
 }
 
 fn fullest_first(part: impl Fn(&ServerCapacity) -> Resources, a: &ServerCapacity, b: &ServerCapacity) -> Ordering {
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -116,5 +116,5 @@
 
 /// Replaces the indices of backend servers in placements by their ids.
 fn with_server_ids(places: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
-    places.iter().map(|&(index, slot)| (index, fleet.id(slot).clone())).collect()
+    places.iter().map(|&(index, server_index)| (index, fleet.id(server_index).clone())).collect()
 }
