--- a/crates/scheduler/src/fleet_capacity.rs
+++ b/crates/scheduler/src/fleet_capacity.rs
@@ -87,9 +87,9 @@
     }
 
     /// Claims capacity for one task of the step at each placement.
-    pub(crate) fn claim(&mut self, step: &Step, places: &Placements) {
+    pub(crate) fn claim(&mut self, step: &Step, placements: &Placements) {
         let need = &step.counted_resources();
-        for &(_, index) in places {
+        for &(_, index) in placements {
             let server = self.by_index[index.0].as_mut().expect("placements are chosen among the backend servers");
             let totals = self.totals.entry(server.service.clone()).or_default();
             totals.remove(server);
@@ -105,8 +105,8 @@
     }
 
     /// Excludes the backend servers from further placements of this plan.
-    pub(crate) fn close(&mut self, places: &Placements) {
-        for &(_, index) in places {
+    pub(crate) fn close(&mut self, placements: &Placements) {
+        for &(_, index) in placements {
             let server = self.by_index[index.0].as_mut().expect("placements are chosen among the backend servers");
             let totals = self.totals.entry(server.service.clone()).or_default();
             totals.remove(server);
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -31,7 +31,7 @@
 struct Filling<'l> {
     /// Groups that are not placed yet.
     unplaced: &'l mut Vec<usize>,
-    places: Placements,
+    placements: Placements,
 }
 
 impl Scheduler {
@@ -46,33 +46,33 @@
         unplaced: &mut Vec<usize>,
         now: Moment,
     ) -> Placements {
-        let mut filling = Filling { unplaced, places: Placements::new() };
+        let mut filling = Filling { unplaced, placements: Placements::new() };
         if !self.headroom_allows(candidate, requirements, 0, 1, fleet) {
-            return filling.places;
+            return filling.placements;
         }
         if candidate.suspect {
             let far = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
             let order = fewest_tasks_first(requirements, fleet, &part, far);
             self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
-            return filling.places;
+            return filling.placements;
         }
         if requirements.step.best_effort || requirements.step.target.is_some() {
             let order = least_disturbed_first(requirements, fleet, &part, filling.unplaced.len());
             self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
-            return filling.places;
+            return filling.placements;
         }
         let remote_is_worthwhile = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
         for (near, suspect, speed) in tiers(requirements, fleet) {
             // One task away from its data is enough to end a stall; the other tasks wait for capacity near the data.
             let limited_to_one = !near && !remote_is_worthwhile;
-            let is_first_of_stalled = requirements.is_stalled && filling.places.is_empty();
+            let is_first_of_stalled = requirements.is_stalled && filling.placements.is_empty();
             if !near && requirements.step.data_rack.is_none() || limited_to_one && !is_first_of_stalled {
                 continue;
             }
             let racks = fleet.racks().filter(|(name, _)| is_near(requirements.step, name) == near);
             for (_, rack) in racks.filter(|(_, rack)| rack.may_hold(&requirements.need)) {
                 if filling.unplaced.is_empty() {
-                    return filling.places;
+                    return filling.placements;
                 }
                 let mut order = fitting_servers(requirements, fleet, rack, &part);
                 order.retain(|(_, server, _)| {
@@ -84,12 +84,12 @@
                     order.iter_mut().for_each(|(_, _, fitting)| *fitting = 1);
                 }
                 self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
-                if limited_to_one && !filling.places.is_empty() {
-                    return filling.places;
+                if limited_to_one && !filling.placements.is_empty() {
+                    return filling.placements;
                 }
             }
         }
-        filling.places
+        filling.placements
     }
 
     /// Fills backend servers with tasks in the given order, as long as enough headroom stays free.
@@ -106,7 +106,7 @@
             let mut skipped = Vec::new();
             let mut examined = 0;
             for &group in filling.unplaced.iter() {
-                let placed = filling.places.len() as u64;
+                let placed = filling.placements.len() as u64;
                 let has_headroom = self.headroom_allows(candidate, requirements, placed, 1, fleet);
                 // One task is enough to end a stall; the other tasks wait until the isolated retry there has ended.
                 let has_headroom = has_headroom && !(server.has_isolated_retry && placed > 0);
@@ -118,7 +118,7 @@
                     skipped.push(group);
                     continue;
                 }
-                filling.places.push((group as u32, server_index));
+                filling.placements.push((group as u32, server_index));
                 fitting -= 1;
             }
             filling.unplaced.splice(..examined, skipped);
@@ -223,7 +223,7 @@
         part: impl Fn(&ServerCapacity) -> Resources,
         now: Moment,
     ) -> Option<Placements> {
-        let mut places = Placements::new();
+        let mut placements = Placements::new();
         let mut indices = 0..requirements.step.count;
         let suspect = is_suspect(self.progress_of(name));
         let neighbours = |server: &ServerCapacity| if suspect { server.tasks } else { 0 };
@@ -236,10 +236,10 @@
             });
             for (server_index, server) in order {
                 let n = requirements.fitting(&server.id, &part(server));
-                places.extend(indices.by_ref().take(n as usize).map(|index| (index, server_index)));
+                placements.extend(indices.by_ref().take(n as usize).map(|index| (index, server_index)));
             }
         }
-        (places.len() == requirements.step.count as usize).then_some(places)
+        (placements.len() == requirements.step.count as usize).then_some(placements)
     }
 
     /// Returns whether tasks of a step may go to racks away from their data. They run longer there, so they first
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -66,19 +66,20 @@
             None
         };
         let (step, urgent) = (requirements.step.clone(), requirements.urgent);
-        if let Some(places) = free {
-            fleet.claim(&step, &places);
+        if let Some(placements) = free {
+            fleet.claim(&step, &placements);
             if candidate.suspect {
-                fleet.close(&places);
+                fleet.close(&placements);
             }
-            self.place(name, &with_server_ids(&places, fleet), now);
-        } else if let Some(places) = free_after_stops {
-            fleet.claim(&step, &places);
+            self.place(name, &with_server_ids(&placements, fleet), now);
+        } else if let Some(placements) = free_after_stops {
+            fleet.claim(&step, &placements);
         } else if urgent {
             self.preempt_for(candidate, &candidate.groups, fleet, guarantees, now);
             let Some(requirements) = self.requirements(candidate, now) else { return };
-            if let Some(places) = self.place_gang(name, &requirements, fleet, |server| server.free_after_stops, now) {
-                fleet.claim(&step, &places);
+            if let Some(placements) = self.place_gang(name, &requirements, fleet, |server| server.free_after_stops, now)
+            {
+                fleet.claim(&step, &placements);
             }
         }
     }
@@ -115,6 +116,6 @@
 }
 
 /// Replaces the indices of backend servers in placements by their ids.
-fn with_server_ids(places: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
-    places.iter().map(|&(index, server_index)| (index, fleet.id(server_index).clone())).collect()
+fn with_server_ids(placements: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
+    placements.iter().map(|&(index, server_index)| (index, fleet.id(server_index).clone())).collect()
 }
