--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -31,7 +31,7 @@
     /// Whether its tasks run until the job is cancelled. They must be restarted soon however full the service is.
     pub(crate) long_running: bool,
     /// Whether a backend server crashed during its start. It is placed separately until a run has survived its start.
-    pub(crate) suspect: bool,
+    pub(crate) suspected: bool,
     /// Whether its occurrence is stalled: nothing of it has run for [`STALL_LIMIT`], although something could.
     pub(crate) is_stalled: bool,
     /// Whether it is so late that it goes behind the others of its priority.
@@ -56,7 +56,7 @@
             priority: u32::MAX,
             guaranteed: false,
             long_running: false,
-            suspect: false,
+            suspected: false,
             is_stalled: false,
             too_late: false,
             deadline_ms: u64::MAX,
@@ -148,11 +148,11 @@
         let idle_since = state.idle_since.filter(|_| !state.is_placed);
         let idle = idle_since.map_or(Duration::ZERO, |since| self.plan_clocks.0.since(since));
         let slack = objective.millis().saturating_sub(entry.chain.millis());
-        let candidate = |step: usize, groups: Vec<usize>, suspect: bool| Candidate {
+        let candidate = |step: usize, groups: Vec<usize>, suspected: bool| Candidate {
             occurrence,
             step,
             groups,
-            suspect,
+            suspected,
             is_stalled: idle.min(since_due) >= STALL_LIMIT,
             priority: queue.priority,
             guaranteed: false,
@@ -162,13 +162,13 @@
             deadline_ms: if self.timing.tuning.deadline_order { from + objective.millis() } else { from },
         };
         let mut candidates = Vec::new();
-        for ReadyStep { step, groups, suspects } in steps {
+        for ReadyStep { step, groups, suspected } in steps {
             if !groups.is_empty() {
                 candidates.push(candidate(*step, groups.clone(), false));
             }
             // Suspected groups are separate candidates, so that each sees the capacity that the one before has
             // claimed.
-            candidates.extend(suspects.iter().map(|&group| candidate(*step, vec![group], true)));
+            candidates.extend(suspected.iter().map(|&group| candidate(*step, vec![group], true)));
         }
         candidates
     }
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -77,7 +77,7 @@
 /// Returns whether a group is suspected: a backend server crashed during its start. Its runs are then isolated
 /// retries until one survives its start, so that another crash affects nothing else and tasks that ran beside it by
 /// chance are soon cleared.
-pub(crate) fn is_suspect(progress: &GroupProgress) -> bool {
+pub(crate) fn is_suspected(progress: &GroupProgress) -> bool {
     progress.crashes.iter().any(|crash| crash.early)
 }
 
@@ -213,12 +213,12 @@
     pub(crate) fn awaits_empty_server(&self, candidate: &Candidate, now: Moment) -> bool {
         let name = candidate.group(candidate.groups[0]);
         let waited = self.group(name).ready_since.map_or(Duration::ZERO, |since| now.since(since));
-        candidate.suspect && is_last_attempt(self.progress_of(name)) && waited < STALL_LIMIT
+        candidate.suspected && is_last_attempt(self.progress_of(name)) && waited < STALL_LIMIT
     }
 
     /// Starts the isolated retry of a suspected group whose run was placed, or was found by a new scheduler.
     pub(crate) fn begin_isolated_retry(&mut self, name: GroupId) {
-        let isolated_retry = is_suspect(self.progress_of(name)).then_some(IsolatedRetry::Started);
+        let isolated_retry = is_suspected(self.progress_of(name)).then_some(IsolatedRetry::Started);
         self.group_mut(name).isolated_retry = isolated_retry;
         if isolated_retry.is_some() {
             for id in self.servers_of(name) {
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -11,7 +11,7 @@
 use crate::{
     Scheduler,
     candidate::{Candidate, Requirements},
-    crashes::{has_crashed_at, is_suspect},
+    crashes::{has_crashed_at, is_suspected},
     fleet_capacity::{FleetCapacity, Rack, ServerIndex},
     run_state::GroupId,
     server_capacity::ServerCapacity,
@@ -50,7 +50,7 @@
         if !self.headroom_allows(candidate, requirements, 0, 1, fleet) {
             return filling.placements;
         }
-        if candidate.suspect {
+        if candidate.suspected {
             let far = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
             let order = fewest_tasks_first(requirements, fleet, &part, far);
             self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
@@ -225,8 +225,8 @@
     ) -> Option<Placements> {
         let mut placements = Placements::new();
         let mut indices = 0..requirements.step.count;
-        let suspect = is_suspect(self.progress_of(name));
-        let neighbours = |server: &ServerCapacity| if suspect { server.tasks } else { 0 };
+        let suspected = is_suspected(self.progress_of(name));
+        let neighbours = |server: &ServerCapacity| if suspected { server.tasks } else { 0 };
         for rack in racks {
             let mut order: Vec<(ServerIndex, &ServerCapacity)> =
                 self.servers_for_gang(name, requirements, fleet, rack, now).collect();
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -24,7 +24,7 @@
         // Planning also changes jobs and backend servers, so the capacities are taken out and put back at the end.
         let mut fleet = std::mem::take(&mut self.fleet);
         for candidate in &candidates {
-            if candidate.suspect && self.awaits_isolated_retry(candidate.group(candidate.groups[0]), now) {
+            if candidate.suspected && self.awaits_isolated_retry(candidate.group(candidate.groups[0]), now) {
                 continue;
             }
             if self.step_of(candidate).gang {
@@ -68,7 +68,7 @@
         let (step, urgent) = (requirements.step.clone(), requirements.urgent);
         if let Some(placements) = free {
             fleet.claim(&step, &placements);
-            if candidate.suspect {
+            if candidate.suspected {
                 fleet.close(&placements);
             }
             self.place(name, &with_server_ids(&placements, fleet), now);
@@ -98,7 +98,7 @@
             Placements::new()
         };
         fleet.claim(&step, &placed);
-        if candidate.suspect {
+        if candidate.suspected {
             fleet.close(&placed);
         }
         fleet.claim(&step, &waiting);
--- a/crates/scheduler/src/ready.rs
+++ b/crates/scheduler/src/ready.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     Scheduler,
-    crashes::is_suspect,
+    crashes::is_suspected,
     run_state::{JobEntry, Member, Occurrence},
     server::Server,
 };
@@ -21,7 +21,7 @@
     /// Groups that are placed together.
     pub(crate) groups: Vec<usize>,
     /// Suspected groups, each placed separately: a backend server crashed during their start.
-    pub(crate) suspects: Vec<usize>,
+    pub(crate) suspected: Vec<usize>,
 }
 
 impl Scheduler {
@@ -77,10 +77,10 @@
             let progress = &occurrence.progress.groups[s][g];
             if !progress.done && live.members.is_empty() {
                 live.ready_since.get_or_insert(now);
-                if is_suspect(progress) { ready.suspects.push(g) } else { ready.groups.push(g) }
+                if is_suspected(progress) { ready.suspected.push(g) } else { ready.groups.push(g) }
             }
         }
-        if !ready.groups.is_empty() || !ready.suspects.is_empty() {
+        if !ready.groups.is_empty() || !ready.suspected.is_empty() {
             steps.push(ready);
         }
     }
--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -144,7 +144,7 @@
 
     /// Returns why the first ready group of an occurrence is not placed.
     fn placement_wait(&self, occurrence: OccurrenceId, ready: &ReadyStep, now: Moment) -> Option<WaitsFor> {
-        let group = *ready.groups.first().or(ready.suspects.first())?;
+        let group = *ready.groups.first().or(ready.suspected.first())?;
         let name = GroupId { occurrence, step: ready.step, group };
         let requirements = self.requirements(&Candidate::for_diagnosis(name), now)?;
         let has_isolated_retry = ready.groups.is_empty() && self.awaits_isolated_retry(name, now);
