--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -34,9 +34,9 @@
             request.machines.len(),
             progress.started.len()
         );
-        let (emptying, down) = (BTreeMap::new(), BTreeMap::new());
+        let (draining, down) = (BTreeMap::new(), BTreeMap::new());
         let stored = progress.succeeded;
-        let batch = MaintenanceBatch { since: now, progress, stored, emptying, down, request };
+        let batch = MaintenanceBatch { since: now, progress, stored, draining, down, request };
         self.maintenance.batches.insert(batch.request.number, batch);
     }
 
@@ -62,7 +62,7 @@
     /// Returns the machines that can be handed over now, each with the number of its request.
     pub fn machines_due_for_maintenance(&mut self, now: Moment) -> Vec<(u64, MachineId)> {
         let mut due = Vec::new();
-        for (number, id, patience_over) in self.emptying(now) {
+        for (number, id, patience_over) in self.draining_machines(now) {
             let up = self.maintenance.machines.get(&id).is_some_and(|machine| machine.up);
             if up && self.empty_machine(&id, patience_over, now) {
                 self.record_incarnation(number, &id);
@@ -76,7 +76,7 @@
     /// succeed without a response.
     fn record_incarnation(&mut self, number: u64, id: &MachineId) {
         let Scheduler { maintenance, servers, .. } = self;
-        let Some(drain) = maintenance.batches.get_mut(&number).and_then(|batch| batch.emptying.get_mut(id)) else {
+        let Some(drain) = maintenance.batches.get_mut(&number).and_then(|batch| batch.draining.get_mut(id)) else {
             return;
         };
         if !std::mem::replace(&mut drain.asked, true) {
@@ -91,13 +91,13 @@
         let Some(batch) = self.maintenance.batches.get_mut(&number) else { return };
         match reply {
             MaintenanceReply::Begun => {
-                let drain = batch.emptying.remove(id).unwrap_or_else(|| MachineDrain::new(None, now));
+                let drain = batch.draining.remove(id).unwrap_or_else(|| MachineDrain::new(None, now));
                 batch.progress.started.insert(id.clone());
                 batch.stored = false;
                 batch.down.insert(id.clone(), MachineDrain { since: now, ..drain });
             }
             MaintenanceReply::Never => {
-                batch.emptying.remove(id);
+                batch.draining.remove(id);
                 batch.request.machines.retain(|other| other != id);
             }
             MaintenanceReply::Busy | MaintenanceReply::Unknown => {}
@@ -127,7 +127,7 @@
         let is_waiting = |id: &&MachineId| {
             machines.get(*id).is_some_and(|machine| machine.up)
                 && !batch.progress.started.contains(*id)
-                && !batch.emptying.contains_key(*id)
+                && !batch.draining.contains_key(*id)
                 && !batch.down.contains_key(*id)
         };
         let mut waiting: Vec<&MachineId> = batch.request.machines.iter().filter(is_waiting).collect();
@@ -139,16 +139,22 @@
             log::info!("event=emptying wave={number} machine={id} wave_age_ms={}", age.millis());
             let server = self.maintenance.machines.get(&id).and_then(|machine| machine.server.clone());
             if let Some(batch) = self.maintenance.batches.get_mut(&number) {
-                batch.emptying.insert(id, MachineDrain::new(server, now));
+                batch.draining.insert(id, MachineDrain::new(server, now));
             }
         }
     }
 
     /// Closes backend servers to new work while their machines are being drained, and opens the others.
     fn update_closed_servers(&mut self) {
-        let emptying = |id: &MachineId| self.maintenance.batches.values().any(|batch| batch.emptying.contains_key(id));
-        let closed: BTreeSet<BackendServerId> =
-            self.maintenance.machines.values().filter(|m| emptying(&m.id)).filter_map(|m| m.server.clone()).collect();
+        let is_draining =
+            |id: &MachineId| self.maintenance.batches.values().any(|batch| batch.draining.contains_key(id));
+        let closed: BTreeSet<BackendServerId> = self
+            .maintenance
+            .machines
+            .values()
+            .filter(|m| is_draining(&m.id))
+            .filter_map(|m| m.server.clone())
+            .collect();
         let changed = self.servers.iter().filter(|(id, server)| server.closed_for_maintenance != closed.contains(*id));
         for id in changed.map(|(id, _)| id.clone()).collect::<Vec<_>>() {
             let server = self.server_mut(&id).expect("it was just seen");
@@ -158,12 +164,12 @@
 
     /// Returns the machines that are being drained, each with the number of its request and whether the time for work
     /// to end by itself is over.
-    fn emptying(&self, now: Moment) -> Vec<(u64, MachineId, bool)> {
+    fn draining_machines(&self, now: Moment) -> Vec<(u64, MachineId, bool)> {
         let drains_of = |(number, batch): (&u64, &MaintenanceBatch)| {
             let (number, patience) = (*number, batch.patience());
             let with_number =
                 |(id, drain): (&MachineId, &MachineDrain)| (number, id.clone(), now.since(drain.since) >= patience);
-            batch.emptying.iter().map(with_number).collect::<Vec<_>>()
+            batch.draining.iter().map(with_number).collect::<Vec<_>>()
         };
         self.maintenance.batches.iter().flat_map(drains_of).collect()
     }
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -112,7 +112,7 @@
     /// Whether the store holds `progress` as it is.
     pub(crate) stored: bool,
     /// Machines that are being drained; one whose maintenance got no response stays here and is requested again.
-    pub(crate) emptying: BTreeMap<MachineId, MachineDrain>,
+    pub(crate) draining: BTreeMap<MachineId, MachineDrain>,
     /// Machines that were handed over.
     pub(crate) down: BTreeMap<MachineId, MachineDrain>,
 }
@@ -131,7 +131,7 @@
                 machines.get(id).is_none_or(|machine| machine.up && down.has_new_incarnation(machine, &incarnation_of));
             !is_back && now.since(down.since) < MAX_DOWN_TIME
         });
-        self.emptying.retain(|id, _| machines.contains_key(id));
+        self.draining.retain(|id, _| machines.contains_key(id));
         let is_remaining = |id: &&MachineId| machines.contains_key(*id) && !self.progress.started.contains(*id);
         if !self.progress.succeeded && !machines.is_empty() && !self.request.machines.iter().any(|id| is_remaining(&id))
         {
@@ -142,7 +142,7 @@
 
     /// Returns how many machines of the request are down or about to be, by the list or by what was requested.
     pub(crate) fn count_unavailable(&self, machines: &BTreeMap<MachineId, Machine>) -> usize {
-        let asked = |id: &MachineId| self.down.contains_key(id) || self.emptying.contains_key(id);
+        let asked = |id: &MachineId| self.down.contains_key(id) || self.draining.contains_key(id);
         let is_unavailable = |id: &&MachineId| asked(id) || machines.get(*id).is_some_and(|machine| !machine.up);
         self.request.machines.iter().filter(is_unavailable).count()
     }
