--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -62,9 +62,9 @@
     /// Returns the machines that can be handed over now, each with the number of its request.
     pub fn machines_due_for_maintenance(&mut self, now: Moment) -> Vec<(u64, MachineId)> {
         let mut due = Vec::new();
-        for (number, id, patience_over) in self.draining_machines(now) {
+        for (number, id, drain_time_over) in self.draining_machines(now) {
             let up = self.maintenance.machines.get(&id).is_some_and(|machine| machine.up);
-            if up && self.empty_machine(&id, patience_over, now) {
+            if up && self.drain_machine(&id, drain_time_over, now) {
                 self.record_incarnation(number, &id);
                 due.push((number, id));
             }
@@ -166,22 +166,23 @@
     /// to end by itself is over.
     fn draining_machines(&self, now: Moment) -> Vec<(u64, MachineId, bool)> {
         let drains_of = |(number, batch): (&u64, &MaintenanceBatch)| {
-            let (number, patience) = (*number, batch.patience());
-            let with_number =
-                |(id, drain): (&MachineId, &MachineDrain)| (number, id.clone(), now.since(drain.since) >= patience);
+            let (number, max_drain_time) = (*number, batch.max_drain_time());
+            let with_number = |(id, drain): (&MachineId, &MachineDrain)| {
+                (number, id.clone(), now.since(drain.since) >= max_drain_time)
+            };
             batch.draining.iter().map(with_number).collect::<Vec<_>>()
         };
         self.maintenance.batches.iter().flat_map(drains_of).collect()
     }
 
     /// Stops what may be moved off a machine; returns whether nothing runs there.
-    fn empty_machine(&mut self, id: &MachineId, patience_over: bool, now: Moment) -> bool {
+    fn drain_machine(&mut self, id: &MachineId, drain_time_over: bool, now: Moment) -> bool {
         let members = self.groups_on_machine(id);
         let empty = members.is_empty();
         for name in members {
             let step = self.step(name);
             let can_be_moved = step.checkpoints || step.long_running;
-            if (can_be_moved || patience_over) && self.may_interrupt(name) {
+            if (can_be_moved || drain_time_over) && self.may_interrupt(name) {
                 self.stop_group(name, StopReason::ServerLeaving, now);
             }
         }
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -148,7 +148,7 @@
     }
 
     /// Returns how long work on one machine may take to end by itself.
-    pub(crate) fn patience(&self) -> Duration {
+    pub(crate) fn max_drain_time(&self) -> Duration {
         let rounds = self.request.machines.len().div_ceil(self.request.most_at_once.max(1));
         self.request.term.scaled(0.5 / rounds.max(1) as f64).min(MAX_WAIT_FOR_COMPLETION)
     }
