--- a/crates/scheduler/src/maintenance.rs
+++ b/crates/scheduler/src/maintenance.rs
@@ -79,7 +79,7 @@
         let Some(drain) = maintenance.batches.get_mut(&number).and_then(|batch| batch.draining.get_mut(id)) else {
             return;
         };
-        if !std::mem::replace(&mut drain.asked, true) {
+        if !std::mem::replace(&mut drain.attempted, true) {
             let server = drain.server.as_ref().and_then(|server| servers.get(server));
             drain.incarnation = server.and_then(|server| server.incarnation);
         }
--- a/crates/scheduler/src/maintenance_batch.rs
+++ b/crates/scheduler/src/maintenance_batch.rs
@@ -84,12 +84,12 @@
     /// its id.
     pub(crate) incarnation: Option<Incarnation>,
     /// Whether there was an attempt to hand it over.
-    pub(crate) asked: bool,
+    pub(crate) attempted: bool,
 }
 
 impl MachineDrain {
     pub(crate) fn new(server: Option<BackendServerId>, now: Moment) -> MachineDrain {
-        MachineDrain { since: now, server, incarnation: None, asked: false }
+        MachineDrain { since: now, server, incarnation: None, attempted: false }
     }
 
     /// Returns whether another incarnation runs on the machine, by the platform's list or by its responses.
@@ -142,8 +142,8 @@
 
     /// Returns how many machines of the request are down or about to be, by the list or by what was requested.
     pub(crate) fn count_unavailable(&self, machines: &BTreeMap<MachineId, Machine>) -> usize {
-        let asked = |id: &MachineId| self.down.contains_key(id) || self.draining.contains_key(id);
-        let is_unavailable = |id: &&MachineId| asked(id) || machines.get(*id).is_some_and(|machine| !machine.up);
+        let is_requested = |id: &MachineId| self.down.contains_key(id) || self.draining.contains_key(id);
+        let is_unavailable = |id: &&MachineId| is_requested(id) || machines.get(*id).is_some_and(|machine| !machine.up);
         self.request.machines.iter().filter(is_unavailable).count()
     }
 
