--- a/crates/scheduler/src/guarantee.rs
+++ b/crates/scheduler/src/guarantee.rs
@@ -49,7 +49,7 @@
 
     /// Returns whether a customer's running jobs of priority 0 use more accelerators than guaranteed. True for jobs
     /// without a customer.
-    pub(crate) fn is_beyond(&self, customer: Option<&CustomerId>) -> bool {
+    pub(crate) fn is_exceeded(&self, customer: Option<&CustomerId>) -> bool {
         customer.is_none_or(|customer| self.exceeded.get(customer).copied().unwrap_or(false))
     }
 }
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -238,7 +238,7 @@
         // themselves.
         let yields_to_long_running =
             candidate.long_running && entry.priority == candidate.priority && !step.long_running;
-        let reclaimed = || candidate.guaranteed && guarantees.is_beyond(entry.job.customer.as_ref());
+        let reclaimed = || candidate.guaranteed && guarantees.is_exceeded(entry.job.customer.as_ref());
         let may_be_stopped = entry.priority > candidate.priority || yields_to_long_running || reclaimed();
         if !may_be_stopped || step.max_absent.is_some() && !self.may_interrupt(name) {
             return None;
