--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -93,14 +93,14 @@
 }
 
 impl Group {
-    /// Returns whether its run is known to have survived its start. `heard` is the time of the latest response from
+    /// Returns whether its run is known to have survived its start. `last_response` is the time of the latest response from
     /// one of its backend servers.
-    pub(crate) fn survived_start(&self, heard: Option<Moment>) -> bool {
-        self.known_run_time(heard) >= Some(START_SURVIVED_AFTER)
+    pub(crate) fn survived_start(&self, last_response: Option<Moment>) -> bool {
+        self.known_run_time(last_response) >= Some(START_SURVIVED_AFTER)
     }
 
-    fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
-        self.members.iter().map(|member| member.known_run_time(heard)).min().flatten()
+    fn known_run_time(&self, last_response: Option<Moment>) -> Option<Duration> {
+        self.members.iter().map(|member| member.known_run_time(last_response)).min().flatten()
     }
 }
 
@@ -153,8 +153,8 @@
         let charged = |(task, run): (&TaskId, &RunNumber)| {
             let name = self.group_of(*task)?;
             let group = self.group(name);
-            let here = |member: &&Member| member.index == task.index && member.server == *id && which(member);
-            let member = group.members.iter().find(here)?;
+            let is_charged = |member: &&Member| member.index == task.index && member.server == *id && which(member);
+            let member = group.members.iter().find(is_charged)?;
             let early = !group.survived_start(server.contact.last_response);
             let address = server.info.as_ref().map_or_else(|| Arc::from(""), |info| Arc::from(info.address.as_str()));
             let started = member.phase == Phase::Running;
@@ -167,10 +167,10 @@
     fn charge(&mut self, name: GroupId, crash: Crash, id: &BackendServerId, now: Moment) {
         let Crash { index, run, early, .. } = crash;
         let job = name.occurrence.job;
-        let known = |other: &Crash| other.index == index && other.run == run;
+        let is_recorded = |other: &Crash| other.index == index && other.run == run;
         let progress = self.progress_of(name);
-        let over = progress.done || self.occurrence(name.occurrence).is_finished() || self.jobs[&job].cancelled;
-        if over || progress.crashes.iter().any(known) {
+        let is_over = progress.done || self.occurrence(name.occurrence).is_finished() || self.jobs[&job].cancelled;
+        if is_over || progress.crashes.iter().any(is_recorded) {
             return;
         }
         let task = name.task(index);
@@ -204,8 +204,8 @@
     /// crashed and its next incarnation has not responded yet.
     fn may_reveal_crash(&self, id: &BackendServerId, now: Moment) -> bool {
         let Some(server) = self.servers.get(id) else { return false };
-        let silent = || now.since(server.contact.failing_since.unwrap_or(self.elected));
-        server.is_reachable() || silent() < RECOVERY_TIME
+        let unresponsive_for = || now.since(server.contact.failing_since.unwrap_or(self.elected));
+        server.is_reachable() || unresponsive_for() < RECOVERY_TIME
     }
 
     /// Returns whether a suspected group waits for an empty backend server before its last attempt: after two crashes
@@ -232,14 +232,14 @@
         if !self.isolated_retries.contains_key(id) {
             return;
         }
-        let heard = self.servers.get(id).and_then(|server| server.contact.last_response);
+        let last_response = self.servers.get(id).and_then(|server| server.contact.last_response);
         for name in self.groups_on(id) {
             let group = self.group(name);
             let Some(isolated_retry) = group.isolated_retry else { continue };
-            let is_stable =
-                group.known_run_time(heard) >= Some(RETRY_STABLE_AFTER) && !is_last_attempt(self.progress_of(name));
+            let is_stable = group.known_run_time(last_response) >= Some(RETRY_STABLE_AFTER)
+                && !is_last_attempt(self.progress_of(name));
             let now = match isolated_retry {
-                _ if group.survived_start(heard) => None,
+                _ if group.survived_start(last_response) => None,
                 IsolatedRetry::Started if is_stable => Some(IsolatedRetry::Stable),
                 isolated_retry => Some(isolated_retry),
             };
