--- a/crates/scheduler/src/permits.rs
+++ b/crates/scheduler/src/permits.rs
@@ -41,7 +41,7 @@
 
 /// Decision of the permit service on a step and a backend server.
 #[derive(Debug, Clone)]
-enum Verdict {
+enum Decision {
     Refused,
     Allowed { permit: Permit, until: Moment },
 }
@@ -49,7 +49,7 @@
 /// Decisions of the permit service, and the requests to send next.
 #[derive(Debug, Default)]
 pub(crate) struct PermitBook {
-    verdicts: BTreeMap<StepId, BTreeMap<BackendServerId, Verdict>>,
+    decisions: BTreeMap<StepId, BTreeMap<BackendServerId, Decision>>,
     /// Requests of the latest plan, in its order.
     requests: Vec<PermitRequest>,
     /// Step of the request in flight.
@@ -64,43 +64,43 @@
 
     /// Returns the backend servers with a valid permit for a step.
     pub(crate) fn allowed(&self, step: StepId, now: Moment) -> BTreeSet<&BackendServerId> {
-        let is_valid = |verdict: &Verdict| matches!(verdict, Verdict::Allowed { until, .. } if now < *until);
-        let verdicts = self.verdicts.get(&step).into_iter().flatten();
-        verdicts.filter(|(_, verdict)| is_valid(verdict)).map(|(id, _)| id).collect()
+        let is_valid = |decision: &Decision| matches!(decision, Decision::Allowed { until, .. } if now < *until);
+        let decisions = self.decisions.get(&step).into_iter().flatten();
+        decisions.filter(|(_, decision)| is_valid(decision)).map(|(id, _)| id).collect()
     }
 
     /// Returns the permit for a step on a backend server, even if it has expired.
     pub(crate) fn permit(&self, step: StepId, server: &BackendServerId) -> Option<Permit> {
-        match self.verdicts.get(&step)?.get(server)? {
-            Verdict::Allowed { permit, .. } => Some(Arc::clone(permit)),
-            Verdict::Refused => None,
+        match self.decisions.get(&step)?.get(server)? {
+            Decision::Allowed { permit, .. } => Some(Arc::clone(permit)),
+            Decision::Refused => None,
         }
     }
 
     /// Removes a permit that the backend server refused, so that it is requested again.
     pub(crate) fn permit_refused(&mut self, step: StepId, server: &BackendServerId) {
-        if let Some(verdicts) = self.verdicts.get_mut(&step) {
-            verdicts.remove(server);
+        if let Some(decisions) = self.decisions.get_mut(&step) {
+            decisions.remove(server);
         }
     }
 
     /// Removes the permits for a backend server, since they are valid for one incarnation and another one has
     /// responded.
     pub(crate) fn remove_permits_for(&mut self, server: &BackendServerId) {
-        for verdicts in self.verdicts.values_mut() {
-            if matches!(verdicts.get(server), Some(Verdict::Allowed { .. })) {
-                verdicts.remove(server);
+        for decisions in self.decisions.values_mut() {
+            if matches!(decisions.get(server), Some(Decision::Allowed { .. })) {
+                decisions.remove(server);
             }
         }
     }
 
     /// Removes the decisions for an occurrence that starts no more steps.
     pub(crate) fn remove_occurrence(&mut self, occurrence: OccurrenceId) {
-        self.verdicts.retain(|step, _| step.occurrence != occurrence);
+        self.decisions.retain(|step, _| step.occurrence != occurrence);
     }
 
     fn is_refused(&self, step: StepId, server: &BackendServerId) -> bool {
-        matches!(self.verdicts.get(&step).and_then(|verdicts| verdicts.get(server)), Some(Verdict::Refused))
+        matches!(self.decisions.get(&step).and_then(|decisions| decisions.get(server)), Some(Decision::Refused))
     }
 }
 
@@ -149,25 +149,25 @@
             return;
         }
         let until = sent + Duration::from_millis(request.valid.millis().saturating_sub(PERMIT_MARGIN.millis()));
-        let verdicts = self.permits.verdicts.entry(request.step).or_default();
+        let decisions = self.permits.decisions.entry(request.step).or_default();
         for server in &request.servers {
-            let verdict = match allowed.get(server) {
-                Some(permit) => Verdict::Allowed { permit: Arc::clone(permit), until },
-                None => Verdict::Refused,
+            let decision = match allowed.get(server) {
+                Some(permit) => Decision::Allowed { permit: Arc::clone(permit), until },
+                None => Decision::Refused,
             };
-            verdicts.insert(server.clone(), verdict);
+            decisions.insert(server.clone(), decision);
         }
     }
 
     /// Requests permits for further backend servers for a candidate that was not placed completely.
     pub(crate) fn request_permits(&mut self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) {
-        let Some(request) = self.request(candidate, fleet, now) else { return };
+        let Some(request) = self.permit_request_for(candidate, fleet, now) else { return };
         if !request.servers.is_empty() {
             self.permits.requests.push(request);
         }
     }
 
-    fn request(&self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) -> Option<PermitRequest> {
+    fn permit_request_for(&self, candidate: &Candidate, fleet: &FleetCapacity, now: Moment) -> Option<PermitRequest> {
         let is_unplaced = |&group: &usize| self.group(candidate.group(group)).members.is_empty();
         if self.permits.in_flight == Some(candidate.step_id()) || !candidate.groups.iter().any(is_unplaced) {
             return None;
