--- a/crates/scheduler/src/throttle.rs
+++ b/crates/scheduler/src/throttle.rs
@@ -139,12 +139,12 @@
     /// Returns the tasks that a backend server has listed as running, of steps that satisfy `is`.
     fn running_members(&self, id: &BackendServerId, is: fn(&Step) -> bool) -> Vec<(GroupId, u32)> {
         let Some(server) = self.servers.get(id) else { return Vec::new() };
-        let runs = |member: &Member| member.server == *id && member.phase == Phase::Running;
+        let is_running_here = |member: &Member| member.server == *id && member.phase == Phase::Running;
         let running = |task: &TaskId| {
             let name = self.group_of(*task)?;
             let group = self.group(name);
-            let shown = group.members.iter().any(|member| member.index == task.index && runs(member));
-            (is(self.step(name)) && shown && group.stopping.is_none()).then_some((name, task.index))
+            let is_listed = group.members.iter().any(|member| member.index == task.index && is_running_here(member));
+            (is(self.step(name)) && is_listed && group.stopping.is_none()).then_some((name, task.index))
         };
         server.members.keys().filter_map(running).collect()
     }
@@ -152,10 +152,10 @@
 
 /// Returns the next speed of a best-effort task in percent, given the highest share of a target that a task beside it
 /// has reached.
-fn next_throttle(pace: u32, load: Option<f64>) -> u32 {
+fn next_throttle(percent: u32, load: Option<f64>) -> u32 {
     let Some(load) = load else { return FULL_PERCENT };
     let slower = |factor: f64| {
-        let slowed = (f64::from(pace) * factor) as u32;
+        let slowed = (f64::from(percent) * factor) as u32;
         if slowed < PAUSE_BELOW_PERCENT { 0 } else { slowed }
     };
     if load >= 1.0 {
@@ -163,8 +163,8 @@
     } else if load >= SLOW_DOWN_FROM {
         slower(SLOW_DOWN_FACTOR)
     } else if load < SPEED_UP_BELOW {
-        (pace + SPEED_UP_POINTS).min(FULL_PERCENT)
+        (percent + SPEED_UP_POINTS).min(FULL_PERCENT)
     } else {
-        pace
+        percent
     }
 }
