--- a/crates/scheduler/src/stalled.rs
+++ b/crates/scheduler/src/stalled.rs
@@ -41,7 +41,7 @@
     /// The backend server has not responded to the start order, or has not listed the run.
     Start { server: BackendServerId },
     /// A placement.
-    Place(PlacementOptions),
+    Placement(PlacementOptions),
 }
 
 /// Numbers of backend servers that a task might be placed on.
@@ -63,7 +63,7 @@
             WaitsFor::Stop { server } => write!(f, "stop server={server}"),
             WaitsFor::Store => f.write_str("store"),
             WaitsFor::Start { server } => write!(f, "start server={server}"),
-            WaitsFor::Place(PlacementOptions { with_room, allowed, avoided, held_back_by }) => {
+            WaitsFor::Placement(PlacementOptions { with_room, allowed, avoided, held_back_by }) => {
                 let held_back_by = held_back_by.unwrap_or("nothing");
                 write!(f, "place with_room={with_room} allowed={allowed} avoided={avoided} held_back_by={held_back_by}")
             }
@@ -123,9 +123,9 @@
     }
 
     fn waits_for(&self, id: OccurrenceId, now: Moment) -> Option<WaitsFor> {
-        let place = self.ready.get(&id).and_then(|steps| self.placement_wait(id, steps.first()?, now));
+        let placement = self.ready.get(&id).and_then(|steps| self.placement_wait(id, steps.first()?, now));
         let groups = || self.occurrence(id).groups.iter().flatten();
-        place.or_else(|| groups().find_map(|group| self.run_wait(group, now)))
+        placement.or_else(|| groups().find_map(|group| self.run_wait(group, now)))
     }
 
     fn run_wait(&self, group: &Group, now: Moment) -> Option<WaitsFor> {
@@ -147,14 +147,14 @@
         let group = *ready.groups.first().or(ready.suspected.first())?;
         let name = GroupId { occurrence, step: ready.step, group };
         let requirements = self.requirements(&Candidate::for_diagnosis(name), now)?;
-        let has_isolated_retry = ready.groups.is_empty() && self.awaits_isolated_retry(name, now);
+        let awaits_retry = ready.groups.is_empty() && self.awaits_isolated_retry(name, now);
         let no_headroom = !requirements.urgent && !self.leaves_headroom(&requirements, 0, 1, &self.fleet);
-        let held_back_by = if has_isolated_retry { Some("trial") } else { no_headroom.then_some("headroom") };
+        let held_back_by = if awaits_retry { Some("trial") } else { no_headroom.then_some("headroom") };
         let with_room: Vec<_> =
             self.fleet.iter().filter(|(_, server)| server.free.contains(&requirements.need)).collect();
         let allowed: Vec<_> = with_room.iter().filter(|(_, server)| requirements.allows(server)).collect();
         let avoided = allowed.iter().filter(|(_, server)| self.avoids(name, server, now)).count();
-        Some(WaitsFor::Place(PlacementOptions {
+        Some(WaitsFor::Placement(PlacementOptions {
             with_room: with_room.len(),
             allowed: allowed.len(),
             avoided,
