--- a/crates/scheduler/src/candidate.rs
+++ b/crates/scheduler/src/candidate.rs
@@ -93,8 +93,8 @@
 impl Requirements<'_> {
     /// Returns whether a task of the step may start on the backend server now.
     pub(crate) fn allows(&self, server: &ServerCapacity) -> bool {
-        let advised = self.allowed.as_ref().is_none_or(|allowed| allowed.contains(&server.id));
-        advised && self.could_run(server)
+        let is_permitted = self.allowed.as_ref().is_none_or(|allowed| allowed.contains(&server.id));
+        is_permitted && self.could_run(server)
     }
 
     /// Returns whether a task of the step could run on the backend server, regardless of permits.
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -17,7 +17,7 @@
 /// Additional share for each second that a stop takes, since urgent jobs wait that long.
 const SHARE_PER_STOP_SECOND: f64 = 0.7;
 /// Largest share for work that has used up half of its slack, so that work that can wait does not starve.
-const MAX_SHARE_IF_PRESSED: f64 = 0.35;
+const MAX_SHARE_HALF_SLACK_USED: f64 = 0.35;
 /// Largest share for other work. A larger one would have no effect, since nothing is held back while less than
 /// [`LOW_USE_SHARE`] of the accelerators is in use.
 const MAX_SHARE: f64 = 0.5;
@@ -61,7 +61,7 @@
     /// Returns the share of a service's accelerators that must stay free when work that can wait starts; it is smaller
     /// for work that has used up half of its slack.
     fn headroom(&self, slack_half_used: bool) -> f64 {
-        let most = if slack_half_used { MAX_SHARE_IF_PRESSED } else { MAX_SHARE };
+        let most = if slack_half_used { MAX_SHARE_HALF_SLACK_USED } else { MAX_SHARE };
         let learned = MIN_SHARE + SHARE_PER_STOP_SECOND * self.stop_durations.mean_s;
         self.timing.tuning.headroom.unwrap_or(learned.min(most))
     }
@@ -77,11 +77,11 @@
         count: u64,
         fleet: &FleetCapacity,
     ) -> bool {
-        let is_stalled = || {
+        let may_use_headroom = || {
             let free = fleet.totals(requirements.service).free;
             candidate.is_stalled && taken == 0 && free >= STALLED_FREE_FACTOR * count * requirements.need.accelerators
         };
-        requirements.urgent || self.leaves_headroom(requirements, taken, count, fleet) || is_stalled()
+        requirements.urgent || self.leaves_headroom(requirements, taken, count, fleet) || may_use_headroom()
     }
 
     /// Returns whether enough accelerators stay free for urgent jobs if `count` tasks start in addition to `taken`
--- a/crates/scheduler/src/placement.rs
+++ b/crates/scheduler/src/placement.rs
@@ -51,8 +51,8 @@
             return filling.placements;
         }
         if candidate.suspected {
-            let far = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
-            let order = fewest_tasks_first(requirements, fleet, &part, far);
+            let may_be_far = self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
+            let order = fewest_tasks_first(requirements, fleet, &part, may_be_far);
             self.fill_with_tasks(candidate, requirements, fleet, order, &mut filling, now);
             return filling.placements;
         }
@@ -322,9 +322,9 @@
     requirements: &Requirements<'_>,
     fleet: &'r FleetCapacity,
     part: impl Fn(&ServerCapacity) -> Resources,
-    far: bool,
+    may_be_far: bool,
 ) -> FillOrder<'r> {
-    let near_enough = |rack: &Arc<str>| far || is_near(requirements.step, rack);
+    let near_enough = |rack: &Arc<str>| may_be_far || is_near(requirements.step, rack);
     let racks = fleet.racks().filter(|(name, rack)| rack.may_hold(&requirements.need) && near_enough(name));
     let mut order: FillOrder<'r> =
         racks.flat_map(|(_, rack)| fitting_servers(requirements, fleet, rack, &part)).collect();
--- a/crates/scheduler/src/preempt.rs
+++ b/crates/scheduler/src/preempt.rs
@@ -75,8 +75,8 @@
     }
 
     /// Returns how many tasks would accept at least one of the backend servers.
-    fn count_for_any(&self, fleet: &[&ServerCapacity]) -> u64 {
-        self.count(|name| fleet.iter().any(|server| self.accepts(name, server)))
+    fn count_for_any(&self, servers: &[&ServerCapacity]) -> u64 {
+        self.count(|name| servers.iter().any(|server| self.accepts(name, server)))
     }
 
     fn accepts(&self, name: GroupId, server: &ServerCapacity) -> bool {
@@ -103,7 +103,7 @@
             return;
         }
         let (waste, victims) = self.victims(candidate, groups, fleet, guarantees, now);
-        if victims.is_empty() || !candidate.guaranteed && waste > self.most_waste(candidate, groups) {
+        if victims.is_empty() || !candidate.guaranteed && waste > self.max_waste(candidate, groups) {
             return;
         }
         log::info!(
@@ -139,8 +139,8 @@
     ) -> (f64, Vec<GroupId>) {
         let Some(requirements) = self.requirements(candidate, now) else { return (0.0, Vec::new()) };
         // No run is stopped where no task of the step would go.
-        let far = requirements.step.gang || self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
-        let is_near_enough = |server: &ServerCapacity| far || is_near(requirements.step, &server.rack);
+        let may_be_far = requirements.step.gang || self.remote_is_worthwhile(candidate, requirements.step, fleet, now);
+        let is_near_enough = |server: &ServerCapacity| may_be_far || is_near(requirements.step, &server.rack);
         let beneficiaries = self.beneficiaries(candidate, &requirements, groups, now);
         let mut by_rack: BTreeMap<Option<&Arc<str>>, Vec<Offer>> = BTreeMap::new();
         // A run that is an isolated retry is not stopped, since the retry would have to be repeated.
@@ -260,7 +260,7 @@
     }
 
     /// Returns the most core-seconds that may be lost so that groups of a candidate without a guarantee can start.
-    fn most_waste(&self, candidate: &Candidate, groups: &[usize]) -> f64 {
+    fn max_waste(&self, candidate: &Candidate, groups: &[usize]) -> f64 {
         let step = &self.jobs[&candidate.occurrence.job].job.steps[candidate.step];
         let tasks = if step.gang { step.count as usize } else { groups.len() };
         weight_in_cores(&step.need) * tasks as f64 * step.estimate.secs_f64() * self.timing.tuning.most_waste
@@ -270,8 +270,8 @@
     /// or whose backend server is unreachable, counts as absent whatever the cause.
     pub(crate) fn may_interrupt(&self, name: GroupId) -> bool {
         let Some(most) = self.step(name).max_absent else { return true };
-        let reachable = |id: &BackendServerId| self.servers.get(id).is_some_and(|server| server.failed_calls == 0);
-        let is_serving = |member: &Member| member.percent >= SERVING_PERCENT && reachable(&member.server);
+        let is_reachable = |id: &BackendServerId| self.servers.get(id).is_some_and(|server| server.failed_calls == 0);
+        let is_serving = |member: &Member| member.percent >= SERVING_PERCENT && is_reachable(&member.server);
         let is_absent = |group: &&Group| {
             group.members.is_empty() || group.stopping.is_some() || !group.members.iter().all(is_serving)
         };
--- a/crates/scheduler/src/server_capacity.rs
+++ b/crates/scheduler/src/server_capacity.rs
@@ -67,16 +67,16 @@
 }
 
 impl Totals {
-    pub(crate) fn add(&mut self, server_capacity: &ServerCapacity) {
-        self.free += server_capacity.free_accelerators();
-        self.used += server_capacity.used_accelerators();
-        self.all += server_capacity.capacity.accelerators;
+    pub(crate) fn add(&mut self, server: &ServerCapacity) {
+        self.free += server.free_accelerators();
+        self.used += server.used_accelerators();
+        self.all += server.capacity.accelerators;
     }
 
-    pub(crate) fn remove(&mut self, server_capacity: &ServerCapacity) {
-        self.free -= server_capacity.free_accelerators();
-        self.used -= server_capacity.used_accelerators();
-        self.all -= server_capacity.capacity.accelerators;
+    pub(crate) fn remove(&mut self, server: &ServerCapacity) {
+        self.free -= server.free_accelerators();
+        self.used -= server.used_accelerators();
+        self.all -= server.capacity.accelerators;
     }
 }
 
