--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -61,7 +61,7 @@
             self.stop_durations.record(took);
         }
         if end.kind == CompletionKind::Done {
-            self.measure_end(name, end.task.index, id, now);
+            self.measure_completion(name, end.task.index, id, now);
         }
         self.remove_member(name, end.task.index, end.checkpoint.clone(), now);
         match end.kind {
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -296,7 +296,7 @@
     }
 
     /// Measures the speed of an independent task by its completion, unless its progress was measured before.
-    pub(crate) fn measure_end(&mut self, name: GroupId, index: u32, id: &BackendServerId, now: Moment) {
+    pub(crate) fn measure_completion(&mut self, name: GroupId, index: u32, id: &BackendServerId, now: Moment) {
         let checkpoint = self.progress_of(name).checkpoint.is_some();
         let step = self.step(name);
         if step.gang && step.count > 1 || step.long_running || step.best_effort {
