--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -85,7 +85,7 @@
             phase: Phase::Restored,
             confirmed_at: Some(elected),
             throttle: Throttle::unknown(),
-            measured: Measured::BegunBefore,
+            measured: Measured::StartedBefore,
             ..Member::planned(placed)
         }
     }
--- a/crates/scheduler/src/speed.rs
+++ b/crates/scheduler/src/speed.rs
@@ -202,7 +202,7 @@
     /// Nothing was reported.
     NotYet,
     /// Nothing was reported, and the run started before this scheduler was elected, at an unknown time.
-    BegunBefore,
+    StartedBefore,
     /// Time and percentage at which the measurement starts.
     From(Moment, u32),
     /// Its speed has been measured.
@@ -290,7 +290,7 @@
                 let total_s = now.since(from).secs_f64() * 100.0 / f64::from(percent - done);
                 self.learn_speed(name, id, total_s, now);
             }
-            Measured::NotYet | Measured::BegunBefore if percent > 0 => member.measured = Measured::From(now, percent),
+            Measured::NotYet | Measured::StartedBefore if percent > 0 => member.measured = Measured::From(now, percent),
             _ => {}
         }
     }
