--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -93,8 +93,8 @@
 }
 
 impl Group {
-    /// Returns whether its run is known to have survived its start. `last_response` is the time of the latest response from
-    /// one of its backend servers.
+    /// Returns whether its run is known to have survived its start. `last_response` is the time of the latest
+    /// response from one of its backend servers.
     pub(crate) fn survived_start(&self, last_response: Option<Moment>) -> bool {
         self.known_run_time(last_response) >= Some(START_SURVIVED_AFTER)
     }
--- a/crates/scheduler/src/headroom.rs
+++ b/crates/scheduler/src/headroom.rs
@@ -58,8 +58,8 @@
 }
 
 impl Scheduler {
-    /// Returns the share of a service's accelerators that must stay free when work that can wait starts; it is smaller
-    /// for work that has used up half of its slack.
+    /// Returns the share of a service's accelerators that must stay free when work that can wait starts; it is
+    /// smaller for work that has used up half of its slack.
     fn headroom(&self, slack_half_used: bool) -> f64 {
         let most = if slack_half_used { MAX_SHARE_HALF_SLACK_USED } else { MAX_SHARE };
         let learned = MIN_SHARE + SHARE_PER_STOP_SECOND * self.stop_durations.mean_s;
