--- a/crates/scheduler/src/evacuation.rs
+++ b/crates/scheduler/src/evacuation.rs
@@ -66,7 +66,7 @@
         known: Vec<String>,
     },
     /// No other availability zone would be left.
-    #[display("{zone} is the last availability zone that is not evacuated; end another evacuation first")]
+    #[display("{zone} is the last availability zone that is not evacuated; take another one back first")]
     LastZone {
         /// Requested availability zone.
         zone: AvailabilityZoneId,
