--- a/crates/scheduler/src/completions.rs
+++ b/crates/scheduler/src/completions.rs
@@ -1,4 +1,4 @@
-//! What a backend server says of what runs, and of what ran.
+//! Reports of a backend server: runs in progress and completions.
 
 use derive_more::Display;
 use jobs::{Checkpoint, RunNumber, TaskId};
@@ -8,60 +8,60 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[display(rename_all = "snake_case")]
 pub enum CompletionKind {
-    /// Well.
+    /// It completed its work.
     Done,
-    /// Through its own fault or the backend server's; counts as an attempt.
+    /// It failed, through its own fault or the backend server's; counts as an attempt.
     Failed,
-    /// On an order.
+    /// It was stopped by an order.
     Stopped,
-    /// Its lease ran out.
+    /// Its lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// Its gang did not come together in time.
+    /// Its gang was not complete in time.
     Alone,
 }
 
-/// An end that a backend server lists until it is acknowledged.
+/// Completion of a run; a backend server lists it until it is acknowledged.
 #[derive(Debug, Clone)]
 pub struct Completion {
-    /// Counts the backend server's ends, from 1.
+    /// Serial number among the backend server's completions, from 1.
     pub serial: u64,
-    /// What ended.
+    /// Task that was run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run.
     pub run: RunNumber,
-    /// How.
+    /// How the run ended.
     pub kind: CompletionKind,
-    /// The latest checkpoint, if the run made one.
+    /// Latest checkpoint; `None` if the run made none.
     pub checkpoint: Option<Checkpoint>,
 }
 
-/// A run that goes on.
+/// Run in progress.
 #[derive(Debug, Clone)]
 pub struct RunningTask {
-    /// What runs.
+    /// Task that is run.
     pub task: TaskId,
-    /// Which run of it.
+    /// Number of the run.
     pub run: RunNumber,
-    /// The latest checkpoint, if the run made one.
+    /// Latest checkpoint; `None` if the run has made none.
     pub checkpoint: Option<Checkpoint>,
-    /// Share of its work that is done, 0 to 100; of a task that lasts, 100 once it is at work.
+    /// Share of its work that is done, 0 to 100; for a long-running task, 100 once it is in service.
     pub percent: u32,
-    /// The tail latency, in milliseconds, of what a task with a latency target serves; `None` for any other
-    /// task, or where the backend server measures none.
+    /// Tail latency, in milliseconds, of the requests that a task with a latency target serves; `None` for any other
+    /// task, or if the backend server does not measure it.
     pub latency_ms: Option<f64>,
 }
 
-/// Everything that a backend server lists.
+/// Listing of a backend server.
 #[derive(Debug, Clone, Default)]
 pub struct Listing {
-    /// Which life of the backend server tells this; `None` on a platform where each life has an id of its own.
+    /// Incarnation that returned the listing; `None` on a platform where each incarnation has an id of its own.
     pub incarnation: Option<Incarnation>,
-    /// What runs.
+    /// Runs in progress.
     pub running: Vec<RunningTask>,
-    /// Ends that are not acknowledged yet.
+    /// Completions that have not been acknowledged.
     pub completions: Vec<Completion>,
-    /// There may be more ends than are listed.
+    /// Whether there may be more completions than are listed.
     pub more_completions: bool,
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,13 +1,14 @@
-//! The active scheduler of a deployment, without I/O.
+//! Scheduler of a deployment, without I/O.
 //!
-//! One box at a time is elected; it holds a [`Scheduler`]. The host feeds it what backend servers list,
-//! what the store has taken and what callers want, and carries out what it asks for. Three rules keep
-//! its promises, whoever is elected next:
+//! One box at a time is elected and runs a [`Scheduler`]. The runtime passes it the listings of backend servers, the
+//! results of writes to the store and the requests of callers, and carries out the orders and writes that it returns.
+//! Three rules hold across elections:
 //!
-//! - *store, then order*: a start is sent only after the store holds where it goes ([`Scheduler::next_write_batch`]);
-//! - *store, then acknowledge, then tell*: an end is acknowledged and shown only after the store holds it;
-//! - *one place at a time*: a task is placed again only when its earlier run is known to be over: listed as
-//!   ended, absent from a listing that must show it, or past every lease that it can have been given.
+//! - *store before ordering*: a start is sent only after the store holds its placement ([`Scheduler::next_write_batch`]);
+//! - *store before acknowledging or reporting*: a completion is acknowledged and reported to callers only after the
+//!   store holds it;
+//! - *one placement at a time*: a task is placed again only when its earlier run is known to have ended: it is listed
+//!   as completed, absent from a listing that must show it, or past every lease that it can have been given.
 
 mod archive;
 mod batch;
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -1,4 +1,4 @@
-//! Runs under way, as the scheduler knows them beside what is stored.
+//! State of jobs, occurrences, groups and runs in memory, in addition to what is stored.
 
 use std::sync::Arc;
 
@@ -10,28 +10,29 @@
     throttle::Throttle,
 };
 
-/// How far a start has come.
+/// Progress of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The store does not hold it yet: no order has left.
+    /// Not stored yet: no order has been sent.
     Planned,
-    /// Ordered this often, without an answer.
+    /// Ordered without a response so far.
     Sent {
-        /// From 1.
+        /// Number of orders sent, from 1.
         tries: u32,
     },
-    /// The backend server has it.
+    /// Confirmed by the backend server.
     Running,
-    /// An earlier scheduler placed it; its backend server has not been heard yet.
+    /// Placed by an earlier scheduler; the backend server has not responded to this one yet.
     Restored,
 }
 
-/// How far the trial of a suspect's run has come.
+/// Progress of an isolated retry of a suspected task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum IsolatedRetry {
-    /// Nothing is placed beside it.
+    /// Just started: nothing else is placed on its backend server.
     Started,
-    /// A task that crashes whatever starts it would have done so: one task of a job that stands may be placed beside it.
+    /// Has run for longer than a task that crashes its backend server at the start would: one task of a stalled job
+    /// may be placed beside it.
     Stable,
 }
 
@@ -40,28 +41,28 @@
 pub(crate) struct Member {
     pub(crate) index: u32,
     pub(crate) server: BackendServerId,
-    /// In which of its lives.
+    /// Incarnation of the backend server that the task was placed on.
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) phase: Phase,
-    /// A listing that was asked for after this must show the run, if it goes on.
+    /// A listing requested after this time must show the run if it still runs; `None` while a listing may still lack it.
     pub(crate) confirmed_at: Option<Moment>,
-    /// When it was last told to stop.
+    /// When the latest stop was sent; `None` if none awaits a response.
     pub(crate) stop_sent: Option<Moment>,
-    /// The latest checkpoint that it has told of.
+    /// Latest checkpoint that the backend server has reported.
     pub(crate) checkpoint: Option<Checkpoint>,
-    /// How far it says that it has come, from 0 to 100.
+    /// Share of its work that the backend server last reported as done, 0 to 100.
     pub(crate) percent: u32,
-    /// When it said so.
+    /// When `percent` was reported.
     pub(crate) percent_at: Moment,
     /// See [`crate::RunningTask::latency_ms`].
     pub(crate) latency_ms: Option<f64>,
     pub(crate) throttle: Throttle,
-    /// Whether its speed has told of its backend server's.
+    /// Whether its speed has been counted for its backend server.
     pub(crate) measured: Measured,
 }
 
 impl Member {
-    /// A task that is to start.
+    /// Creates a member that is to start.
     pub(crate) fn planned(placed: &Placement) -> Member {
         Member {
             index: placed.index,
@@ -79,7 +80,7 @@
         }
     }
 
-    /// A task that an earlier scheduler placed, found by one elected at `elected`.
+    /// Creates a member that an earlier scheduler placed, restored by one elected at `elected`.
     pub(crate) fn restored(placed: &Placement, elected: Moment) -> Member {
         Member {
             phase: Phase::Restored,
@@ -92,60 +93,60 @@
 }
 
 impl Member {
-    /// Whether it runs as far as is known.
+    /// Whether it runs, as far as is known.
     pub(crate) fn is_running(&self) -> bool {
         matches!(self.phase, Phase::Running | Phase::Restored)
     }
 
-    /// How long it is known to have run: from when that was first known until its backend server was last heard, at `heard`.
-    /// `None` if this scheduler does not know that it has begun.
+    /// Returns how long it is known to have run: from its confirmation to the latest response of its backend server,
+    /// at `heard`. `None` if this scheduler has no confirmation that it started.
     pub(crate) fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
         let started = self.confirmed_at.filter(|_| self.phase == Phase::Running)?;
         Some(heard.map_or(Duration::ZERO, |heard| heard.since(started)))
     }
 }
 
-/// Why a run is being stopped.
+/// Reason why a run is being stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 #[display(rename_all = "snake_case")]
 pub(crate) enum StopReason {
-    /// Another member has ended or could not start.
+    /// Another member ended or could not start.
     GangBroken,
-    /// Its caller cancelled the job.
+    /// The caller cancelled the job.
     Cancelled,
-    /// Another task of the occurrence has failed for good.
+    /// The occurrence cannot succeed any more: another of its tasks has failed for good.
     Hopeless,
-    /// A job that goes before it needs the room.
+    /// A job of higher precedence needs the capacity.
     Preempted,
-    /// An earlier run of it was done after all.
+    /// An earlier run had completed the work after all.
     AlreadyDone,
-    /// Its backend server leaves, or its machine is being emptied for upkeep.
+    /// The backend server is draining, or its machine is being drained for maintenance.
     ServerLeaving,
-    /// Its availability zone is evacuated.
+    /// The availability zone is being evacuated.
     ZoneEvacuated,
-    /// Its backend server does not answer, and it had not been started there.
+    /// The backend server does not respond, and the run had not been started there.
     ServerSilent,
-    /// Its backend server has shrunk, and it had not been started there.
+    /// The capacity of the backend server has shrunk, and the run had not been started there.
     ServerShrunk,
 }
 
-/// Tasks that start and end together.
+/// Group of tasks that start and end together.
 #[derive(Debug, Clone)]
 pub(crate) struct Group {
     pub(crate) members: Vec<Member>,
-    /// The version of the progress that holds where the members are placed.
+    /// Version of the progress that holds the members' placements.
     pub(crate) placed_version: u64,
-    /// Why its run is being stopped; `None` if it is not.
+    /// Why the run is being stopped; `None` if it is not.
     pub(crate) stopping: Option<StopReason>,
-    /// When its run was last told to stop.
+    /// When the run was last stopped.
     pub(crate) stopped_at: Moment,
-    /// Since when it could have started; `None` while it cannot.
+    /// Since when the group could have started; `None` while it cannot.
     pub(crate) ready_since: Option<Moment>,
-    /// When its latest run was placed.
+    /// When the latest run was placed.
     pub(crate) placed_at: Moment,
-    /// Its run is a suspect's and has not outlived its start; `None` of any other.
+    /// State of the isolated retry, while the run is one of a suspected task that has not outlived its start.
     pub(crate) isolated_retry: Option<IsolatedRetry>,
-    /// Backend servers where it failed.
+    /// Backend servers where the group failed.
     pub(crate) avoid: Vec<BackendServerId>,
 }
 
@@ -168,23 +169,24 @@
 #[derive(Debug)]
 pub(crate) struct Occurrence {
     pub(crate) progress: Progress,
-    /// As the store holds it.
+    /// Progress as the store holds it.
     pub(crate) stored_progress: Progress,
-    /// Rises with each change of `progress`.
+    /// Version of `progress`, incremented by each change.
     pub(crate) version: u64,
-    /// The version that the store holds.
+    /// Version that the store holds.
     pub(crate) stored_version: u64,
-    /// The store's revision of it; 0 if it holds none.
+    /// Revision of the progress in the store; 0 if the store holds none.
     pub(crate) store_revision: Revision,
-    /// Backend servers with ends that wait for this to be stored.
+    /// Backend servers with completions that can be acknowledged only after this occurrence is stored.
     pub(crate) completions_from: Vec<BackendServerId>,
-    /// Since when nothing of it runs on a backend server that answers, as of the latest plan; `None` while something does.
+    /// Since when nothing of it runs on a responsive backend server, as of the latest plan; `None` while something
+    /// does.
     pub(crate) idle_since: Option<Moment>,
-    /// Something of it is placed on a backend server that answers, as of the latest plan.
+    /// Whether something of it is placed on a responsive backend server, as of the latest plan.
     pub(crate) is_placed: bool,
-    /// What its runs have taken, by step.
+    /// Run times so far, by step.
     pub(crate) times: Vec<StepTimes>,
-    /// As `progress.groups`.
+    /// Groups by step, in the order of `progress.groups`.
     pub(crate) groups: Vec<Vec<Group>>,
 }
 
@@ -212,13 +214,13 @@
     }
 }
 
-/// A job with its occurrences.
+/// Job with its occurrences.
 #[derive(Debug)]
 pub(crate) struct JobEntry {
     pub(crate) job: Arc<Job>,
-    /// Run time of the longest chain of its steps, as declared.
+    /// Declared run time of the longest chain of its steps.
     pub(crate) chain: Duration,
-    /// Of its queue; the highest number while no configuration names the queue.
+    /// Priority of its queue; the highest number while no configuration names the queue.
     pub(crate) priority: u32,
     pub(crate) cancelled: bool,
     pub(crate) occurrences: Vec<Occurrence>,
@@ -244,7 +246,7 @@
         (0..self.occurrences.len() as u32).map(move |number| OccurrenceId { job, number })
     }
 
-    /// What callers may be told: only what the store holds.
+    /// Returns the state as callers may see it, which is the one that the store holds.
     pub(crate) fn state(&self) -> JobState {
         Progress::job_state(self.occurrences.iter().map(|o| &o.stored_progress), self.cancelled)
     }
@@ -257,7 +259,7 @@
     }
 }
 
-/// Run time of the longest chain of a job's steps, as declared.
+/// Returns the declared run time of the longest chain of a job's steps.
 fn longest_chain(job: &Job) -> Duration {
     let mut until: Vec<Duration> = Vec::with_capacity(job.steps.len());
     for step in &job.steps {
@@ -267,7 +269,7 @@
     until.into_iter().max().unwrap_or(Duration::ZERO)
 }
 
-/// Names a group: a gang, or one task of another step.
+/// Identifier of a group: a gang, or one task of a step without gang.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) struct GroupId {
     pub(crate) occurrence: OccurrenceId,
@@ -276,7 +278,7 @@
 }
 
 impl GroupId {
-    /// The group that a task belongs to.
+    /// Returns the group that a task belongs to.
     pub(crate) fn of(task: TaskId, step: &Step) -> GroupId {
         let group = if step.gang { 0 } else { task.index as usize };
         GroupId { occurrence: task.occurrence, step: task.step as usize, group }
@@ -286,7 +288,7 @@
         StepId { occurrence: self.occurrence, step: self.step as u32 }
     }
 
-    /// A member's task.
+    /// Returns the task of a member.
     pub(crate) fn task(&self, index: u32) -> TaskId {
         TaskId { occurrence: self.occurrence, step: self.step as u32, index }
     }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's state and what changes it.
+//! State of the scheduler, and its basic events: jobs added and cancelled, policy changes, the passing of time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,100 +27,101 @@
     witnesses::Witnesses,
 };
 
-/// Leases and stops are looked at this often at most: well below their own times.
+/// Shortest time between two checks of leases and stops; well below the times that they check.
 const LOOK_EVERY: Duration = Duration::from_millis(90);
 
-/// Sizes, for metrics.
+/// Sizes of the scheduler's state, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Jobs that are not over.
+    /// Jobs that have not ended.
     pub open_jobs: usize,
-    /// Backend servers that are known.
+    /// Backend servers that the scheduler tracks.
     pub servers: usize,
-    /// Backend servers that have not been heard under this fence.
+    /// Backend servers that have not responded under this fencing token.
     pub unheard_servers: usize,
-    /// Occurrences of which something could start and is held back, or finds no room.
+    /// Occurrences with a step that could start but is held back or finds no free capacity.
     pub waiting: usize,
-    /// Occurrences of which nothing has run for long, though something could.
+    /// Stalled occurrences: nothing of them has run for long, although something could.
     pub standing: usize,
-    /// Occurrences with changes that the store does not hold.
+    /// Occurrences with changes that the store does not hold yet.
     pub unstored: usize,
-    /// Occurrences that plans have looked at anew since the election: as many as have changed.
+    /// Occurrences evaluated again by plans since the election; a plan evaluates those that have changed.
     pub refreshed: u64,
 }
 
-/// The state of the active scheduler.
+/// State of the active scheduler.
 #[derive(Debug)]
 pub struct Scheduler {
     pub(crate) fence: Fence,
     pub(crate) elected: Moment,
-    /// When every lease that an earlier scheduler can have given is over, if nothing more is known of a backend server.
+    /// Time by which every lease of an earlier scheduler has expired, for backend servers without a tighter bound.
     pub(crate) earlier_lease_expiry: Moment,
     pub(crate) timing: Timing,
     pub(crate) policy: Policy,
     pub(crate) jobs: BTreeMap<JobId, JobEntry>,
     pub(crate) servers: BTreeMap<BackendServerId, Server>,
-    /// Jobs of which something runs or may run.
+    /// Jobs that run or may still run.
     pub(crate) open_jobs: BTreeSet<JobId>,
-    /// Jobs that are over and stand in the intake still.
+    /// Jobs that have ended and are still in the submission records.
     pub(crate) finished_jobs: BTreeSet<JobId>,
-    /// Jobs that are over and have left the intake.
+    /// Jobs that have ended and have left the submission records.
     pub(crate) archived: BTreeMap<JobId, Archived>,
-    /// Progress in the store that belongs to no job any more.
+    /// Progress in the store whose job no longer exists.
     pub(crate) orphans: BTreeSet<OccurrenceId>,
-    /// Jobs that were cancelled before they came; the store holds a mark that keeps them from coming.
+    /// Jobs cancelled before they were submitted; a mark in the store rejects their later submission.
     pub(crate) cancelled_before_submission: BTreeMap<JobId, Moment>,
-    /// Occurrences that were touched since the last plan.
+    /// Occurrences changed since the last plan.
     pub(crate) changed: BTreeSet<OccurrenceId>,
-    /// What could start.
+    /// Steps that could start, by occurrence.
     pub(crate) ready: BTreeMap<OccurrenceId, ReadySteps>,
-    /// How many occurrences plans have looked at anew.
+    /// Number of occurrences that plans have evaluated again since the election.
     pub(crate) refreshed: u64,
-    /// Room as of the latest plan.
+    /// Free capacity as of the latest plan.
     pub(crate) fleet: FleetCapacity,
-    /// Backend servers whose rooms may have changed since.
+    /// Backend servers whose free capacity may have changed since the latest plan.
     pub(crate) stale_servers: Vec<BackendServerId>,
-    /// Backend servers whose rooms change with time.
+    /// Backend servers whose free capacity changes with time alone.
     pub(crate) time_dependent: Vec<BackendServerId>,
-    /// Runs that were lost with their lease, on backend servers that may have crashed.
+    /// Runs lost because their lease expired, on backend servers that may have crashed.
     pub(crate) lapsed: LapsedLeases,
     /// Occurrences of which nothing runs although something could.
     pub(crate) stalled: Stalled,
-    /// Backend servers where a suspect has not outlived its start, with the trial there that has come least far.
+    /// Backend servers that run a suspected task which has not outlived its start, each with the least advanced
+    /// isolated retry there.
     pub(crate) isolated_retries: BTreeMap<BackendServerId, IsolatedRetry>,
-    /// Backend servers that the next scheduler is told not to have been reached.
+    /// Record in the store of the unreachable backend servers, for the next scheduler.
     pub(crate) unreachable: Unreachable,
-    /// Backend servers that witness who schedules.
+    /// Backend servers that confirm which scheduler is active.
     pub(crate) witnesses: Witnesses,
-    /// How fast backend servers work on the mean.
+    /// Mean speed of the backend servers.
     pub(crate) fleet_speed: FleetSpeed,
-    /// How long stops have taken lately.
+    /// How long recent stops have taken.
     pub(crate) stop_durations: StopDurations,
-    /// Something has happened that may let a group start.
+    /// Whether something has happened that may let a group start.
     pub(crate) plan_requested: bool,
-    /// When leases and stops were last looked at.
+    /// When leases and stops were last checked.
     last_look: Moment,
-    /// Occurrences whose progress the store does not hold as it is.
+    /// Occurrences whose current progress is not stored yet.
     pub(crate) pending_writes: PendingWrites,
-    /// Occurrences of which a write is under way.
+    /// Occurrences with a write in flight.
     pub(crate) writes_in_flight: BTreeSet<OccurrenceId>,
-    /// Occurrences that may have starts to send since the store took their progress.
+    /// Occurrences whose progress has been stored and that may have starts to send.
     pub(crate) unsent_starts: BTreeSet<OccurrenceId>,
     pub(crate) orders: Vec<Order>,
-    /// Waves of upkeep that operators have asked for.
+    /// Maintenance batches requested by operators.
     pub(crate) maintenance: Maintenance,
-    /// Availability zones where nothing starts.
+    /// Evacuated availability zones, where nothing starts.
     pub(crate) evacuations: Evacuations,
-    /// What the adviser has said, and what it is to be asked.
+    /// Answers of the placement permit service, and requests to send to it.
     pub(crate) permits: PermitBook,
     pub(crate) observations: Vec<Observation>,
-    /// The clocks at the latest plan: this process's own, and the time of day.
+    /// Both clocks as of the latest plan: this process's monotonic clock, and milliseconds since 1970.
     pub(crate) plan_clocks: (Moment, u64),
     pub(crate) lost_leadership: bool,
 }
 
 impl Scheduler {
-    /// A scheduler elected at `elected` with `fence`. It knows nothing yet.
+    /// Creates a scheduler that was elected at `elected` and holds the fencing token `fence`. It has no state yet.
     pub fn new(fence: Fence, elected: Moment, timing: Timing, policy: Policy) -> Scheduler {
         Scheduler {
             fence,
@@ -163,18 +164,18 @@
         }
     }
 
-    /// The fencing token.
+    /// Returns the fencing token.
     pub fn fence(&self) -> Fence {
         self.fence
     }
 
-    /// Whether a backend server obeys a later scheduler.
+    /// Whether a backend server has accepted the fencing token of a later scheduler.
     pub fn lost_leadership(&self) -> bool {
         self.lost_leadership
     }
 
-    /// The configuration has changed. Queues that it no longer names keep their last policy, for the jobs
-    /// that they have taken.
+    /// Applies a changed configuration. Queues that it no longer names keep their last policy, for the jobs already
+    /// accepted there.
     pub fn set_policy(&mut self, mut policy: Policy) {
         for (queue, old) in std::mem::take(&mut self.policy.queues) {
             policy.queues.entry(queue).or_insert(old);
@@ -186,12 +187,12 @@
         self.plan_requested = true;
     }
 
-    /// Whether something has happened, since this was last asked, that may let a group start.
+    /// Returns and clears whether something has happened, since the last call, that may let a group start.
     pub fn take_plan_request(&mut self) -> bool {
         std::mem::take(&mut self.plan_requested)
     }
 
-    /// A job that the store holds. Told again, it changes nothing.
+    /// Adds a job that the store holds. Idempotent.
     pub fn add_job(&mut self, job: Job) {
         let id = job.id;
         let priority = self.policy.priority(&job.queue);
@@ -205,7 +206,8 @@
         self.plan_requested = true;
     }
 
-    /// The caller does not want the job any more; the store holds that.
+    /// Cancels a job whose cancellation the store holds. Idempotent. A job that is not tracked yet is recorded as
+    /// cancelled before its submission.
     pub fn cancel(&mut self, id: JobId, now: Moment) {
         if self.archived.contains_key(&id) {
             return;
@@ -229,7 +231,7 @@
         }
     }
 
-    /// What a caller may be told, and whose the job is.
+    /// Returns the state of a job as callers may see it, and its customer; `None` if the job is not tracked.
     pub fn job_status(&self, id: JobId) -> Option<(JobState, Option<&CustomerId>)> {
         if let Some(entry) = self.jobs.get(&id) {
             return Some((entry.state(), entry.job.customer.as_ref()));
@@ -238,13 +240,13 @@
         Some((record.state, record.customer.as_ref()))
     }
 
-    /// How many accepted jobs of a queue have not begun.
+    /// Returns how many accepted jobs of a queue have not started.
     pub fn waiting(&self, queue: &QueueId) -> usize {
         let waits = |entry: &&JobEntry| entry.job.queue == *queue && entry.state() == JobState::Queued;
         self.open_jobs.iter().map(|id| &self.jobs[id]).filter(waits).count()
     }
 
-    /// Sizes, for metrics.
+    /// Returns the sizes of the state, for metrics.
     pub fn counts(&self) -> Counts {
         Counts {
             open_jobs: self.open_jobs.len(),
@@ -257,12 +259,12 @@
         }
     }
 
-    /// Orders to be sent now.
+    /// Returns and removes the orders to send now.
     pub fn take_orders(&mut self) -> Vec<Order> {
         std::mem::take(&mut self.orders)
     }
 
-    /// Time has passed: lapses what no lease can keep, and repeats stops.
+    /// Handles the passing of time: lapses runs whose lease has expired, repeats stops, and detects stalled jobs.
     pub fn tick(&mut self, now: Moment) {
         if now.since(self.last_look) < LOOK_EVERY {
             return;
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -1,7 +1,7 @@
-//! What the scheduler knows of one backend server, for one life of it.
+//! State that the scheduler keeps of one backend server, for one incarnation of it.
 //!
-//! One that starts anew has another id, or comes back under the same: then its incarnation tells its lives apart, and nothing that
-//! was known of the earlier life holds for the next.
+//! A backend server that restarts has another id, or keeps its id and has another incarnation. Nothing that was known
+//! of the earlier incarnation applies to the next.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,21 +14,22 @@
 
 use crate::{health::Health, policy::ServiceId, speed::Speed};
 
-/// A backend server that leaves is silent and unlisted within this of each other: 25 ms apart on the users' bench.
-/// One that is cut off is unlisted three heartbeats after the last (users: 1.5 s each), so at least 3 s later, and the
-/// call that it leaves unanswered is found out within 2.5 s.
+/// Longest time between a draining backend server becoming unresponsive and the platform removing it from its list;
+/// 25 ms on the platform's test bench. A partitioned one is removed three heartbeats after its last (1.5 s each by
+/// the platform's rules), so at least 3 s later, and the call that it leaves without a response is detected within
+/// 2.5 s.
 const LEAVES_WITHIN: Duration = Duration::from_millis(300);
 
-/// A backend server that answers is heard this often at least: an idle one answers after 2 s. Below the 3 s after
-/// which one that is cut off can fall out of the list.
+/// Longest time between two responses of a reachable backend server; an idle one responds after 2 s. Below the 3 s
+/// after which a partitioned one can be removed from the list.
 const HEARD_WITHIN: Duration = Duration::from_millis(2500);
 
-/// Where one life of a backend server follows another: its address.
+/// Address of a backend server, at which one incarnation follows another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub struct ServerAddress(Arc<str>);
 
 impl ServerAddress {
-    /// The address.
+    /// Returns the address as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -40,38 +41,38 @@
     }
 }
 
-/// A backend server's account of itself.
+/// Description that a backend server gives of itself.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ServerInfo {
-    /// The service that it runs.
+    /// Service that the backend server runs.
     pub service: ServiceId,
-    /// Where it is.
+    /// Availability zone that it is in.
     pub availability_zone: AvailabilityZoneId,
-    /// What stays when another life follows it.
+    /// Address that it listens on; the next incarnation has the same.
     pub address: ServerAddress,
-    /// Its rack; one of its labels.
+    /// Rack that it is in; also one of its labels.
     pub rack: Arc<str>,
-    /// What it can be chosen by.
+    /// Labels that constraints of jobs can select it by.
     pub labels: Vec<Arc<str>>,
-    /// Its whole room.
+    /// Total capacity.
     pub capacity: Resources,
-    /// It is leaving and takes no new work.
+    /// Whether it is draining and takes no new work.
     pub draining: bool,
-    /// How long it stays at least, if it is leaving and says so.
+    /// Shortest time for which it stays, if it is draining and reports that.
     pub remaining: Option<Duration>,
-    /// Which of its lives says this; `None` on a platform where each life has an id of its own.
+    /// Incarnation that gives this description; `None` on a platform where each incarnation has an id of its own.
     pub incarnation: Option<Incarnation>,
 }
 
-/// An end that must be stored before it may be acknowledged.
+/// Completion that must be stored before it may be acknowledged.
 #[derive(Debug)]
 pub(crate) struct PendingCompletion {
     pub(crate) serial: u64,
-    /// The progress, and its version, that holds the end; `None` if nothing is to be stored.
+    /// Occurrence and version of its progress that include the completion; `None` if nothing needs to be stored.
     pub(crate) stored_with: Option<(OccurrenceId, u64)>,
 }
 
-/// A run that is listed but belongs to nothing that is wanted.
+/// Orphaned run: listed by a backend server, but not placed there by the scheduler.
 #[derive(Debug)]
 pub(crate) struct OrphanedRun {
     pub(crate) run: RunNumber,
@@ -79,58 +80,59 @@
     pub(crate) stop_sent: Moment,
 }
 
-/// What tells a backend server that has left from one that is out of reach.
+/// Signs by which a backend server that has shut down is told apart from one that is unreachable.
 #[derive(Debug, Default)]
 pub(crate) struct Contact {
-    /// When this scheduler last had an answer of it.
+    /// When it last responded to this scheduler.
     pub(crate) last_response: Option<Moment>,
-    /// When the first of the calls without an answer failed; `None` while it answers.
+    /// When the first call since its last response failed; `None` while it responds.
     pub(crate) failing_since: Option<Moment>,
-    /// Nothing listened at its address in that time.
+    /// Whether its address has refused a connection since `since`.
     pub(crate) refused: bool,
-    /// When the platform ceased to list it; `None` while it does.
+    /// When the platform stopped listing it; `None` while it is listed.
     pub(crate) unlisted_at: Option<Moment>,
 }
 
-/// A backend server.
+/// Backend server as the scheduler tracks it.
 #[derive(Debug)]
 pub(crate) struct Server {
-    /// `None` while only an earlier scheduler's placements tell of it.
+    /// Description; `None` while it is known only from an earlier scheduler's placements.
     pub(crate) info: Option<ServerInfo>,
-    /// The platform's list holds it.
+    /// Whether the platform lists it.
     pub(crate) listed: bool,
-    /// Which life was last heard; `None` before that, and on a platform where each life has an id of its own.
+    /// Incarnation that last responded; `None` before the first response, and on a platform where each incarnation
+    /// has an id of its own.
     pub(crate) incarnation: Option<Incarnation>,
-    /// Taken by members that are placed here.
+    /// Capacity taken by the members placed here.
     pub(crate) used: Resources,
-    /// Runs that are placed here.
+    /// Runs placed here.
     pub(crate) members: BTreeMap<TaskId, RunNumber>,
     pub(crate) orphaned_runs: BTreeMap<TaskId, OrphanedRun>,
-    /// It has shown what it runs since this scheduler was elected.
+    /// Whether it has reported what it runs since this scheduler was elected.
     pub(crate) has_reported: bool,
-    /// Calls that it left without answer since it last answered one.
+    /// Failed calls since its last response.
     pub(crate) failed_calls: u32,
     pub(crate) contact: Contact,
-    /// Every lease that it was given is over by then.
+    /// Time by which every lease that it was given has expired.
     pub(crate) lease_expiry: Moment,
-    /// When this scheduler last gave it a whole lease.
+    /// End of the latest lease that this scheduler gave it, on the scheduler's clock.
     pub(crate) renewed_to: Option<Moment>,
     pub(crate) pending_completions: VecDeque<PendingCompletion>,
-    /// Highest end that was looked at.
+    /// Highest serial number of the completions received.
     pub(crate) highest_completion: u64,
-    /// Highest end that may be acknowledged.
+    /// Highest serial number that may be acknowledged.
     pub(crate) acknowledged_serial: u64,
-    /// The life that was last heard has said that it leaves.
+    /// Whether the incarnation that last responded has announced its departure.
     pub(crate) departing: bool,
-    /// It is being emptied for upkeep.
+    /// Whether it is being drained for maintenance.
     pub(crate) closed_for_maintenance: bool,
-    /// Its availability zone is evacuated.
+    /// Whether its availability zone is being evacuated.
     pub(crate) evacuated: bool,
-    /// It gets no new work before this, since it refused a start.
+    /// Time before which it gets no new work, since it refused a start.
     pub(crate) not_before: Moment,
     pub(crate) health: Health,
     pub(crate) speed: Speed,
-    /// The next plan looks at its room anew.
+    /// Whether the next plan evaluates its free capacity again.
     pub(crate) is_stale: bool,
 }
 
@@ -161,17 +163,17 @@
         }
     }
 
-    /// Whether it answers this scheduler.
+    /// Whether it responds to this scheduler.
     pub(crate) fn is_reachable(&self) -> bool {
         self.has_reported && self.failed_calls == 0
     }
 
-    /// Whether an end waits for an occurrence to be stored.
+    /// Whether a completion can be acknowledged only after an occurrence is stored.
     pub(crate) fn awaits_write(&self, id: OccurrenceId) -> bool {
         self.pending_completions.iter().any(|end| end.stored_with.is_some_and(|(occurrence, _)| occurrence == id))
     }
 
-    /// Room that is taken, also by what is being stopped.
+    /// Returns the capacity that is taken, including by orphaned runs that are being stopped.
     fn taken(&self) -> Resources {
         let mut taken = self.used;
         for orphaned_run in self.orphaned_runs.values() {
@@ -180,7 +182,7 @@
         taken
     }
 
-    /// Room that is free now.
+    /// Returns the capacity that is free now.
     pub(crate) fn free(&self) -> Resources {
         let Some(info) = &self.info else { return Resources::default() };
         let mut free = info.capacity;
@@ -188,12 +190,14 @@
         free
     }
 
-    /// Whether more is taken than there is: its capacity has shrunk. One that does not guard its capacity would start more all the same.
+    /// Whether more capacity is taken than there is, since its capacity has shrunk. A backend server that does not
+    /// enforce its capacity would accept further starts all the same.
     pub(crate) fn is_over_capacity(&self) -> bool {
         self.info.as_ref().is_some_and(|info| !info.capacity.contains(&self.taken()))
     }
 
-    /// Begins the next life under the same id, which was not heard yet: of the earlier one only what the platform tells remains.
+    /// Starts the next incarnation under the same id, before its first response: of the earlier one, only what the
+    /// platform and operators have set is kept.
     pub(crate) fn begin_incarnation(&mut self) {
         let info = self.info.take();
         *self = Server {
@@ -207,13 +211,14 @@
         };
     }
 
-    /// A life is heard for the first time.
+    /// Sets the incarnation on its first response.
     pub(crate) fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = Some(incarnation);
         self.departing = self.info.as_ref().is_some_and(|info| info.draining) && self.is_as_listed();
     }
 
-    /// Takes in what the platform lists of it. What another life than the one that was last heard says of leaving is no word of that one.
+    /// Applies the description that the platform lists. A drain announced by an incarnation other than the one that
+    /// last responded is not taken for that one's.
     pub(crate) fn update_info(&mut self, info: ServerInfo) {
         if may_be_same_incarnation(info.incarnation, self.incarnation) {
             self.departing = info.draining;
@@ -223,22 +228,23 @@
         self.contact.unlisted_at = None;
     }
 
-    /// Whether the life that answers is the one that the platform lists: another one may have other room and other labels.
+    /// Whether the incarnation that responds is the one that the platform lists; another one may have a different
+    /// capacity and different labels.
     pub(crate) fn is_as_listed(&self) -> bool {
         self.info.as_ref().is_some_and(|info| may_be_same_incarnation(info.incarnation, self.incarnation))
     }
 
-    /// Whether the life that was last heard has said that it leaves.
+    /// Whether the incarnation that last responded has announced its departure.
     pub(crate) fn announced(&self) -> bool {
         self.departing
     }
 
-    /// Whether its process has ended as it had announced, and everything on it with that.
+    /// Whether its process has exited as it had announced, which ends all its runs.
     ///
-    /// A backend server that leaves takes its own entry out of the platform's list at the moment at which its
-    /// connections close and its port refuses new ones. One that is cut off falls out of the list only after three
-    /// heartbeats, long after the first call that it left unanswered, also if what cuts it refuses connections. A
-    /// scheduler that has not heard it lately, since it is new or has stood still, cannot tell the two apart.
+    /// A draining backend server removes its entry from the platform's list at the moment at which it closes its
+    /// connections and its port refuses new ones. A partitioned one is removed from the list only after three
+    /// heartbeats, long after its first call without a response, even if the partition refuses connections. A
+    /// scheduler without a recent response, because it is new or was suspended, cannot tell the two apart.
     pub(crate) fn has_departed(&self) -> bool {
         let Contact {
             last_response: Some(heard),
@@ -254,18 +260,19 @@
         self.announced() && heard_lately && !self.listed && apart < LEAVES_WITHIN
     }
 
-    /// Whether time alone can change its room.
+    /// Whether its free capacity can change with time alone.
     pub(crate) fn changes_with_time(&self, now: Moment) -> bool {
         now < self.not_before || self.health.changes_with_time(now)
     }
 
-    /// Whether it is in an availability zone, as far as it is known.
+    /// Whether it is known to be in an availability zone.
     pub(crate) fn is_in(&self, zone: &AvailabilityZoneId) -> bool {
         self.info.as_ref().is_some_and(|info| info.availability_zone == *zone)
     }
 }
 
-/// Whether two words of a backend server may be of one life: a platform that tells no incarnations has an id for each life.
+/// Whether two reports of a backend server may come from the same incarnation. A platform that reports no
+/// incarnations gives each an id of its own, so they do if either is unknown.
 fn may_be_same_incarnation(one: Option<Incarnation>, other: Option<Incarnation>) -> bool {
     one.zip(other).is_none_or(|(one, other)| one == other)
 }
