--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -1,4 +1,4 @@
-//! Backend servers come and go, are sent leases, and fall silent.
+//! Contact with backend servers: listed and unlisted, leases granted, calls failed.
 
 use model::{BackendServerId, Duration, Moment};
 
@@ -9,17 +9,17 @@
     server::{Server, ServerInfo},
 };
 
-/// How a backend server left a call without an answer.
+/// How a call to a backend server failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallFailure {
-    /// Nothing listens at its address any more, or the network says so.
+    /// The connection was refused, by the address or by the network.
     Refused,
-    /// Anything else.
+    /// No response, for any other reason.
     NoResponse,
 }
 
 impl Scheduler {
-    /// The platform lists a backend server, or its account of itself has changed.
+    /// Handles a backend server that the platform lists, new or with a changed description.
     pub fn server_listed(&mut self, id: BackendServerId, info: ServerInfo, now: Moment) {
         let earlier = self.earlier_lease_expiry(&id);
         let draining = info.draining;
@@ -38,15 +38,16 @@
         }
     }
 
-    /// What was placed on a backend server that has shrunk below it, and was not ordered, is placed anew.
+    /// Stops runs that were placed on a backend server and not ordered yet, if its capacity has shrunk below what is
+    /// placed there. They are then placed anew.
     fn stop_oversized_starts(&mut self, id: &BackendServerId, now: Moment) {
         if self.servers.get(id).is_some_and(Server::is_over_capacity) {
             self.stop_unsent(id, StopReason::ServerShrunk, now);
         }
     }
 
-    /// The platform no longer lists a backend server. It may run on: unless it has left, its runs are over only when
-    /// its leases are.
+    /// Handles a backend server that the platform no longer lists. Unless it has shut down, it may keep running: its
+    /// runs have ended only when its leases have expired.
     pub fn server_unlisted(&mut self, id: &BackendServerId, now: Moment) {
         if let Some(server) = self.server_mut(id) {
             server.listed = false;
@@ -55,7 +56,7 @@
         self.check_departed(id, now);
     }
 
-    /// A backend server's life is over: another life answers in its place, under another id.
+    /// Ends a backend server: its process has ended, or another incarnation responds at its address under another id.
     pub fn server_ended(&mut self, id: &BackendServerId, now: Moment) {
         self.charge_lapsed(id, now);
         if self.servers.contains_key(id) {
@@ -64,7 +65,8 @@
         }
     }
 
-    /// What ran in a life of a backend server is over with it; it was a crash, unless it had been announced.
+    /// Ends what ran in an incarnation of a backend server. Unless its departure was announced, this counts as a
+    /// crash.
     pub(crate) fn end_incarnation(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
         let announced = server.announced();
@@ -85,7 +87,7 @@
         self.unreachable.remove_pending(id);
     }
 
-    /// A backend server that has refused a start gets none for a while.
+    /// Pauses starts on a backend server that has refused one.
     pub(crate) fn pause_starts(&mut self, id: &BackendServerId, now: Moment) {
         let until = now + self.timing.refused_pause;
         if let Some(server) = self.server_mut(id) {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// A renewal is about to be sent; from here on its lease counts, whatever comes of the call.
+    /// Records a renewal that is about to be sent. Its lease counts from here on, whatever the outcome of the call.
     pub fn lease_sent(&mut self, id: &BackendServerId, lease: Duration, now: Moment) {
         let over = self.timing.lease_expiry(now);
         if let Some(server) = self.servers.get_mut(id) {
@@ -102,9 +104,9 @@
         }
     }
 
-    /// The lease that a start is to carry, which is about to be sent: what is left of the latest renewal, as long as
-    /// that is half of a lease. A whole one each time would prolong what has to be waited for if the backend server is
-    /// lost with the start under way. `most` is what it may carry.
+    /// Returns the lease for a start that is about to be sent, of at most `most`: the rest of the latest renewal if
+    /// that is at least half of a lease, else a new one. A full lease with each start would prolong the wait if the
+    /// backend server is lost with the start in flight.
     pub fn lease_for_start(&mut self, id: &BackendServerId, most: Duration, now: Moment) -> Duration {
         let renewed_to = self.servers.get(id).and_then(|server| server.renewed_to);
         let left = renewed_to.map_or(Duration::ZERO, |to| to.since(now));
@@ -115,7 +117,7 @@
         most
     }
 
-    /// A backend server left a call without an answer.
+    /// Handles a call to a backend server that got no response.
     pub fn call_failed(&mut self, id: &BackendServerId, how: CallFailure, now: Moment) {
         let Some(server) = self.server_mut(id) else { return };
         server.failed_calls += 1;
@@ -132,13 +134,14 @@
         self.check_departed(id, now);
     }
 
-    /// Whether a backend server answers has changed: so may have whether anything runs of what is placed there.
+    /// Marks the occurrences placed on a backend server as changed, since whether it responds has changed and thus
+    /// whether anything of them runs.
     pub(crate) fn mark_changed_on(&mut self, id: &BackendServerId) {
         let occurrences = self.groups_on(id).into_iter().map(|name| name.occurrence);
         self.changed.extend(occurrences);
     }
 
-    /// A backend server that has left takes all that ran on it along, so that no lease has to be waited for.
+    /// Ends a backend server that has shut down. Its runs ended with it, so that no lease has to be waited for.
     fn check_departed(&mut self, id: &BackendServerId, now: Moment) {
         if self.servers.get(id).is_some_and(Server::has_departed) {
             log::info!("server={id} event=left");
@@ -151,17 +154,18 @@
         self.servers.contains_key(id)
     }
 
-    /// Whether a backend server has shown what it runs, in the life that it leads as far as is known.
+    /// Whether a backend server has reported what it runs, in its latest known incarnation.
     pub fn has_reported(&self, id: &BackendServerId) -> bool {
         self.servers.get(id).is_some_and(|server| server.has_reported)
     }
 
-    /// Highest end that may be acknowledged to a backend server.
+    /// Returns the highest serial number of a completion that may be acknowledged to a backend server; 0 if there is
+    /// none.
     pub fn acknowledged_serial(&self, id: &BackendServerId) -> u64 {
         self.servers.get(id).map_or(0, |server| server.acknowledged_serial)
     }
 
-    /// Whether ends of a backend server wait to be stored.
+    /// Whether completions of a backend server wait to be stored.
     pub fn has_pending_completions(&self, id: &BackendServerId) -> bool {
         self.servers.get(id).is_some_and(|server| !server.pending_completions.is_empty())
     }
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -1,15 +1,16 @@
-//! Lives of a backend server that follow one another under one id.
+//! Incarnations that follow one another under one backend server id.
 //!
-//! Each life begins with nothing: it runs nothing, has given no lease, has seen no fence, and counts its ends from 1. So what is known of the life
-//! before must not be held against it. Taken for one with the life before, its ends were not looked at, since they had numbers that were
-//! known, and were acknowledged unseen; work that was done was done again.
+//! Each incarnation starts empty: it runs nothing, has accepted no lease and no fencing token, and counts its
+//! completions from 1. So state of the earlier incarnation must not be applied to the next. If the two were taken for
+//! one, the new completions would have serial numbers that were already received: they would be ignored and
+//! acknowledged unseen, and finished work would be done again.
 
 use model::{BackendServerId, Incarnation, Moment};
 
 use crate::{Scheduler, run_state::Member};
 
 impl Scheduler {
-    /// A life of a backend server answers. If it is another one than the one that answered last, that one is over.
+    /// Observes the incarnation that responds. If it differs from the one that responded last, that one has ended.
     pub(crate) fn observe_incarnation(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         self.resolve_lapsed(id, incarnation, now);
         let Some(server) = self.servers.get(id) else { return };
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A life of a backend server is over, and another one answers under its id. Told again, it changes nothing.
+    /// Ends an incarnation of a backend server, since another one responds under the same id. Idempotent.
     pub fn incarnation_ended(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         if self.incarnation(id) != Some(incarnation) {
             return;
@@ -46,12 +47,13 @@
         }
     }
 
-    /// Which life of a backend server was last heard.
+    /// Returns the incarnation of a backend server that last responded.
     pub fn incarnation(&self, id: &BackendServerId) -> Option<Incarnation> {
         self.servers.get(id)?.incarnation
     }
 
-    /// The first word of a backend server: what an earlier scheduler placed in other lives of it is over.
+    /// Handles the first response of a backend server: runs that an earlier scheduler placed in other incarnations
+    /// have ended.
     fn end_other_incarnations(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         let other = |member: &Member| member.incarnation.is_some_and(|placed| placed != incarnation);
         self.charge_crash_if(id, other, now);
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -1,4 +1,4 @@
-//! Listings of backend servers: runs confirmed, strays stopped, losses found.
+//! Listings of backend servers: confirms runs, stops orphaned ones and detects lost ones.
 
 use std::collections::BTreeMap;
 
@@ -15,9 +15,9 @@
 };
 
 impl Scheduler {
-    /// A backend server has told what it runs and what ended, on a call sent at `sent`.
+    /// Processes the listing of a backend server, returned by a call sent at `sent`.
     ///
-    /// Listings of one backend server must be told in the order in which their calls were sent.
+    /// Listings of one backend server must be passed in the order in which their calls were sent.
     pub fn listing(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         if !self.servers.contains_key(id) {
             return;
@@ -38,7 +38,7 @@
         }
         if !server.has_reported {
             self.plan_requested = true;
-            // From here on it obeys no earlier scheduler, which can have renewed its lease up to now.
+            // From here on it refuses earlier schedulers, which can have renewed its lease up to now.
             server.has_reported = true;
             server.lease_expiry = self.timing.lease_expiry(now);
         }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A run is where it was placed.
+    /// Confirms that a run is where it was placed.
     fn confirm(&mut self, id: &BackendServerId, running: &RunningTask, now: Moment) {
         let Some(name) = self.group_of(running.task) else { return };
         if self.progress_of(name).run != running.run {
@@ -90,7 +90,7 @@
         self.measure_progress(name, id, running, now);
     }
 
-    /// Runs that no one wants here: stopped, and their room counted until they are gone.
+    /// Stops orphaned runs. Their capacity counts as taken until they are no longer listed.
     fn stop_orphaned_runs(&mut self, id: &BackendServerId, listing: &Listing, now: Moment) {
         let unwanted: Vec<(TaskId, RunNumber)> = listing
             .running
@@ -107,7 +107,7 @@
         let mut before = std::mem::take(&mut server.orphaned_runs);
         let mut orphaned_runs = BTreeMap::new();
         for (task, run) in unwanted {
-            // One of a job that is not known any more may take everything.
+            // A run of a job that is no longer tracked may take the whole capacity.
             let need = self.group_of(task).map_or(whole, |name| self.step(name).counted_resources());
             let orphaned_run = match before.remove(&task) {
                 Some(orphaned_run) if orphaned_run.run == run && orphaned_run.stop_sent + retry > now => orphaned_run,
@@ -128,7 +128,7 @@
         self.progress_of(name).run == running.run && self.group(name).members.iter().any(placed)
     }
 
-    /// Runs that the listing must show if they went on, and does not.
+    /// Removes runs that the listing lacks although it would have to show them if they still ran.
     fn detect_lost_runs(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         let server = &self.servers[id];
         let listed = |task: &TaskId| listing.running.iter().any(|running| running.task == *task);
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -1,4 +1,4 @@
-//! What the scheduler wants backend servers to do, and what comes of it.
+//! Orders to backend servers, and their outcomes.
 
 use std::sync::Arc;
 
@@ -7,48 +7,48 @@
 
 use crate::permits::Permit;
 
-/// An order to a backend server.
+/// Order to a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Order {
-    /// Start a run; safe to send twice.
+    /// Starts a run. Idempotent.
     Start {
-        /// Where.
+        /// Backend server that is to run the task.
         server: BackendServerId,
-        /// What.
+        /// Task to run.
         task: TaskId,
-        /// Which run of it.
+        /// Number of the run.
         run: RunNumber,
-        /// The job's text.
+        /// Text of the job, as submitted.
         text: Arc<str>,
-        /// Where to go on from.
+        /// Checkpoint to resume from; `None` to start from the beginning.
         checkpoint: Option<Checkpoint>,
-        /// The adviser's leave to run there, if the queue needs one.
+        /// Permit to run there, if the queue requires one.
         permit: Option<Permit>,
     },
-    /// Stop a run, and never start it; safe to send twice.
+    /// Stops a run, or prevents its start if that is still to come. Idempotent.
     Stop {
-        /// Where.
+        /// Backend server that the run was placed on.
         server: BackendServerId,
-        /// What.
+        /// Task whose run is stopped.
         task: TaskId,
-        /// Which run of it.
+        /// Number of the run.
         run: RunNumber,
     },
-    /// Let a run work at a share of its speed; safe to send twice.
+    /// Throttles a run to a share of its full speed. Idempotent.
     Throttle {
-        /// Where.
+        /// Backend server that the run was placed on.
         server: BackendServerId,
-        /// What.
+        /// Task whose run is throttled.
         task: TaskId,
-        /// Which run of it.
+        /// Number of the run.
         run: RunNumber,
-        /// Share of its speed, 0 to 100.
+        /// Share of its full speed, 0 to 100.
         percent: u32,
     },
 }
 
 impl Order {
-    /// The backend server and the task that it is about.
+    /// Returns the backend server and the task that the order concerns.
     pub fn subject(&self) -> (&BackendServerId, TaskId) {
         match self {
             Order::Start { server, task, .. }
@@ -58,25 +58,25 @@
     }
 }
 
-/// What came of a start.
+/// Outcome of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartReply {
     /// It runs.
     Started,
-    /// It has run, or was stopped: an earlier order for it had gone through. How it ended is listed.
+    /// It has run or was stopped: an earlier order for it had been received. Its completion is listed.
     Over,
-    /// It does not run and never will: there is no room.
+    /// It does not run and never will: the free capacity does not suffice.
     NoRoom,
-    /// It does not run and never will.
+    /// It does not run and never will, for another reason.
     Refused,
-    /// It does not run and never will: the ticket does not hold.
+    /// It does not run and never will: its permit is not valid.
     NoTicket,
-    /// The order came too late; it does not run, but another order for it may come yet.
+    /// The order came too late. It does not run, but another order for it may still be accepted.
     Late,
-    /// The backend server obeys a later scheduler.
+    /// The backend server has accepted the fencing token of a later scheduler.
     Fenced,
-    /// Another life of the backend server answered: this one is over.
+    /// Another incarnation of the backend server responded: the one addressed has ended.
     Gone,
-    /// No answer: it may run now or later.
+    /// No response: it may run now or later.
     Unknown,
 }
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -1,4 +1,4 @@
-//! Starts: ordered once the store holds where they go, and followed until they are answered.
+//! Starts of runs: ordered once the store holds their placement, and followed up until the backend server responds.
 
 use std::sync::Arc;
 
@@ -13,14 +13,14 @@
 };
 
 impl Server {
-    /// Whether starts that were ordered may be sent to it.
+    /// Whether pending starts may be sent to it.
     fn takes_starts(&self) -> bool {
         self.is_reachable() && !self.evacuated && !self.is_over_capacity()
     }
 }
 
 impl Scheduler {
-    /// Sends the starts whose places the store holds.
+    /// Orders the starts whose placements the store holds.
     pub(crate) fn send_stored_starts(&mut self) {
         for id in std::mem::take(&mut self.unsent_starts) {
             let Some(occurrence) = self.known_occurrence_mut(id) else { continue };
@@ -31,7 +31,7 @@
         }
     }
 
-    /// A start was answered, or not.
+    /// Handles the outcome of a start.
     pub fn start_replied(
         &mut self,
         server: &BackendServerId,
@@ -62,8 +62,8 @@
                 }
                 self.record_run_started(name, server);
             }
-            // What is known of a run that has begun: the next listing tells its end, or that it is lost. Taken for a
-            // refusal, a run that was done would be started again.
+            // Treated as running: the next listing shows its completion or that it is lost. If this were treated as a
+            // refusal, a completed run would be started again.
             StartReply::Over => {
                 member.phase = Phase::Running;
                 member.confirmed_at = Some(now);
@@ -74,15 +74,16 @@
         }
     }
 
-    /// A run is known to have begun: from its end on its job may stand anew. That may come before the next plan.
+    /// Restarts the idle time of an occurrence, since one of its runs has started. A run may start and end between
+    /// two plans, so the plans alone would not see it.
     pub(crate) fn record_run_started(&mut self, name: GroupId, server: &BackendServerId) {
         if self.servers.get(server).is_some_and(Server::is_reachable) {
             self.occurrence_mut(name.occurrence).idle_since = None;
         }
     }
 
-    /// Whether a start that was ordered may still be sent: its run is wanted, its availability zone takes work, and
-    /// its backend server answers and has not shrunk below it meanwhile.
+    /// Whether an ordered start may still be sent: its run is requested, its availability zone takes work, and its
+    /// backend server responds and still has the capacity.
     pub fn may_start(&self, id: &BackendServerId, task: TaskId, run: RunNumber) -> bool {
         let Some(name) = self.group_of(task) else { return false };
         let placed = self.group(name).members.iter().any(|member| member.index == task.index && member.server == *id);
@@ -90,7 +91,8 @@
         wanted && self.may_renew(id) && self.servers.get(id).is_some_and(Server::takes_starts)
     }
 
-    /// A start was not sent, since [`Scheduler::may_start`] no longer held. An earlier order for it may have been.
+    /// Handles a start that was not sent, since [`Scheduler::may_start`] no longer held. An earlier order for it may
+    /// have been sent.
     pub fn start_withdrawn(&mut self, server: &BackendServerId, task: TaskId, run: RunNumber, now: Moment) {
         let Some(name) = self.group_of(task) else { return };
         if self.progress_of(name).run != run || self.group(name).stopping.is_some() {
@@ -109,8 +111,9 @@
         self.stop_group(name, reason, now);
     }
 
-    /// A start was refused. If it was the only one for its run, nothing of that runs; an earlier one may have gone
-    /// through, or may yet, so that the run is stopped there, and what the backend server lists of it decides.
+    /// Handles a refused start. If it was the only order for its run, nothing of the run exists. Otherwise an earlier
+    /// order may have taken effect or may still do so: the run is stopped there, and the backend server's listing
+    /// decides.
     fn start_refused(&mut self, name: GroupId, task: TaskId, server: &BackendServerId, reply: StartReply, now: Moment) {
         log::info!("job={} event=start_refused task={task} server={server} why={reply:?}", task.occurrence.job);
         if reply == StartReply::NoTicket {
@@ -120,18 +123,19 @@
         }
         match self.member_mut(name, task.index, server).map(|member| member.phase) {
             Some(Phase::Sent { tries: 1 }) => self.remove_member(name, task.index, None, now),
-            // It was listed meanwhile.
+            // The run was listed in the meantime.
             Some(Phase::Running) => return,
             _ => {}
         }
         self.stop_group(name, StopReason::GangBroken, now);
     }
 
-    /// Sent again, since a start takes effect once only; given up after some tries.
+    /// Retries a start without a response, which is safe since a start is idempotent, and abandons it after some
+    /// attempts.
     fn start_unanswered(&mut self, name: GroupId, index: u32, server: &BackendServerId, now: Moment) {
-        // An order to an evacuated availability zone, or to a backend server that has shrunk, is not given twice: the
-        // first may have come to nothing. Nor is one to a backend server that does not answer: each would prolong the
-        // lease that has to be waited for if it is lost.
+        // An order to an evacuated availability zone, or to a backend server whose capacity has shrunk, is not
+        // repeated: the first may have had no effect. Nor is one to an unresponsive backend server: each order would
+        // prolong the lease that has to be waited for if it is lost.
         let takes_starts = self.servers.get(server).is_some_and(Server::takes_starts);
         let most = if takes_starts { self.timing.start_tries } else { 0 };
         let stopping = self.group(name).stopping.is_some();
@@ -163,7 +167,7 @@
     }
 }
 
-/// Members whose place the store holds and that were not ordered yet; from here on they count as sent.
+/// Returns the members whose placement is stored and that were not ordered yet, and marks them as sent.
 fn take_stored_starts(id: OccurrenceId, occurrence: &mut Occurrence) -> Vec<(GroupId, u32, BackendServerId)> {
     let mut sent = Vec::new();
     for (step, groups) in occurrence.groups.iter_mut().enumerate() {
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -1,4 +1,4 @@
-//! Runs are stopped, or lapse with their lease.
+//! Stops of runs, and runs that lapse because their lease expired.
 
 use jobs::{RunNumber, TaskId};
 use model::{BackendServerId, Moment};
@@ -11,7 +11,7 @@
 };
 
 impl Scheduler {
-    /// Stops what there is of a group's run.
+    /// Stops the run of a group, if it has one that is not being stopped yet.
     pub(crate) fn stop_group(&mut self, name: GroupId, reason: StopReason, now: Moment) {
         let group = self.group_mut(name);
         if group.members.is_empty() || group.stopping.is_some() {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Stops the runs of which a member was placed on a backend server and not ordered yet.
+    /// Stops the runs that have a member placed on a backend server and not ordered yet.
     pub(crate) fn stop_unsent(&mut self, id: &BackendServerId, reason: StopReason, now: Moment) {
         for name in self.groups_on(id) {
             let unordered = |member: &Member| member.server == *id && member.phase == Phase::Planned;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Stops again what was stopped a while ago and is still there. A backend server that is out of reach is let be.
+    /// Repeats stops that took no effect in time, except on unresponsive backend servers.
     pub(crate) fn repeat_stops(&mut self, now: Moment) {
         let retry = self.timing.stop_retry;
         let mut due = Vec::new();
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Everything that may have run on a backend server is over, without a word of how it ended.
+    /// Lapses everything that may have run on a backend server: it has ended without a completion.
     pub(crate) fn lapse_members(&mut self, id: &BackendServerId, why: &'static str, now: Moment) {
         self.lapse_members_if(id, |_| true, why, now);
     }
 
-    /// The same for some of them.
+    /// Lapses the members of a backend server for which `which` returns true.
     pub(crate) fn lapse_members_if(
         &mut self,
         id: &BackendServerId,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// A stop was answered: the run ends, or never begins.
+    /// Handles the response to a stop: the run ends, or never starts.
     pub fn stop_replied(&mut self, server: &BackendServerId, task: TaskId, run: RunNumber, now: Moment) {
         let Some(name) = self.group_of(task) else { return };
         if self.progress_of(name).run != run {
