--- a/crates/scheduler/src/archive.rs
+++ b/crates/scheduler/src/archive.rs
@@ -1,42 +1,43 @@
-//! Jobs that are over leave the intake for a small record, which answers callers' questions for as long as they may
-//! ask and keeps a late submission from making the job again.
+//! Archival of ended jobs: each leaves the submission records for a small record, which answers callers' queries for
+//! as long as they are allowed and prevents a late submission from creating the job again.
 //!
-//! So what a new scheduler must read before it can schedule is bounded by the jobs that are open, not by all that
-//! were ever handed in.
+//! This bounds what a new scheduler must read before it can schedule by the number of open jobs, not of all jobs ever
+//! submitted.
 
 use jobs::{EndedJob, JobId, OccurrenceId};
 use model::Moment;
 
 use crate::{Scheduler, run_state::JobEntry};
 
-/// A job that can leave the intake.
+/// Job that can be archived.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Archival {
-    /// The job.
+    /// Job to archive.
     pub job: JobId,
-    /// What is kept of it.
+    /// Record that replaces the job in the store.
     pub record: EndedJob,
-    /// Occurrences of which the store holds progress.
+    /// Occurrences whose progress the store holds, which is to be removed.
     pub progress: Vec<OccurrenceId>,
 }
 
-/// A job that has left the intake.
+/// Job that has been archived.
 #[derive(Debug)]
 pub(crate) struct Archived {
     pub(crate) record: EndedJob,
-    /// Since when it is known to be over.
+    /// Since when the job is known to have ended.
     pub(crate) since: Moment,
 }
 
 impl Scheduler {
-    /// Jobs that can leave the intake, at most `most`: nothing of them runs, and the store holds how they ended.
+    /// Returns jobs that can be archived, at most `most`: nothing of them runs, and the store holds their final
+    /// progress.
     pub fn archivable(&self, most: usize) -> Vec<Archival> {
         let entries = self.finished_jobs.iter().filter_map(|id| Some((*id, self.jobs.get(id)?)));
         let stored = entries.filter(|(_, entry)| is_stored(entry));
         stored.take(most).map(|(id, entry)| archival(id, entry)).collect()
     }
 
-    /// The store holds the record of a job in place of the job. `rest` is progress that it still holds.
+    /// Handles a job whose record replaces it in the store. `rest` lists progress that the store still holds.
     pub fn archived(&mut self, archival: Archival, rest: &[OccurrenceId], now: Moment) {
         let Archival { job: id, record, .. } = archival;
         self.finished_jobs.remove(&id);
@@ -51,17 +52,17 @@
         self.archived.insert(id, Archived { record, since: entry.ended_at.unwrap_or(now) });
     }
 
-    /// A record that the store holds, read by a new scheduler, for which its job ends now at the latest.
+    /// Restores a record that the store holds. Its retention starts at `now`, since the end of the job is not later.
     pub fn restore_ended(&mut self, id: JobId, record: EndedJob, now: Moment) {
         self.archived.entry(id).or_insert(Archived { record, since: now });
     }
 
-    /// Progress in the store that belongs to no job any more, at most `most`.
+    /// Returns progress in the store whose job no longer exists, at most `most`.
     pub fn orphans(&self, most: usize) -> Vec<OccurrenceId> {
         self.orphans.iter().take(most).copied().collect()
     }
 
-    /// The store no longer holds such progress.
+    /// Handles the removal of such progress from the store.
     pub fn orphans_removed(&mut self, removed: &[OccurrenceId]) {
         for id in removed {
             self.orphans.remove(id);
@@ -69,7 +70,7 @@
     }
 }
 
-/// Whether the store holds the progress as it is.
+/// Whether the store holds the current progress of all occurrences.
 fn is_stored(entry: &JobEntry) -> bool {
     entry.occurrences.iter().all(|occurrence| occurrence.stored_version == occurrence.version)
 }
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -1,4 +1,4 @@
-//! Writes of progress to the store, many in one call.
+//! Batched writes of progress to the store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,44 +7,45 @@
 
 use crate::{Scheduler, run_state::Phase};
 
-/// One occurrence's progress as it is to be stored.
+/// Write of one occurrence's progress.
 #[derive(Debug, Clone)]
 pub struct ProgressWrite {
-    /// Whose.
+    /// Occurrence that the progress belongs to.
     pub occurrence: OccurrenceId,
-    /// The version of the progress in memory that this is.
+    /// Version of the progress in memory that is written.
     pub version: u64,
-    /// The progress.
+    /// Progress to store.
     pub progress: Progress,
-    /// The store's revision of what it replaces; 0 if there is nothing yet.
+    /// Revision in the store that the write replaces; 0 if the store holds none.
     pub replaces: Revision,
 }
 
 /// Writes that take effect together or not at all.
 #[derive(Debug, Clone, Default)]
 pub struct WriteBatch {
-    /// At least one.
+    /// Writes of the batch, at least one.
     pub writes: Vec<ProgressWrite>,
-    /// Availability zones where the batch places runs that were not ordered yet: it is worth nothing if one of them has
-    /// been evacuated meanwhile.
+    /// Availability zones in which the batch places runs that were not ordered yet. The batch must not be stored if
+    /// one of them has been evacuated in the meantime.
     pub placement_zones: BTreeSet<AvailabilityZoneId>,
 }
 
-/// Tasks whose progress goes into one batch, unless a single occurrence has more: some 40 KB as the store takes
-/// them, which a link of 10 Mbit/s carries in 35 ms, far within the limit of a write.
+/// Most tasks whose progress goes into one batch, unless a single occurrence has more. Their progress takes some 40
+/// KB in the store's format, which a link of 10 Mbit/s transfers in 35 ms, far below the time limit of a write.
 const MOST_TASKS: usize = 500;
 
 impl Scheduler {
-    /// Whether something is to be stored.
+    /// Whether progress is to be stored, including progress in flight.
     pub fn has_pending_writes(&self) -> bool {
         !self.pending_writes.is_empty()
     }
 
-    /// What should be stored next, at most `most` entries; `None` if everything is stored.
+    /// Returns the next batch to store, with at most `most` writes; `None` if nothing is left to send.
     ///
-    /// Several batches may be under way, each occurrence in one of them: the writes of one follow each other, and one that gets no answer holds up no
-    /// other. What is in a batch is given again once [`Scheduler::batch_failed`] is told of it, so that a write without an answer is made up for by
-    /// the next: either it took effect, which the next finds by its conflict, or the next makes its condition false.
+    /// Several batches may be in flight, but each occurrence is in only one of them. So the writes of an occurrence
+    /// follow one another, and a batch without a response delays no other. After [`Scheduler::batch_failed`], the
+    /// occurrences of a batch are offered again. This makes up for a write with unknown outcome: either it took
+    /// effect, which the next write detects by its conflict, or the next write makes its condition false.
     pub fn next_write_batch(&mut self, most: usize) -> Option<WriteBatch> {
         let mut tasks = 0;
         let mut writes: Vec<ProgressWrite> = Vec::new();
@@ -64,14 +65,14 @@
         Some(WriteBatch { writes, placement_zones })
     }
 
-    /// A batch was not stored, or nothing is known of it.
+    /// Handles a batch that was not stored, or whose outcome is unknown.
     pub fn batch_failed(&mut self, batch: &WriteBatch) {
         for entry in &batch.writes {
             self.writes_in_flight.remove(&entry.occurrence);
         }
     }
 
-    /// Where an occurrence has members that were not ordered yet.
+    /// Returns the availability zones where an occurrence has members that were not ordered yet.
     fn placement_zones(&self, id: OccurrenceId) -> impl Iterator<Item = AvailabilityZoneId> {
         let members = self.occurrence(id).groups.iter().flatten().flat_map(|group| &group.members);
         let planned = members.filter(|member| member.phase == Phase::Planned);
@@ -89,7 +90,8 @@
         })
     }
 
-    /// A batch is in the store, at `revision`. Returns the backend servers to which more ends can be acknowledged now.
+    /// Handles a batch that was stored at `revision`. Returns the backend servers to which more completions can be
+    /// acknowledged now.
     pub fn batch_stored(&mut self, batch: WriteBatch, revision: Revision) -> Vec<BackendServerId> {
         let mut acknowledged = Vec::new();
         for entry in batch.writes {
@@ -116,7 +118,8 @@
         self.unsent_starts.insert(id);
     }
 
-    /// The store holds other revisions than the batch expected: an earlier write of ours took effect after all.
+    /// Handles a conflict: the store holds other revisions than the batch expected, since an earlier write of this
+    /// scheduler took effect after all.
     pub fn stored_revisions_found(&mut self, revisions: &BTreeMap<OccurrenceId, Revision>) {
         for (&id, &revision) in revisions {
             if let Some(occurrence) = self.known_occurrence_mut(id) {
--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -1,11 +1,12 @@
-//! Checks that what is kept from event to event is what working it out anew gives. For tests, which ask after each step.
+//! Consistency checks for tests: state that is updated incrementally must equal the same state computed anew.
 
 use model::Moment;
 
 use crate::{Scheduler, fleet_capacity::FleetCapacity};
 
 impl Scheduler {
-    /// Tells of a difference, which is a fault of the scheduler.
+    /// Checks the state after an event. Returns a description of the first difference, which is a fault of the
+    /// scheduler.
     pub fn check_kept(&mut self, now: Moment) -> Result<(), String> {
         self.check_capacity(now)?;
         self.check_isolated_retries()?;
@@ -32,7 +33,7 @@
         self.fleet.check_same(&anew)
     }
 
-    /// Every end that waits is one that the store does not hold yet, or stands behind one.
+    /// Checks that each completion that waits is not stored yet, or is behind one that is not.
     fn check_acknowledged(&mut self) -> Result<(), String> {
         for id in self.servers.keys().cloned().collect::<Vec<_>>() {
             if self.acknowledge_stored(&id) {
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -1,19 +1,20 @@
-//! Whether a backend server can be trusted with work, learned from how its runs end.
+//! Health of a backend server, judged by how its runs end.
 
 use jobs::JobId;
 use model::{Duration, Moment};
 
-/// A backend server is set aside once tasks of this many jobs failed on it with nothing done between.
+/// Number of jobs whose tasks must have failed, with no completed work in between, for a backend server to be
+/// quarantined.
 const FAILED_JOBS: usize = 2;
-/// How long it is set aside before one task is tried on it.
+/// Duration of a quarantine; afterwards one task is tried on the backend server.
 const QUARANTINE: Duration = Duration::from_secs(8);
-/// How long a failure makes a backend server doubtful, unless something is done there before.
+/// How long a failure makes a backend server suspect, unless work is completed there earlier.
 const DOUBT: Duration = Duration::from_secs(6);
 
-/// What the ends of one backend server tell.
+/// Health of one backend server.
 #[derive(Debug, Default)]
 pub(crate) struct Health {
-    /// Jobs that failed here since something was last done here.
+    /// Jobs that failed here since work was last completed here.
     failed: Vec<JobId>,
     last_failure: Option<Moment>,
     quarantined_until: Option<Moment>,
@@ -25,7 +26,7 @@
         self.quarantined_until = None;
     }
 
-    /// Returns whether this sets the backend server aside.
+    /// Records a failed run. Returns whether the backend server is now quarantined.
     pub(crate) fn failed(&mut self, job: JobId, now: Moment) -> bool {
         if !self.failed.contains(&job) {
             self.failed.push(job);
@@ -38,13 +39,13 @@
         aside
     }
 
-    /// Whether a task failed here lately and none has been done since.
+    /// Whether a task failed here recently and no work was completed since.
     pub(crate) fn is_suspect(&self, now: Moment) -> bool {
         let lately = self.last_failure.is_some_and(|at| now.since(at) < DOUBT);
         lately && !self.failed.is_empty()
     }
 
-    /// Whether time alone can change whether it is trusted.
+    /// Whether time alone can change how far it is trusted.
     pub(crate) fn changes_with_time(&self, now: Moment) -> bool {
         self.is_suspect(now) || self.is_quarantined(now)
     }
--- a/crates/scheduler/src/observations.rs
+++ b/crates/scheduler/src/observations.rs
@@ -1,4 +1,4 @@
-//! What the scheduler has seen happen to jobs, for metrics.
+//! Events of jobs and backend servers, for metrics.
 
 use jobs::{JobState, QueueId};
 use model::{CustomerId, Duration, Moment};
@@ -8,61 +8,61 @@
     run_state::{GroupId, JobEntry},
 };
 
-/// Something that happened to a job.
+/// Event to be counted in metrics.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Observation {
-    /// Its first task was placed.
+    /// The first task of a job was placed.
     Started {
-        /// Whose it is.
+        /// Customer that the job belongs to; `None` if the job names none.
         customer: Option<CustomerId>,
-        /// Its queue.
+        /// Queue of the job.
         queue: QueueId,
-        /// Since it was accepted.
+        /// Time since the job was accepted.
         after: Duration,
     },
-    /// A backend server has begun a run of one of its tasks.
+    /// A backend server has started a run of one of a job's tasks.
     RunStarted {
-        /// Whose it is.
+        /// Customer that the job belongs to; `None` if the job names none.
         customer: Option<CustomerId>,
-        /// Its queue.
+        /// Queue of the job.
         queue: QueueId,
-        /// Since the run was placed: the store took its place, and the backend server its order.
+        /// Time since the run was placed: for storing the placement and for the order to the backend server.
         after: Duration,
     },
-    /// Nothing of it runs or will run.
+    /// A job has ended: nothing of it runs or will run.
     Ended {
-        /// Whose it is.
+        /// Customer that the job belongs to; `None` if the job names none.
         customer: Option<CustomerId>,
-        /// Its queue.
+        /// Queue of the job.
         queue: QueueId,
-        /// How.
+        /// Final state of the job.
         state: JobState,
-        /// Since it was accepted.
+        /// Time since the job was accepted.
         after: Duration,
     },
     /// A run was stopped.
     Stopped {
-        /// Why.
+        /// Reason, as in the log.
         why: String,
     },
-    /// A backend server's life is over.
+    /// An incarnation of a backend server has ended.
     ServerEnded {
-        /// It had said that it would leave; else it has crashed or was taken away.
+        /// Whether it had announced its departure; otherwise it has crashed or was taken away.
         announced: bool,
     },
     /// A backend server has crashed while a task ran there.
     CrashedUnderTask {
-        /// The run is not known to have outlived its start.
+        /// Whether the run is not known to have outlived its start.
         early: bool,
     },
-    /// A task is given up, and its occurrence has failed.
+    /// A task was abandoned, and its occurrence has failed.
     TaskAbandoned {
-        /// What it has used up: `attempts_used` or `crashes`.
+        /// What the task has used up: `attempts_used` or `crashes`.
         why: &'static str,
     },
-    /// An end was listed that counts as taken in already, since its serial number had been acknowledged.
+    /// A completion was listed although its serial number had been acknowledged.
     CompletionRedelivered,
-    /// A run is over without a word of how it ended.
+    /// A run has ended without a completion.
     RunLost {
         /// How that is known: `server_gone`, `lease_over` or `not_listed`.
         why: &'static str,
@@ -70,12 +70,12 @@
 }
 
 impl Scheduler {
-    /// What has happened since this was last asked.
+    /// Returns and removes the observations since the last call.
     pub fn take_observations(&mut self) -> Vec<Observation> {
         std::mem::take(&mut self.observations)
     }
 
-    /// The time of day, in milliseconds since 1970, by the clock readings of the latest plan.
+    /// Returns the time of day in milliseconds since 1970, extrapolated from the clock readings of the latest plan.
     pub(crate) fn wall_ms(&self, now: Moment) -> u64 {
         let (at, wall_ms) = self.plan_clocks;
         wall_ms + now.since(at).millis()
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! How runs end: what comes of it for their job, and when it may be acknowledged.
+//! Completions of runs: their effect on the job, and when they may be acknowledged.
 
 use jobs::{JobId, JobState, OccurrenceId, RunNumber};
 use model::{BackendServerId, Moment};
@@ -12,12 +12,13 @@
 };
 
 impl Scheduler {
-    /// Takes an end in, unless it was before; it is acknowledged once the store holds what came of it.
+    /// Processes a completion unless it was received before. It is acknowledged once the store holds its effect.
     pub(crate) fn receive_completion(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
         let server = self.servers.get_mut(id).expect("the caller has looked");
         if end.serial <= server.highest_completion {
             if end.serial <= server.acknowledged_serial {
-                // Told again though it was acknowledged: the call that did so was lost, or this is another end with its serial number.
+                // Redelivered after it was acknowledged: either the acknowledging call was lost, or this is another
+                // completion with the same serial number.
                 log::info!("server={id} event=end_known task={} run={} serial={}", end.task, end.run, end.serial);
                 self.observations.push(Observation::CompletionRedelivered);
             }
@@ -40,7 +41,7 @@
 
     fn apply_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
         if end.kind == CompletionKind::Failed {
-            // It counts even if the run was given up before: what failed has used up an attempt.
+            // It counts even if the run was abandoned before, since a failed run has used up an attempt.
             self.apply_failure(name, id, end.run, now);
         }
         let current = self.progress_of(name).run == end.run && self.member_mut(name, end.task.index, id).is_some();
@@ -70,7 +71,7 @@
         }
     }
 
-    /// An end of a run that was taken for over before: if it had done the work, no one has to do it again.
+    /// Applies a completion of a run that was no longer tracked: if it had done the work, the work isn't repeated.
     fn apply_late_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
         if end.kind != CompletionKind::Done || self.progress_of(name).done {
             return;
@@ -126,7 +127,7 @@
         }
     }
 
-    /// A task is given up: nothing else of its occurrence goes on.
+    /// Fails an occurrence, since one of its tasks is abandoned, and stops its other runs.
     pub(crate) fn fail_occurrence(&mut self, name: GroupId, why: &'static str, now: Moment) {
         let job = name.occurrence.job;
         log::info!(
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Notes the end of a job once its last occurrence is over.
+    /// Records the end of a job once its last occurrence has ended.
     fn note_end(&mut self, job: JobId, now: Moment) {
         let entry = self.jobs.get_mut(&job).expect("its group was just changed");
         if entry.ended_at.is_some() || !entry.occurrences.iter().all(Occurrence::is_finished) {
@@ -156,7 +157,8 @@
         self.observe_end(job, state, now);
     }
 
-    /// Lets ends of a backend server be acknowledged whose progress the store holds. Returns whether there were any.
+    /// Releases the completions of a backend server whose effect is stored for acknowledgement. Returns whether there
+    /// were any.
     pub(crate) fn acknowledge_stored(&mut self, id: &BackendServerId) -> bool {
         let Scheduler { servers, jobs, .. } = self;
         let Some(server) = servers.get_mut(id) else { return false };
@@ -176,8 +178,8 @@
         server.acknowledged_serial > before
     }
 
-    /// The store holds an occurrence as of a version: the ends that wait for it are looked at. Returns the backend
-    /// servers to which more can be acknowledged now.
+    /// Releases the completions that waited for an occurrence to be stored. Returns the backend servers to which more
+    /// can be acknowledged now.
     pub(crate) fn acknowledge_stored_with(&mut self, id: OccurrenceId) -> Vec<BackendServerId> {
         let Some(occurrence) = self.known_occurrence_mut(id) else { return Vec::new() };
         let waiting = std::mem::take(&mut occurrence.completions_from);
--- a/crates/scheduler/src/pending_writes.rs
+++ b/crates/scheduler/src/pending_writes.rs
@@ -1,14 +1,14 @@
-//! Occurrences that wait to be stored, in the order in which they came to.
+//! Occurrences whose progress is to be stored, in the order of their changes.
 
 use std::collections::BTreeMap;
 
 use jobs::OccurrenceId;
 
-/// Occurrences whose progress the store does not hold as it is.
+/// Occurrences whose current progress is not stored yet.
 ///
-/// The one that has waited longest goes first, so that each is stored within one round of all that wait. In the order
-/// of their names, jobs that change with every write would hold up the others, and accelerators would stand reserved for starts that wait for their
-/// write.
+/// The one that has waited longest goes first, so that each is stored within one round over all that wait. In the
+/// order of their ids, jobs that change with every write would delay the others, and accelerators would stay reserved
+/// for starts that wait for their write.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
     by_turn: BTreeMap<u64, OccurrenceId>,
@@ -17,7 +17,7 @@
 }
 
 impl PendingWrites {
-    /// An occurrence has changed. One that waits already keeps its turn.
+    /// Adds an occurrence that has changed. One that already waits keeps its position.
     pub(crate) fn insert(&mut self, id: OccurrenceId) {
         if self.turns.contains_key(&id) {
             return;
@@ -27,20 +27,20 @@
         self.next += 1;
     }
 
-    /// It waits no more.
+    /// Removes an occurrence.
     pub(crate) fn remove(&mut self, id: OccurrenceId) {
         if let Some(turn) = self.turns.remove(&id) {
             self.by_turn.remove(&turn);
         }
     }
 
-    /// It was stored, but has changed since.
+    /// Moves an occurrence to the end: it was stored, but has changed since.
     pub(crate) fn requeue(&mut self, id: OccurrenceId) {
         self.remove(id);
         self.insert(id);
     }
 
-    /// By turn.
+    /// Returns the occurrences, the one that has waited longest first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = OccurrenceId> {
         self.by_turn.values().copied()
     }
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -1,4 +1,4 @@
-//! What a new scheduler takes over from the store.
+//! Takeover of an earlier scheduler's state from the store.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,10 +12,11 @@
 };
 
 impl Scheduler {
-    /// Progress that the store holds, read by a new scheduler after its jobs.
+    /// Restores the stored progress of an occurrence. Jobs must have been added before.
     pub fn restore(&mut self, id: OccurrenceId, progress: Progress, revision: Revision) {
         let Some(entry) = self.jobs.get_mut(&id.job) else {
-            // Its job has left the intake, and the scheduler that saw to that did not come to the end of it.
+            // The job has left the submission records, but the scheduler that archived it did not remove all
+            // progress.
             self.orphans.insert(id);
             return;
         };
@@ -38,7 +39,8 @@
         }
     }
 
-    /// Where backend servers with restored runs were reached as the runs were placed there: those that the platform no longer lists may answer there still.
+    /// Returns the addresses of backend servers with restored runs, as of their placement. Those that the platform no
+    /// longer lists may still respond there.
     pub fn restored_addresses(&self) -> BTreeMap<BackendServerId, ServerAddress> {
         let occurrences = self.open_jobs.iter().flat_map(|id| &self.jobs[id].occurrences);
         let placed = occurrences.flat_map(|o| o.progress.groups.iter().flatten()).flat_map(|group| &group.placed);
@@ -46,7 +48,8 @@
         known.map(|placed| (placed.server.clone(), ServerAddress::from(&*placed.address))).collect()
     }
 
-    /// What was placed may run on, for as long as an earlier scheduler's leases keep it. Returns the groups that may run.
+    /// Restores placements of an earlier scheduler: their runs may continue until its leases expire. Returns the
+    /// groups that may run.
     fn restore_members(&mut self, id: OccurrenceId, job: &Job) -> Vec<GroupId> {
         let mut placed_groups = Vec::new();
         let by_election = self.earlier_lease_expiry;
--- a/crates/scheduler/src/retention.rs
+++ b/crates/scheduler/src/retention.rs
@@ -1,4 +1,4 @@
-//! Jobs that are over and no longer asked for.
+//! Removal of ended jobs whose outcome can no longer be queried.
 
 use jobs::JobId;
 use model::Moment;
@@ -6,8 +6,8 @@
 use crate::Scheduler;
 
 impl Scheduler {
-    /// Jobs whose end can no longer be asked for, at most `most`: the store can drop their records, and the marks of
-    /// those that were cancelled before they came.
+    /// Returns jobs whose retention has expired, at most `most`. Their records can be removed from the store, and so
+    /// can the marks of jobs that were cancelled before they were submitted.
     pub fn expired_records(&self, now: Moment, most: usize) -> Vec<JobId> {
         let old = |since: Moment| now.since(since) > self.timing.keep_ended;
         let records = self.archived.iter().filter(|(_, ended)| old(ended.since)).map(|(id, _)| *id);
@@ -15,7 +15,7 @@
         records.chain(marks).take(most).collect()
     }
 
-    /// The store holds nothing of these jobs any more.
+    /// Handles the removal of these jobs from the store.
     pub fn remove_records(&mut self, forgotten: &[JobId]) {
         for id in forgotten {
             self.archived.remove(id);
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,4 +1,4 @@
-//! Runs of groups: looked up, placed, over.
+//! Runs of groups: lookup, placement and removal.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 };
 
 impl Scheduler {
-    /// An occurrence; `None` if no such job or occurrence is known.
+    /// Returns an occurrence; `None` if it or its job is not tracked.
     pub(crate) fn known_occurrence(&self, id: OccurrenceId) -> Option<&Occurrence> {
         self.jobs.get(&id.job)?.occurrences.get(id.number as usize)
     }
@@ -20,7 +20,8 @@
         self.jobs.get_mut(&id.job)?.occurrences.get_mut(id.number as usize)
     }
 
-    /// The occurrence of a group, which is named only while its job is known. So do the lookups that follow.
+    /// Returns the occurrence of a group. Like the lookups that follow, it panics if the job is not tracked: a
+    /// `GroupId` is used only while it is.
     pub(crate) fn occurrence(&self, id: OccurrenceId) -> &Occurrence {
         &self.jobs[&id.job].occurrences[id.number as usize]
     }
@@ -46,7 +47,7 @@
         &self.occurrence(name.occurrence).progress.groups[name.step][name.group]
     }
 
-    /// Changes the progress of a group, which then has to be stored.
+    /// Changes the progress of a group, and marks it as not yet stored.
     pub(crate) fn change(&mut self, name: GroupId, change: impl FnOnce(&mut GroupProgress)) {
         let occurrence = self.occurrence_mut(name.occurrence);
         change(&mut occurrence.progress.groups[name.step][name.group]);
@@ -55,7 +56,7 @@
         self.changed.insert(name.occurrence);
     }
 
-    /// The group that a task belongs to; `None` if no such job or task is known.
+    /// Returns the group that a task belongs to; `None` if its job or the task is not tracked.
     pub(crate) fn group_of(&self, task: TaskId) -> Option<GroupId> {
         let entry = self.jobs.get(&task.occurrence.job)?;
         let step = entry.job.steps.get(task.step as usize)?;
@@ -63,7 +64,7 @@
         known.then(|| GroupId::of(task, step))
     }
 
-    /// All groups of a job.
+    /// Returns all groups of a job.
     pub(crate) fn group_names(&self, job: JobId) -> Vec<GroupId> {
         let Some(entry) = self.jobs.get(&job) else { return Vec::new() };
         let mut names = Vec::new();
@@ -80,7 +81,7 @@
         group.members.iter_mut().find(|member| member.index == index && member.server == *server)
     }
 
-    /// Places a run of a group; the starts leave once the store holds it.
+    /// Places a run of a group. Its starts are sent once the store holds the placement.
     pub(crate) fn place(&mut self, name: GroupId, servers: &[(u32, BackendServerId)], now: Moment) {
         let need = self.step(name).counted_resources();
         let run = self.progress_of(name).run.next();
@@ -113,7 +114,7 @@
         Placement { index, server: id.clone(), incarnation, address: Arc::from(address) }
     }
 
-    /// Says where a run goes, and what that rests on.
+    /// Logs where a run is placed, with the state that the decision rests on.
     fn log_placement(&mut self, name: GroupId, servers: &[(u32, BackendServerId)], now: Moment) {
         let job = name.occurrence.job;
         let waited = self.group(name).ready_since.map_or(0, |since| now.since(since).millis());
@@ -137,7 +138,7 @@
         }
     }
 
-    /// A member's run is over; its room is free.
+    /// Removes a member whose run has ended, and frees its capacity.
     pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, checkpoint: Option<Checkpoint>, now: Moment) {
         let need = self.step(name).counted_resources();
         let checkpoints = self.step(name).checkpoints;
--- a/crates/scheduler/src/timing.rs
+++ b/crates/scheduler/src/timing.rs
@@ -1,10 +1,10 @@
-//! Times that the scheduler's decisions rest on.
+//! Time limits that the scheduler's decisions rest on.
 
 use model::{Duration, Moment};
 
 use crate::tuning::Tuning;
 
-/// The slowest clock of a backend server runs at this share of true speed (users' protocol page: 2 % slow).
+/// Speed of a backend server's slowest clock, as a share of true speed (platform protocol: up to 2 % slow).
 const SLOWEST_CLOCK: f64 = 0.98;
 
 /// Time limits of a deployment, from its settings.
@@ -12,27 +12,29 @@
 pub struct Timing {
     /// Longest lease that a backend server grants.
     pub lease: Duration,
-    /// Added to each bound on a lease: what reading two clocks and sending may take.
+    /// Margin added to each bound on a lease, for reading two clocks and for sending.
     pub lease_slack: Duration,
-    /// How long a scheduler that can no longer confirm its election goes on renewing leases, if witnesses vouch for it.
+    /// How long a scheduler that can no longer confirm its election continues to renew leases, if witnesses confirm
+    /// it.
     pub unconfirmed_renewal: Duration,
-    /// The lease that such a scheduler gives at most.
+    /// Longest lease that such a scheduler grants.
     pub unconfirmed_lease: Duration,
-    /// Such a scheduler goes by the answers to calls that it sent within this.
+    /// How recently the call must have been sent whose response such a scheduler counts as a confirmation.
     pub witness_window: Duration,
-    /// A start without an answer is sent again this often before the run is given up.
+    /// Number of orders for a start without a response before the run is abandoned.
     pub start_tries: u32,
-    /// A stop without an answer, or a stray run, is stopped again after this long.
+    /// Time after which the stop of a run is repeated if it got no response, or if the run is orphaned and still
+    /// listed.
     pub stop_retry: Duration,
-    /// A backend server that refused a start for another reason than room is left alone for this long.
+    /// Pause before the next start on a backend server that has refused one.
     pub refused_pause: Duration,
-    /// How long the tasks of a step run when spread over racks, against one rack.
+    /// Factor by which the tasks of a step run longer if they are spread over racks instead of placed in one.
     pub far_factor: f64,
-    /// How much later than due a timed occurrence starts, so that two clocks that differ never make it early.
+    /// Delay of a timed occurrence after its due time, so that a difference between two clocks never starts it early.
     pub due_margin: Duration,
-    /// How long a job's end can still be asked for.
+    /// How long the outcome of an ended job can be queried.
     pub keep_ended: Duration,
-    /// How strong each mechanism is.
+    /// Strength of each mechanism.
     pub tuning: Tuning,
 }
 
@@ -56,7 +58,8 @@
 }
 
 impl Timing {
-    /// When a lease that was last renewed by a call sent at `sent` is over on any backend server's clock.
+    /// Returns when a lease that was last renewed by a call sent at `sent` has expired, on any backend server's
+    /// clock.
     pub fn lease_expiry(&self, sent: Moment) -> Moment {
         self.over(self.lease, sent)
     }
@@ -65,13 +68,14 @@
         sent + lease.scaled(1.0 / SLOWEST_CLOCK) + self.lease_slack
     }
 
-    /// When every lease that an earlier scheduler can have granted is over, for one elected at `elected`.
+    /// Returns when every lease that an earlier scheduler can have granted has expired, for a scheduler elected at
+    /// `elected`.
     pub fn earlier_lease_expiry(&self, elected: Moment) -> Moment {
         self.lease_expiry(elected + self.unconfirmed_renewal)
     }
 
-    /// The same if so many witnesses had answered the new scheduler at `heard` that no earlier one can count most of
-    /// them by later calls. Until the election an earlier one may have given whole leases.
+    /// Returns the same bound if at `heard` enough witnesses had responded to the new scheduler that no earlier one
+    /// can count two thirds of them by later calls. Until the election an earlier one may have granted full leases.
     pub fn outvoted_lease_expiry(&self, elected: Moment, heard: Moment) -> Moment {
         let unconfirmed = self.lease.min(self.unconfirmed_lease);
         self.lease_expiry(elected).max(self.over(unconfirmed, heard + self.witness_window))
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -1,12 +1,14 @@
-//! Backend servers that no scheduler has reached lately, told from one scheduler to the next.
+//! Record of unreachable backend servers, passed from one scheduler to the next through the store.
 //!
-//! What runs on a lost backend server is over only when every lease is that an earlier scheduler can have given. A new
-//! scheduler reckons them from its own election, so each election would begin that wait anew. But one that does not
-//! reach a backend server gives it no lease, whether it never has reached it or has lost it: it notes in the store how
-//! long leases have left there, and the next goes on from that.
+//! Runs on a lost backend server have ended only when every lease that an earlier scheduler can have granted has
+//! expired. A new scheduler counts these from its own election, so each election would restart the wait. But a
+//! scheduler gives no lease to a backend server that it can't reach, whether it has never reached it or has lost
+//! contact. So it records in the store for how long leases there remain valid, and the next scheduler continues from
+//! that.
 //!
-//! A backend server that the note may name is given no lease and no work until the note is withdrawn: the next scheduler relies on
-//! it. A write without an answer may take effect later, so each has as its condition the revision that the one before left.
+//! A backend server that the record may name gets no lease and no work until the record is withdrawn, since the next
+//! scheduler relies on that. A write without a response may take effect later, so each write is conditional on the
+//! revision that the previous one left.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,75 +17,76 @@
 
 use crate::Scheduler;
 
-/// A new scheduler reaches what answers within this; only what is left is worth a write.
+/// Time after the election before the first record. By then a new scheduler has reached what responds, and only the
+/// rest is worth a write.
 const FIRST_NOTE_AFTER: Duration = Duration::from_millis(1000);
-/// A backend server that answered before is noted once it has been silent for so long: one whose connection broke
-/// answers again sooner, and must not wait for a note to be withdrawn.
+/// Time without a response after which a backend server that responded before is recorded. One whose connection broke
+/// responds again sooner, and must not wait for a record to be withdrawn.
 const NOTED_AFTER: Duration = Duration::from_millis(1000);
-/// What the next scheduler is told to wait is at most this much too long.
+/// Time between two records. The wait of the next scheduler is too long by at most this.
 const NOTE_EVERY: Duration = Duration::from_millis(1000);
 
-/// Backend servers that a scheduler has not reached, as the store holds them: how long leases of earlier schedulers
-/// have left there at most.
+/// Record of the backend servers that a scheduler could not reach, with the longest time that leases of earlier
+/// schedulers remain valid there.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreachableRecord {
     /// In milliseconds from the write, so that no two clocks are compared.
     left_ms: BTreeMap<BackendServerId, u64>,
 }
 
-/// A note that is to be stored.
+/// Write of the record to the store.
 #[derive(Debug, Clone)]
 pub struct UnreachableWrite {
-    /// What.
+    /// Record to store.
     pub record: UnreachableRecord,
-    /// The store's revision of the note that it replaces; 0 if there is none.
+    /// Revision in the store that the write replaces; 0 if there is none.
     pub replaces: Revision,
     at: Moment,
 }
 
-/// What a scheduler knows of the note in the store.
+/// State that a scheduler keeps of the record in the store.
 #[derive(Debug, Default)]
 pub(crate) struct Unreachable {
-    /// Backend servers with runs, and not reached.
+    /// Unreachable backend servers that may run something.
     waiting: BTreeSet<BackendServerId>,
-    /// Backend servers that the note in the store may name.
+    /// Backend servers that the record in the store may name.
     named: BTreeSet<BackendServerId>,
-    /// When leases are over by an earlier scheduler's note.
+    /// When leases expire, by an earlier scheduler's record.
     noted_over: BTreeMap<BackendServerId, Moment>,
-    /// When the note that the store holds was drawn up.
+    /// When the record in the store was made.
     noted_at: Option<Moment>,
     revision: Revision,
 }
 
 impl Unreachable {
-    /// When every lease that earlier schedulers can have given is over, if it is `by_election` without a note.
+    /// Returns when every lease of earlier schedulers has expired; `by_election` is the bound without a record.
     pub(crate) fn lease_expiry_of(&self, id: &BackendServerId, by_election: Moment) -> Moment {
         self.noted_over.get(id).map_or(by_election, |noted| by_election.min(*noted))
     }
 
-    /// A run may go on there, and it is not reached.
+    /// Adds a backend server that is unreachable and may run something.
     pub(crate) fn add_pending(&mut self, id: &BackendServerId) {
         self.waiting.insert(id.clone());
     }
 
-    /// It has answered, or is not known any more.
+    /// Removes a backend server that has responded or is no longer tracked.
     pub(crate) fn remove_pending(&mut self, id: &BackendServerId) {
         self.waiting.remove(id);
     }
 
-    /// Whether the note in the store may name it.
+    /// Whether the record in the store may name a backend server.
     pub(crate) fn is_recorded(&self, id: &BackendServerId) -> bool {
         self.named.contains(id)
     }
 
-    /// Whether the note may name one that has been reached.
+    /// Whether the record in the store may name a backend server that has been reached.
     fn is_to_be_withdrawn(&self) -> bool {
         self.named.iter().any(|id| !self.waiting.contains(id))
     }
 }
 
 impl Scheduler {
-    /// Takes over the note of an earlier scheduler, before anything else is restored.
+    /// Restores the record of an earlier scheduler. Must be called before anything else is restored.
     pub fn restore_unreachable(&mut self, record: &UnreachableRecord, revision: Revision) {
         let over = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
         self.unreachable.noted_over = record.left_ms.iter().map(over).collect();
@@ -92,19 +95,19 @@
         self.unreachable.revision = revision;
     }
 
-    /// When every lease that earlier schedulers can have given a backend server is over.
+    /// Returns when every lease that earlier schedulers can have granted on a backend server has expired.
     pub(crate) fn earlier_lease_expiry(&self, id: &BackendServerId) -> Moment {
         self.unreachable.lease_expiry_of(id, self.earlier_lease_expiry)
     }
 
-    /// Every earlier scheduler has said that it renews no lease any more, or is known to have begun anew since: the
-    /// latest of them at `ended`.
+    /// Handles the end of all earlier schedulers: each has confirmed that it renews no leases any more, or is known
+    /// to have restarted since, the latest of them at `ended`.
     pub fn earlier_terms_ended(&mut self, ended: Moment) {
         self.resolve_witnesses();
         self.limit_earlier_leases(self.timing.lease_expiry(ended));
     }
 
-    /// Every lease that an earlier scheduler can have given is over by then, and may be over sooner.
+    /// Lowers the bound on the leases of earlier schedulers to `over`.
     pub(crate) fn limit_earlier_leases(&mut self, over: Moment) {
         self.earlier_lease_expiry = self.earlier_lease_expiry.min(over);
         for server in self.servers.values_mut().filter(|server| !server.has_reported) {
@@ -112,13 +115,13 @@
         }
     }
 
-    /// Whether a backend server may be given a lease: the next scheduler may have been told that it was given none.
+    /// Whether a backend server may be given a lease. The next scheduler may rely on it having none.
     pub fn may_renew(&self, id: &BackendServerId) -> bool {
         !self.unreachable.is_recorded(id)
     }
 
-    /// The note that should be stored now, if any. The backend servers that it names count as named from here on,
-    /// whatever comes of the write.
+    /// Returns the record to store now, if any. From here on the backend servers that it names count as named,
+    /// whatever the outcome of the write.
     pub fn next_unreachable_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
         let new = now.since(self.elected) < FIRST_NOTE_AFTER;
         let fresh = self.unreachable.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
@@ -133,8 +136,8 @@
         Some(UnreachableWrite { record, replaces: self.unreachable.revision, at: now })
     }
 
-    /// What the note is to name, with how long leases have left there in milliseconds: also what it names already, for
-    /// as long as that is not reached.
+    /// Returns the backend servers that the record is to name, with the remaining lease time there in milliseconds.
+    /// Those that it may name already are kept while they are unreachable.
     fn unreachable_leases(&self, now: Moment) -> BTreeMap<BackendServerId, u64> {
         let left = |id: &BackendServerId| {
             let server = self.servers.get(id)?;
@@ -145,7 +148,7 @@
         self.unreachable.waiting.iter().filter_map(left).collect()
     }
 
-    /// The store has taken a note, at `revision`: what it does not name may be given leases again.
+    /// Handles a record that was stored at `revision`: backend servers that it does not name may get leases again.
     pub fn unreachable_stored(&mut self, write: UnreachableWrite, revision: Revision) {
         let before = std::mem::take(&mut self.unreachable.named);
         self.unreachable.named = write.record.left_ms.into_keys().collect();
@@ -159,7 +162,8 @@
         }
     }
 
-    /// The store holds another note than was to be replaced: an earlier write of ours took effect after all.
+    /// Handles a conflict: the store holds another record than expected, since an earlier write of this scheduler
+    /// took effect after all.
     pub fn unreachable_revision_found(&mut self, revision: Revision) {
         self.unreachable.revision = revision;
     }
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -1,14 +1,15 @@
-//! Backend servers that witness who schedules, so that a scheduler may renew leases without a word of the store and
-//! its successor knows when that has ended.
+//! Witnesses: backend servers that confirm which scheduler is active. With them a scheduler may renew leases while
+//! the store does not respond, and its successor knows when these renewals have ended.
 //!
-//! A backend server refuses whoever has a lower fence than it has seen. The store holds a few of them as witnesses,
-//! each in one life. Without a word of the store, a scheduler renews only while more than two thirds of them have
-//! answered it lately, and gives shorter leases. One elected after it needs a third of them: once these have answered,
-//! the earlier one can count no more than the rest, so its renewals end when its latest answers are too old.
+//! A backend server refuses every scheduler with a lower fencing token than the highest that it has seen. The store
+//! names a few backend servers as witnesses, each in one incarnation. Without a response from the store, a scheduler
+//! renews leases only while more than two thirds of the witnesses have responded to it recently, and grants shorter
+//! ones. A scheduler elected after it needs responses from a third of them: from then on the earlier one can count
+//! only the rest, so its renewals end when its latest responses are too old.
 //!
-//! Two sets of witnesses prove nothing about each other. So a scheduler replaces those that it finds in the store only
-//! once no earlier one can count on them any more, and while a write is in doubt, each set that the store may hold has
-//! to vouch for it.
+//! Two different sets of witnesses prove nothing about each other. So a scheduler replaces the set that it finds in
+//! the store only once no earlier scheduler can rely on that set, and while the outcome of a write is unknown, each
+//! set that the store may hold has to confirm the scheduler.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -17,50 +18,52 @@
 
 use crate::{Scheduler, server::Server};
 
-/// Most witnesses: what each costs in the store and in calls, against how much the loss of one weighs.
+/// Most witnesses of a set. More cost more in the store and in calls; with fewer, the loss of one weighs more.
 const MOST: usize = 30;
-/// A new scheduler has heard by then what answers.
+/// Time after the election before the first choice. By then the reachable backend servers have responded.
 const FIRST_AFTER: Duration = Duration::from_millis(500);
-/// From one choice of witnesses to the next.
+/// Shortest time between two choices of witnesses.
 const CHOSEN_EVERY: Duration = Duration::from_millis(2000);
 
-/// Backend servers that witness who schedules, as the store holds them, each with its life.
+/// Record of the witnesses in the store, each with its incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WitnessRecord {
     #[serde(rename = "lives")]
     incarnations: BTreeMap<BackendServerId, Option<Incarnation>>,
 }
 
-/// Witnesses that are to be stored.
+/// Write of the witnesses to the store.
 #[derive(Debug, Clone)]
 pub struct WitnessWrite {
-    /// Who.
+    /// Witnesses to store.
     pub record: WitnessRecord,
-    /// The store's revision of those that they replace; 0 if there are none.
+    /// Revision in the store that the write replaces; 0 if there is none.
     pub replaces: Revision,
 }
 
-/// What a scheduler knows of witnesses.
+/// State that a scheduler keeps of witnesses.
 #[derive(Debug, Default)]
 pub(crate) struct Witnesses {
-    /// Earlier schedulers may count on these; `None` if nothing follows from them.
+    /// Witnesses that earlier schedulers may rely on; `None` if nothing can be concluded from them.
     earlier: Option<WitnessRecord>,
-    /// No earlier scheduler can count on what the store held at the election.
+    /// Whether no earlier scheduler can rely on the witnesses that the store held at the election.
     settled: bool,
-    /// Those that the store is known to have held last.
+    /// Witnesses that the store is known to have held last.
     held: Option<WitnessRecord>,
-    /// Those that it may hold in their place.
+    /// Witnesses of writes with unknown outcome, which the store may hold instead.
     unconfirmed_writes: Vec<WitnessRecord>,
     revision: Revision,
     chosen_at: Option<Moment>,
-    /// The life that answered last, and when the call was sent.
+    /// Incarnation that responded last, and when the call was sent, by backend server.
     answers: BTreeMap<BackendServerId, (Option<Incarnation>, Moment)>,
-    /// When the latest of them came. Calls are answered side by side, so they are not taken in by their times.
+    /// When the latest of the responses was received. Calls run concurrently, so responses are not processed in the
+    /// order of their times.
     latest: Moment,
 }
 
 impl WitnessRecord {
-    /// Whether more than two thirds of them fit: with a third of them elsewhere this cannot be.
+    /// Whether `fits` holds for more than two thirds of the witnesses, which is impossible if a third of them respond
+    /// to another scheduler.
     fn most(&self, fits: impl Fn(&BackendServerId, Option<Incarnation>) -> bool) -> bool {
         let fitting = self.incarnations.iter().filter(|(id, incarnation)| fits(id, **incarnation)).count();
         3 * fitting > 2 * self.incarnations.len()
@@ -72,12 +75,12 @@
         self.held.iter().chain(&self.unconfirmed_writes)
     }
 
-    /// Whether anything follows from an answer of a backend server.
+    /// Whether a response of a backend server matters.
     fn concern(&self, id: &BackendServerId) -> bool {
         self.earlier.iter().chain(self.may_be_held()).any(|record| record.incarnations.contains_key(id))
     }
 
-    /// Whether each set that the store may hold vouches for this scheduler by answers to calls sent since then.
+    /// Whether each set that the store may hold confirms this scheduler, by responses to calls sent since `since`.
     fn vouch(&self, since: Moment) -> bool {
         let answered = |id: &BackendServerId, incarnation| {
             self.answers.get(id).is_some_and(|(answering, sent)| *answering == incarnation && *sent >= since)
@@ -85,7 +88,7 @@
         self.held.is_some() && self.may_be_held().all(|record| record.most(answered))
     }
 
-    /// Whether so many have answered this scheduler that no earlier one can count most of them.
+    /// Whether so many witnesses have responded to this scheduler that no earlier one can count two thirds of them.
     fn outvote_earlier(&self) -> bool {
         let unheard = |id: &BackendServerId, _| !self.answers.contains_key(id);
         self.earlier.as_ref().is_some_and(|record| !record.incarnations.is_empty() && !record.most(unheard))
@@ -93,12 +96,12 @@
 }
 
 impl Scheduler {
-    /// Takes over the witnesses that the store has held since this scheduler was elected; `None` if it holds none.
-    /// `binding` tells whether every earlier scheduler that may renew leases still goes by them.
+    /// Restores the witnesses that the store has held since this scheduler was elected; `None` if it holds none.
+    /// `binding` tells whether every earlier scheduler that may still renew leases depends on them.
     pub fn restore_witnesses(&mut self, record: Option<WitnessRecord>, revision: Revision, binding: bool) {
         self.witnesses.settled = revision == Revision(0);
         if binding && revision == Revision(0) {
-            // Without witnesses in the store nobody may go on.
+            // Without witnesses in the store no earlier scheduler may continue.
             self.limit_earlier_leases(self.timing.lease_expiry(self.elected));
         }
         self.witnesses.earlier = record.clone().filter(|_| binding);
@@ -106,12 +109,13 @@
         self.witnesses.revision = revision;
     }
 
-    /// No earlier scheduler renews leases any more.
+    /// Records that no earlier scheduler renews leases any more.
     pub(crate) fn resolve_witnesses(&mut self) {
         self.witnesses.settled = true;
     }
 
-    /// A backend server has answered under this scheduler's fence, on a call sent at `sent`.
+    /// Records the response of a backend server that has accepted this scheduler's fencing token, to a call sent at
+    /// `sent`.
     pub(crate) fn record_witness_answer(
         &mut self,
         id: &BackendServerId,
@@ -138,8 +142,8 @@
         }
     }
 
-    /// The lease that a renewal or a start may carry now, for a scheduler that the store has confirmed up to
-    /// `confirmed`; `None` if it must carry none.
+    /// Returns the lease that a renewal or a start may grant now, if the store last confirmed the election up to
+    /// `confirmed`; `None` if none may be granted.
     pub fn lease_now(&self, confirmed: Moment, now: Moment) -> Option<Duration> {
         if now <= confirmed {
             return Some(self.timing.lease);
@@ -149,12 +153,13 @@
         (in_time && vouched()).then(|| self.timing.lease.min(self.timing.unconfirmed_lease))
     }
 
-    /// Whether a backend server is one of those that vouch for this scheduler.
+    /// Whether a backend server is one of this scheduler's witnesses.
     pub fn is_witness(&self, id: &BackendServerId) -> bool {
         self.witnesses.may_be_held().any(|record| record.incarnations.contains_key(id))
     }
 
-    /// The witnesses that should be stored now, if others than the store holds. From here on the store may hold them.
+    /// Returns the witnesses to store now, if the set in the store is to be replaced. From here on the store may hold
+    /// them.
     pub fn next_witness_write(&mut self, now: Moment) -> Option<WitnessWrite> {
         let over = now > self.elected + self.timing.unconfirmed_renewal;
         let early = now.since(self.elected) < FIRST_AFTER;
@@ -173,19 +178,21 @@
         Some(WitnessWrite { record, replaces: self.witnesses.revision })
     }
 
-    /// The store has taken witnesses, at `revision`: no other write that replaces the same can take effect.
+    /// Handles witnesses that were stored at `revision`: no other write that replaces the same revision can take
+    /// effect.
     pub fn witnesses_stored(&mut self, write: WitnessWrite, revision: Revision) {
         self.witnesses_found(Some(write.record), revision);
     }
 
-    /// The store holds these, and not those that were to be replaced: an earlier write of ours took effect after all.
+    /// Handles a conflict: the store holds these witnesses and not those to be replaced, since an earlier write of
+    /// this scheduler took effect after all.
     pub fn witnesses_found(&mut self, record: Option<WitnessRecord>, revision: Revision) {
         self.witnesses.held = record;
         self.witnesses.unconfirmed_writes.clear();
         self.witnesses.revision = revision;
     }
 
-    /// Backend servers that answer, of each availability zone in turn.
+    /// Chooses responsive backend servers, from each availability zone in turn.
     fn choose_witnesses(&self) -> WitnessRecord {
         let mut zones: BTreeMap<&AvailabilityZoneId, VecDeque<(&BackendServerId, &Server)>> = BTreeMap::new();
         for (id, server) in self.servers.iter().filter(|(_, server)| may_witness(server)) {
@@ -201,7 +208,8 @@
         WitnessRecord { incarnations }
     }
 
-    /// Whether those in the store are as good as a new choice: nearly all of them answer, and they are about as many.
+    /// Whether the set in the store is as good as a new one: at least four fifths of it are responsive in their
+    /// incarnations, and it has at least three quarters of the new size.
     fn witnesses_suffice(&self, new: &WitnessRecord) -> bool {
         let Some(held) = self.witnesses.held.as_ref().filter(|_| self.witnesses.unconfirmed_writes.is_empty()) else {
             return false;
