--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -32,7 +32,7 @@
 
 /// Most tasks whose progress goes into one batch, unless a single occurrence has more. Their progress takes some 40
 /// KB in the store's format, which a link of 10 Mbit/s transfers in 35 ms, far below the time limit of a write.
-const MOST_TASKS: usize = 500;
+const MAX_BATCH_TASKS: usize = 500;
 
 impl Scheduler {
     /// Whether progress is to be stored, including progress in flight.
@@ -52,7 +52,7 @@
         let free = self.pending_writes.iter().filter(|id| !self.writes_in_flight.contains(id));
         for entry in free.filter_map(|id| self.entry(id)).take(most) {
             tasks += entry.progress.groups.iter().map(Vec::len).sum::<usize>();
-            if tasks > MOST_TASKS && !writes.is_empty() {
+            if tasks > MAX_BATCH_TASKS && !writes.is_empty() {
                 break;
             }
             writes.push(entry);
--- a/crates/scheduler/src/health.rs
+++ b/crates/scheduler/src/health.rs
@@ -5,11 +5,11 @@
 
 /// Number of jobs whose tasks must have failed, with no completed work in between, for a backend server to be
 /// quarantined.
-const FAILED_JOBS: usize = 2;
+const QUARANTINE_FAILED_JOBS: usize = 2;
 /// Duration of a quarantine; afterwards one task is tried on the backend server.
-const QUARANTINE: Duration = Duration::from_secs(8);
+const QUARANTINE_DURATION: Duration = Duration::from_secs(8);
 /// How long a failure makes a backend server suspect, unless work is completed there earlier.
-const DOUBT: Duration = Duration::from_secs(6);
+const SUSPECT_DURATION: Duration = Duration::from_secs(6);
 
 /// Health of one backend server.
 #[derive(Debug, Default)]
@@ -32,17 +32,17 @@
             self.failed.push(job);
         }
         self.last_failure = Some(now);
-        let aside = self.failed.len() >= FAILED_JOBS;
-        if aside {
-            self.quarantined_until = Some(now + QUARANTINE);
+        let is_quarantined = self.failed.len() >= QUARANTINE_FAILED_JOBS;
+        if is_quarantined {
+            self.quarantined_until = Some(now + QUARANTINE_DURATION);
         }
-        aside
+        is_quarantined
     }
 
     /// Whether a task failed here recently and no work was completed since.
     pub(crate) fn is_suspect(&self, now: Moment) -> bool {
-        let lately = self.last_failure.is_some_and(|at| now.since(at) < DOUBT);
-        lately && !self.failed.is_empty()
+        let is_recent = self.last_failure.is_some_and(|at| now.since(at) < SUSPECT_DURATION);
+        is_recent && !self.failed.is_empty()
     }
 
     /// Whether time alone can change how far it is trusted.
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -28,7 +28,7 @@
 };
 
 /// Shortest time between two checks of leases and stops; well below the times that they check.
-const LOOK_EVERY: Duration = Duration::from_millis(90);
+const CHECK_INTERVAL: Duration = Duration::from_millis(90);
 
 /// Sizes of the scheduler's state, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -100,7 +100,7 @@
     /// Whether something has happened that may let a group start.
     pub(crate) plan_requested: bool,
     /// When leases and stops were last checked.
-    last_look: Moment,
+    last_check: Moment,
     /// Occurrences whose current progress is not stored yet.
     pub(crate) pending_writes: PendingWrites,
     /// Occurrences with a write in flight.
@@ -149,7 +149,7 @@
             fleet_speed: FleetSpeed::default(),
             stop_durations: StopDurations::initial(),
             plan_requested: false,
-            last_look: elected,
+            last_check: elected,
             servers: BTreeMap::new(),
             pending_writes: PendingWrites::default(),
             writes_in_flight: BTreeSet::new(),
@@ -219,14 +219,14 @@
         if std::mem::replace(&mut entry.cancelled, true) {
             return;
         }
-        let over_before = entry.ended_at.replace(now).is_some();
+        let had_ended = entry.ended_at.replace(now).is_some();
         self.changed.extend(entry.occurrence_ids());
         self.plan_requested = true;
         log::info!("job={id} event=cancelled fence={}", self.fence);
         for name in self.group_names(id) {
             self.stop_group(name, StopReason::Cancelled, now);
         }
-        if !over_before {
+        if !had_ended {
             self.observe_end(id, JobState::Cancelled, now);
         }
     }
@@ -266,10 +266,10 @@
 
     /// Handles the passing of time: lapses runs whose lease has expired, repeats stops, and detects stalled jobs.
     pub fn tick(&mut self, now: Moment) {
-        if now.since(self.last_look) < LOOK_EVERY {
+        if now.since(self.last_check) < CHECK_INTERVAL {
             return;
         }
-        self.last_look = now;
+        self.last_check = now;
         let over: Vec<BackendServerId> = self
             .servers
             .iter()
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -18,11 +18,11 @@
 /// 25 ms on the platform's test bench. A partitioned one is removed three heartbeats after its last (1.5 s each by
 /// the platform's rules), so at least 3 s later, and the call that it leaves without a response is detected within
 /// 2.5 s.
-const LEAVES_WITHIN: Duration = Duration::from_millis(300);
+const MAX_DEPARTURE_SKEW: Duration = Duration::from_millis(300);
 
 /// Longest time between two responses of a reachable backend server; an idle one responds after 2 s. Below the 3 s
 /// after which a partitioned one can be removed from the list.
-const HEARD_WITHIN: Duration = Duration::from_millis(2500);
+const MAX_RESPONSE_INTERVAL: Duration = Duration::from_millis(2500);
 
 /// Address of a backend server, at which one incarnation follows another.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
@@ -255,9 +255,9 @@
         else {
             return false;
         };
-        let heard_lately = silent.since(heard) < HEARD_WITHIN;
-        let apart = silent.since(unlisted).max(unlisted.since(silent));
-        self.announced() && heard_lately && !self.listed && apart < LEAVES_WITHIN
+        let responded_recently = silent.since(heard) < MAX_RESPONSE_INTERVAL;
+        let skew = silent.since(unlisted).max(unlisted.since(silent));
+        self.announced() && responded_recently && !self.listed && skew < MAX_DEPARTURE_SKEW
     }
 
     /// Whether its free capacity can change with time alone.
--- a/crates/scheduler/src/timing.rs
+++ b/crates/scheduler/src/timing.rs
@@ -61,10 +61,10 @@
     /// Returns when a lease that was last renewed by a call sent at `sent` has expired, on any backend server's
     /// clock.
     pub fn lease_expiry(&self, sent: Moment) -> Moment {
-        self.over(self.lease, sent)
+        self.lease_end(self.lease, sent)
     }
 
-    fn over(&self, lease: Duration, sent: Moment) -> Moment {
+    fn lease_end(&self, lease: Duration, sent: Moment) -> Moment {
         sent + lease.scaled(1.0 / SLOWEST_CLOCK) + self.lease_slack
     }
 
@@ -78,6 +78,6 @@
     /// can count two thirds of them by later calls. Until the election an earlier one may have granted full leases.
     pub fn outvoted_lease_expiry(&self, elected: Moment, heard: Moment) -> Moment {
         let unconfirmed = self.lease.min(self.unconfirmed_lease);
-        self.lease_expiry(elected).max(self.over(unconfirmed, heard + self.witness_window))
+        self.lease_expiry(elected).max(self.lease_end(unconfirmed, heard + self.witness_window))
     }
 }
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -19,12 +19,12 @@
 
 /// Time after the election before the first record. By then a new scheduler has reached what responds, and only the
 /// rest is worth a write.
-const FIRST_NOTE_AFTER: Duration = Duration::from_millis(1000);
+const FIRST_RECORD_DELAY: Duration = Duration::from_millis(1000);
 /// Time without a response after which a backend server that responded before is recorded. One whose connection broke
 /// responds again sooner, and must not wait for a record to be withdrawn.
-const NOTED_AFTER: Duration = Duration::from_millis(1000);
+const RECORD_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1000);
 /// Time between two records. The wait of the next scheduler is too long by at most this.
-const NOTE_EVERY: Duration = Duration::from_millis(1000);
+const RECORD_INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Record of the backend servers that a scheduler could not reach, with the longest time that leases of earlier
 /// schedulers remain valid there.
@@ -123,8 +123,8 @@
     /// Returns the record to store now, if any. From here on the backend servers that it names count as named,
     /// whatever the outcome of the write.
     pub fn next_unreachable_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
-        let new = now.since(self.elected) < FIRST_NOTE_AFTER;
-        let fresh = self.unreachable.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
+        let new = now.since(self.elected) < FIRST_RECORD_DELAY;
+        let fresh = self.unreachable.noted_at.is_some_and(|at| now.since(at) < RECORD_INTERVAL);
         let record = UnreachableRecord { left_ms: self.unreachable_leases(now) };
         let due = !record.left_ms.is_empty() && !new && !fresh;
         if !due && !self.unreachable.is_to_be_withdrawn() {
@@ -141,7 +141,8 @@
     fn unreachable_leases(&self, now: Moment) -> BTreeMap<BackendServerId, u64> {
         let left = |id: &BackendServerId| {
             let server = self.servers.get(id)?;
-            let lost_just_now = server.contact.failing_since.is_some_and(|since| now.since(since) < NOTED_AFTER);
+            let lost_just_now =
+                server.contact.failing_since.is_some_and(|since| now.since(since) < RECORD_UNRESPONSIVE_AFTER);
             let named = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
             named.then(|| (id.clone(), server.lease_expiry.since(now).millis()))
         };
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -19,11 +19,11 @@
 use crate::{Scheduler, server::Server};
 
 /// Most witnesses of a set. More cost more in the store and in calls; with fewer, the loss of one weighs more.
-const MOST: usize = 30;
+const MAX_WITNESSES: usize = 30;
 /// Time after the election before the first choice. By then the reachable backend servers have responded.
-const FIRST_AFTER: Duration = Duration::from_millis(500);
+const FIRST_CHOICE_DELAY: Duration = Duration::from_millis(500);
 /// Shortest time between two choices of witnesses.
-const CHOSEN_EVERY: Duration = Duration::from_millis(2000);
+const CHOICE_INTERVAL: Duration = Duration::from_millis(2000);
 
 /// Record of the witnesses in the store, each with its incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -162,8 +162,8 @@
     /// them.
     pub fn next_witness_write(&mut self, now: Moment) -> Option<WitnessWrite> {
         let over = now > self.elected + self.timing.unconfirmed_renewal;
-        let early = now.since(self.elected) < FIRST_AFTER;
-        let fresh = self.witnesses.chosen_at.is_some_and(|at| now.since(at) < CHOSEN_EVERY);
+        let early = now.since(self.elected) < FIRST_CHOICE_DELAY;
+        let fresh = self.witnesses.chosen_at.is_some_and(|at| now.since(at) < CHOICE_INTERVAL);
         if early || fresh || !(over || self.witnesses.settled) {
             return None;
         }
@@ -201,8 +201,8 @@
             }
         }
         let mut incarnations = BTreeMap::new();
-        while incarnations.len() < MOST && zones.values().any(|left| !left.is_empty()) {
-            let next = zones.values_mut().filter_map(VecDeque::pop_front).take(MOST - incarnations.len());
+        while incarnations.len() < MAX_WITNESSES && zones.values().any(|left| !left.is_empty()) {
+            let next = zones.values_mut().filter_map(VecDeque::pop_front).take(MAX_WITNESSES - incarnations.len());
             incarnations.extend(next.map(|(id, server)| (id.clone(), server.incarnation)));
         }
         WitnessRecord { incarnations }
