--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -31,7 +31,7 @@
         server.update_info(info);
         server.evacuated = evacuated;
         self.plan_requested = true;
-        self.stop_oversized_starts(&id, now);
+        self.stop_unordered_if_shrunk(&id, now);
         if draining && !was_draining {
             log::info!("server={id} event=draining fence={}", self.fence);
             self.stop_before_departure(&id, now);
@@ -40,7 +40,7 @@
 
     /// Stops runs that were placed on a backend server and not ordered yet, if its capacity has shrunk below what is
     /// placed there. They are then placed anew.
-    fn stop_oversized_starts(&mut self, id: &BackendServerId, now: Moment) {
+    fn stop_unordered_if_shrunk(&mut self, id: &BackendServerId, now: Moment) {
         if self.servers.get(id).is_some_and(Server::is_over_capacity) {
             self.stop_unsent(id, StopReason::ServerShrunk, now);
         }
@@ -53,7 +53,7 @@
             server.listed = false;
             server.contact.unlisted_at = Some(now);
         }
-        self.check_departed(id, now);
+        self.check_departure(id, now);
     }
 
     /// Ends a backend server: its process has ended, or another incarnation responds at its address under another id.
@@ -131,7 +131,7 @@
         if busy {
             self.unreachable.add_pending(id);
         }
-        self.check_departed(id, now);
+        self.check_departure(id, now);
     }
 
     /// Marks the occurrences placed on a backend server as changed, since whether it responds has changed and thus
@@ -142,7 +142,7 @@
     }
 
     /// Ends a backend server that has shut down. Its runs ended with it, so that no lease has to be waited for.
-    fn check_departed(&mut self, id: &BackendServerId, now: Moment) {
+    fn check_departure(&mut self, id: &BackendServerId, now: Moment) {
         if self.servers.get(id).is_some_and(Server::has_departed) {
             log::info!("server={id} event=left");
             self.server_ended(id, now);
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -54,10 +54,10 @@
         }
         self.stop_orphaned_runs(id, listing, now);
         for running in &listing.running {
-            self.confirm(id, running, now);
+            self.confirm_run(id, running, now);
         }
         if !listing.more_completions {
-            self.detect_lost_runs(id, listing, sent, now);
+            self.remove_lost_runs(id, listing, sent, now);
         }
         self.update_isolated_retries(id);
         self.throttle_best_effort(id, now);
@@ -67,7 +67,7 @@
     }
 
     /// Confirms that a run is where it was placed.
-    fn confirm(&mut self, id: &BackendServerId, running: &RunningTask, now: Moment) {
+    fn confirm_run(&mut self, id: &BackendServerId, running: &RunningTask, now: Moment) {
         let Some(name) = self.group_of(running.task) else { return };
         if self.progress_of(name).run != running.run {
             return;
@@ -92,23 +92,23 @@
 
     /// Stops orphaned runs. Their capacity counts as taken until they are no longer listed.
     fn stop_orphaned_runs(&mut self, id: &BackendServerId, listing: &Listing, now: Moment) {
-        let unwanted: Vec<(TaskId, RunNumber)> = listing
+        let orphaned: Vec<(TaskId, RunNumber)> = listing
             .running
             .iter()
-            .filter(|running| !self.is_wanted(id, running))
+            .filter(|running| !self.is_expected(id, running))
             .map(|running| (running.task, running.run))
             .collect();
         let retry = self.timing.stop_retry;
-        let server = self.servers.get_mut(id).expect("the caller has looked");
-        if unwanted.is_empty() && server.orphaned_runs.is_empty() {
+        let server = self.servers.get_mut(id).expect("the caller checked that the server is tracked");
+        if orphaned.is_empty() && server.orphaned_runs.is_empty() {
             return;
         }
-        let whole = server.info.as_ref().map(|info| info.capacity).unwrap_or_default();
+        let full_capacity = server.info.as_ref().map(|info| info.capacity).unwrap_or_default();
         let mut before = std::mem::take(&mut server.orphaned_runs);
         let mut orphaned_runs = BTreeMap::new();
-        for (task, run) in unwanted {
+        for (task, run) in orphaned {
             // A run of a job that is no longer tracked may take the whole capacity.
-            let need = self.group_of(task).map_or(whole, |name| self.step(name).counted_resources());
+            let need = self.group_of(task).map_or(full_capacity, |name| self.step(name).counted_resources());
             let orphaned_run = match before.remove(&task) {
                 Some(orphaned_run) if orphaned_run.run == run && orphaned_run.stop_sent + retry > now => orphaned_run,
                 _ => {
@@ -119,17 +119,17 @@
             };
             orphaned_runs.insert(task, orphaned_run);
         }
-        self.server_mut(id).expect("the caller has looked").orphaned_runs = orphaned_runs;
+        self.server_mut(id).expect("the caller checked that the server is tracked").orphaned_runs = orphaned_runs;
     }
 
-    fn is_wanted(&self, id: &BackendServerId, running: &RunningTask) -> bool {
+    fn is_expected(&self, id: &BackendServerId, running: &RunningTask) -> bool {
         let Some(name) = self.group_of(running.task) else { return false };
         let placed = |member: &Member| member.index == running.task.index && member.server == *id;
         self.progress_of(name).run == running.run && self.group(name).members.iter().any(placed)
     }
 
     /// Removes runs that the listing lacks although it would have to show them if they still ran.
-    fn detect_lost_runs(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
+    fn remove_lost_runs(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         let server = &self.servers[id];
         let listed = |task: &TaskId| listing.running.iter().any(|running| running.task == *task);
         let missing: Vec<TaskId> = server.members.keys().filter(|task| !listed(task)).copied().collect();
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -14,7 +14,7 @@
 impl Scheduler {
     /// Processes a completion unless it was received before. It is acknowledged once the store holds its effect.
     pub(crate) fn receive_completion(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
-        let server = self.servers.get_mut(id).expect("the caller has looked");
+        let server = self.servers.get_mut(id).expect("the caller checked that the server is tracked");
         if end.serial <= server.highest_completion {
             if end.serial <= server.acknowledged_serial {
                 // Redelivered after it was acknowledged: either the acknowledging call was lost, or this is another
@@ -26,11 +26,11 @@
         }
         server.highest_completion = end.serial;
         if let Some(name) = self.group_of(end.task) {
-            self.apply_end(name, id, end, now);
+            self.apply_completion(name, id, end, now);
         }
         let occurrence = end.task.occurrence;
         let stored_with = self.known_occurrence(occurrence).map(|state| (occurrence, state.version));
-        let server = self.servers.get_mut(id).expect("ends remove no backend server");
+        let server = self.servers.get_mut(id).expect("completions remove no backend server");
         server.pending_completions.push_back(PendingCompletion { serial: end.serial, stored_with });
         if let Some(state) = self.known_occurrence_mut(occurrence)
             && !state.completions_from.contains(id)
@@ -39,14 +39,14 @@
         }
     }
 
-    fn apply_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
+    fn apply_completion(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
         if end.kind == CompletionKind::Failed {
             // It counts even if the run was abandoned before, since a failed run has used up an attempt.
             self.apply_failure(name, id, end.run, now);
         }
         let current = self.progress_of(name).run == end.run && self.member_mut(name, end.task.index, id).is_some();
         if !current {
-            self.apply_late_end(name, id, end, now);
+            self.apply_late_completion(name, id, end, now);
             return;
         }
         log::info!(
@@ -72,7 +72,7 @@
     }
 
     /// Applies a completion of a run that was no longer tracked: if it had done the work, the work isn't repeated.
-    fn apply_late_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
+    fn apply_late_completion(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
         if end.kind != CompletionKind::Done || self.progress_of(name).done {
             return;
         }
@@ -100,7 +100,7 @@
                 name.step
             );
         }
-        self.note_end(name.occurrence.job, now);
+        self.record_job_end(name.occurrence.job, now);
     }
 
     /// Counts a failed run, once, against the task's attempts and the backend server.
@@ -121,8 +121,8 @@
         self.change(name, |progress| progress.failed_runs.push(run));
         let queue = &self.jobs[&job].job.queue;
         let attempts = self.policy.queues.get(queue).map_or(u32::MAX, |queue| queue.attempts);
-        let spent = self.progress_of(name).failed_runs.len();
-        if spent >= attempts as usize && !self.progress_of(name).done && !self.jobs[&job].cancelled {
+        let used_attempts = self.progress_of(name).failed_runs.len();
+        if used_attempts >= attempts as usize && !self.progress_of(name).done && !self.jobs[&job].cancelled {
             self.fail_occurrence(name, "attempts_used", now);
         }
     }
@@ -138,7 +138,7 @@
         );
         self.observations.push(Observation::TaskAbandoned { why });
         self.occurrence_mut(name.occurrence).progress.failed = true;
-        self.note_end(job, now);
+        self.record_job_end(job, now);
         let others = self.group_names(job);
         for other in others.into_iter().filter(|other| other.occurrence == name.occurrence) {
             self.stop_group(other, StopReason::Hopeless, now);
@@ -146,7 +146,7 @@
     }
 
     /// Records the end of a job once its last occurrence has ended.
-    fn note_end(&mut self, job: JobId, now: Moment) {
+    fn record_job_end(&mut self, job: JobId, now: Moment) {
         let entry = self.jobs.get_mut(&job).expect("its group was just changed");
         if entry.ended_at.is_some() || !entry.occurrences.iter().all(Occurrence::is_finished) {
             return;
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -27,7 +27,7 @@
     }
 
     pub(crate) fn occurrence_mut(&mut self, id: OccurrenceId) -> &mut Occurrence {
-        let entry = self.jobs.get_mut(&id.job).expect("groups are named only while their job is known");
+        let entry = self.jobs.get_mut(&id.job).expect("a group id is used only while its job is tracked");
         &mut entry.occurrences[id.number as usize]
     }
 
@@ -88,7 +88,7 @@
         let placed: Vec<Placement> = servers.iter().map(|(index, id)| self.placed(*index, id)).collect();
         let members = placed.iter().map(Member::planned).collect();
         for (index, id) in servers {
-            let server = self.server_mut(id).expect("only known backend servers are chosen");
+            let server = self.server_mut(id).expect("only tracked backend servers are chosen");
             server.used.add(&need);
             server.members.insert(name.task(*index), run);
         }
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -69,7 +69,7 @@
                 member.confirmed_at = Some(now);
                 self.record_run_started(name, server);
             }
-            StartReply::Unknown => self.start_unanswered(name, task.index, server, now),
+            StartReply::Unknown => self.retry_or_abandon_start(name, task.index, server, now),
             _ => self.start_refused(name, task, server, reply, now),
         }
     }
@@ -132,7 +132,7 @@
 
     /// Retries a start without a response, which is safe since a start is idempotent, and abandons it after some
     /// attempts.
-    fn start_unanswered(&mut self, name: GroupId, index: u32, server: &BackendServerId, now: Moment) {
+    fn retry_or_abandon_start(&mut self, name: GroupId, index: u32, server: &BackendServerId, now: Moment) {
         // An order to an evacuated availability zone, or to a backend server whose capacity has shrunk, is not
         // repeated: the first may have had no effect. Nor is one to an unresponsive backend server: each order would
         // prolong the lease that has to be waited for if it is lost.
