--- a/crates/scheduler/src/pending_writes.rs
+++ b/crates/scheduler/src/pending_writes.rs
@@ -11,26 +11,26 @@
 /// for starts that wait for their write.
 #[derive(Debug, Default)]
 pub(crate) struct PendingWrites {
-    by_turn: BTreeMap<u64, OccurrenceId>,
-    turns: BTreeMap<OccurrenceId, u64>,
-    next: u64,
+    by_position: BTreeMap<u64, OccurrenceId>,
+    positions: BTreeMap<OccurrenceId, u64>,
+    next_position: u64,
 }
 
 impl PendingWrites {
     /// Adds an occurrence that has changed. One that already waits keeps its position.
     pub(crate) fn insert(&mut self, id: OccurrenceId) {
-        if self.turns.contains_key(&id) {
+        if self.positions.contains_key(&id) {
             return;
         }
-        self.turns.insert(id, self.next);
-        self.by_turn.insert(self.next, id);
-        self.next += 1;
+        self.positions.insert(id, self.next_position);
+        self.by_position.insert(self.next_position, id);
+        self.next_position += 1;
     }
 
     /// Removes an occurrence.
     pub(crate) fn remove(&mut self, id: OccurrenceId) {
-        if let Some(turn) = self.turns.remove(&id) {
-            self.by_turn.remove(&turn);
+        if let Some(position) = self.positions.remove(&id) {
+            self.by_position.remove(&position);
         }
     }
 
@@ -42,14 +42,14 @@
 
     /// Returns the occurrences, the one that has waited longest first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = OccurrenceId> {
-        self.by_turn.values().copied()
+        self.by_position.values().copied()
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.turns.len()
+        self.positions.len()
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.turns.is_empty()
+        self.positions.is_empty()
     }
 }
