--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -16,7 +16,7 @@
     fn check_isolated_retries(&self) -> Result<(), String> {
         match self.servers.keys().find(|id| self.isolated_retries.get(*id).copied() != self.isolated_retry_on(id)) {
             Some(id) => Err(format!(
-                "{id}: kept trial: {:?}, anew: {:?}",
+                "{id}: isolated retry: kept {:?}, recomputed {:?}",
                 self.isolated_retries.get(id),
                 self.isolated_retry_on(id)
             )),
@@ -37,7 +37,7 @@
     fn check_acknowledged(&mut self) -> Result<(), String> {
         for id in self.servers.keys().cloned().collect::<Vec<_>>() {
             if self.acknowledge_stored(&id) {
-                return Err(format!("{id}: an end is stored and was not acknowledged"));
+                return Err(format!("{id}: a completion is stored and was not released for acknowledgement"));
             }
         }
         Ok(())
