--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -47,51 +47,53 @@
     /// Witnesses that earlier schedulers may rely on; `None` if nothing can be concluded from them.
     earlier: Option<WitnessRecord>,
     /// Whether no earlier scheduler can rely on the witnesses that the store held at the election.
-    settled: bool,
+    earlier_resolved: bool,
     /// Witnesses that the store is known to have held last.
-    held: Option<WitnessRecord>,
+    stored: Option<WitnessRecord>,
     /// Witnesses of writes with unknown outcome, which the store may hold instead.
     unconfirmed_writes: Vec<WitnessRecord>,
     revision: Revision,
     chosen_at: Option<Moment>,
     /// Incarnation that responded last, and when the call was sent, by backend server.
-    answers: BTreeMap<BackendServerId, (Option<Incarnation>, Moment)>,
+    responses: BTreeMap<BackendServerId, (Option<Incarnation>, Moment)>,
     /// When the latest of the responses was received. Calls run concurrently, so responses are not processed in the
     /// order of their times.
-    latest: Moment,
+    latest_response: Moment,
 }
 
 impl WitnessRecord {
     /// Whether `fits` holds for more than two thirds of the witnesses, which is impossible if a third of them respond
     /// to another scheduler.
-    fn most(&self, fits: impl Fn(&BackendServerId, Option<Incarnation>) -> bool) -> bool {
+    fn holds_for_most(&self, fits: impl Fn(&BackendServerId, Option<Incarnation>) -> bool) -> bool {
         let fitting = self.incarnations.iter().filter(|(id, incarnation)| fits(id, **incarnation)).count();
         3 * fitting > 2 * self.incarnations.len()
     }
 }
 
 impl Witnesses {
-    fn may_be_held(&self) -> impl Iterator<Item = &WitnessRecord> {
-        self.held.iter().chain(&self.unconfirmed_writes)
+    fn possibly_stored(&self) -> impl Iterator<Item = &WitnessRecord> {
+        self.stored.iter().chain(&self.unconfirmed_writes)
     }
 
     /// Whether a response of a backend server matters.
-    fn concern(&self, id: &BackendServerId) -> bool {
-        self.earlier.iter().chain(self.may_be_held()).any(|record| record.incarnations.contains_key(id))
+    fn is_relevant(&self, id: &BackendServerId) -> bool {
+        self.earlier.iter().chain(self.possibly_stored()).any(|record| record.incarnations.contains_key(id))
     }
 
     /// Whether each set that the store may hold confirms this scheduler, by responses to calls sent since `since`.
-    fn vouch(&self, since: Moment) -> bool {
-        let answered = |id: &BackendServerId, incarnation| {
-            self.answers.get(id).is_some_and(|(answering, sent)| *answering == incarnation && *sent >= since)
+    fn have_confirmed_since(&self, since: Moment) -> bool {
+        let has_responded = |id: &BackendServerId, incarnation| {
+            self.responses.get(id).is_some_and(|(answering, sent)| *answering == incarnation && *sent >= since)
         };
-        self.held.is_some() && self.may_be_held().all(|record| record.most(answered))
+        self.stored.is_some() && self.possibly_stored().all(|record| record.holds_for_most(has_responded))
     }
 
     /// Whether so many witnesses have responded to this scheduler that no earlier one can count two thirds of them.
-    fn outvote_earlier(&self) -> bool {
-        let unheard = |id: &BackendServerId, _| !self.answers.contains_key(id);
-        self.earlier.as_ref().is_some_and(|record| !record.incarnations.is_empty() && !record.most(unheard))
+    fn outvotes_earlier(&self) -> bool {
+        let has_not_responded = |id: &BackendServerId, _| !self.responses.contains_key(id);
+        self.earlier
+            .as_ref()
+            .is_some_and(|record| !record.incarnations.is_empty() && !record.holds_for_most(has_not_responded))
     }
 }
 
@@ -99,19 +101,19 @@
     /// Restores the witnesses that the store has held since this scheduler was elected; `None` if it holds none.
     /// `binding` tells whether every earlier scheduler that may still renew leases depends on them.
     pub fn restore_witnesses(&mut self, record: Option<WitnessRecord>, revision: Revision, binding: bool) {
-        self.witnesses.settled = revision == Revision(0);
+        self.witnesses.earlier_resolved = revision == Revision(0);
         if binding && revision == Revision(0) {
             // Without witnesses in the store no earlier scheduler may continue.
             self.limit_earlier_leases(self.timing.lease_expiry(self.elected));
         }
         self.witnesses.earlier = record.clone().filter(|_| binding);
-        self.witnesses.held = record;
+        self.witnesses.stored = record;
         self.witnesses.revision = revision;
     }
 
     /// Records that no earlier scheduler renews leases any more.
     pub(crate) fn resolve_witnesses(&mut self) {
-        self.witnesses.settled = true;
+        self.witnesses.earlier_resolved = true;
     }
 
     /// Records the response of a backend server that has accepted this scheduler's fencing token, to a call sent at
@@ -123,16 +125,16 @@
         sent: Moment,
         now: Moment,
     ) {
-        if !self.witnesses.concern(id) {
+        if !self.witnesses.is_relevant(id) {
             return;
         }
-        self.witnesses.latest = self.witnesses.latest.max(now);
-        let heard = self.witnesses.answers.entry(id.clone()).or_insert((incarnation, sent));
-        *heard = if heard.0 == incarnation { (incarnation, heard.1.max(sent)) } else { (incarnation, sent) };
-        if self.witnesses.outvote_earlier() {
+        self.witnesses.latest_response = self.witnesses.latest_response.max(now);
+        let response = self.witnesses.responses.entry(id.clone()).or_insert((incarnation, sent));
+        *response = if response.0 == incarnation { (incarnation, response.1.max(sent)) } else { (incarnation, sent) };
+        if self.witnesses.outvotes_earlier() {
             self.witnesses.earlier = None;
-            self.witnesses.settled = true;
-            let outvoted = self.witnesses.latest;
+            self.witnesses.earlier_resolved = true;
+            let outvoted = self.witnesses.latest_response;
             log::info!(
                 "event=earlier_outvoted fence={} after_ms={}",
                 self.fence,
@@ -149,25 +151,25 @@
             return Some(self.timing.lease);
         }
         let in_time = now <= confirmed + self.timing.unconfirmed_renewal;
-        let vouched = || self.witnesses.vouch(now - self.timing.witness_window);
-        (in_time && vouched()).then(|| self.timing.lease.min(self.timing.unconfirmed_lease))
+        let confirmed_by_witnesses = || self.witnesses.have_confirmed_since(now - self.timing.witness_window);
+        (in_time && confirmed_by_witnesses()).then(|| self.timing.lease.min(self.timing.unconfirmed_lease))
     }
 
     /// Whether a backend server is one of this scheduler's witnesses.
     pub fn is_witness(&self, id: &BackendServerId) -> bool {
-        self.witnesses.may_be_held().any(|record| record.incarnations.contains_key(id))
+        self.witnesses.possibly_stored().any(|record| record.incarnations.contains_key(id))
     }
 
     /// Returns the witnesses to store now, if the set in the store is to be replaced. From here on the store may hold
     /// them.
     pub fn next_witness_write(&mut self, now: Moment) -> Option<WitnessWrite> {
-        let over = now > self.elected + self.timing.unconfirmed_renewal;
-        let early = now.since(self.elected) < FIRST_CHOICE_DELAY;
-        let fresh = self.witnesses.chosen_at.is_some_and(|at| now.since(at) < CHOICE_INTERVAL);
-        if early || fresh || !(over || self.witnesses.settled) {
+        let earlier_expired = now > self.elected + self.timing.unconfirmed_renewal;
+        let too_early = now.since(self.elected) < FIRST_CHOICE_DELAY;
+        let is_recent = self.witnesses.chosen_at.is_some_and(|at| now.since(at) < CHOICE_INTERVAL);
+        if too_early || is_recent || !(earlier_expired || self.witnesses.earlier_resolved) {
             return None;
         }
-        self.witnesses.settled = true;
+        self.witnesses.earlier_resolved = true;
         self.witnesses.earlier = None;
         self.witnesses.chosen_at = Some(now);
         let record = self.choose_witnesses();
@@ -187,7 +189,7 @@
     /// Handles a conflict: the store holds these witnesses and not those to be replaced, since an earlier write of
     /// this scheduler took effect after all.
     pub fn witnesses_found(&mut self, record: Option<WitnessRecord>, revision: Revision) {
-        self.witnesses.held = record;
+        self.witnesses.stored = record;
         self.witnesses.unconfirmed_writes.clear();
         self.witnesses.revision = revision;
     }
@@ -211,14 +213,15 @@
     /// Whether the set in the store is as good as a new one: at least four fifths of it are responsive in their
     /// incarnations, and it has at least three quarters of the new size.
     fn witnesses_suffice(&self, new: &WitnessRecord) -> bool {
-        let Some(held) = self.witnesses.held.as_ref().filter(|_| self.witnesses.unconfirmed_writes.is_empty()) else {
+        let Some(stored) = self.witnesses.stored.as_ref().filter(|_| self.witnesses.unconfirmed_writes.is_empty())
+        else {
             return false;
         };
-        let good = |(id, incarnation): &(&BackendServerId, &Option<Incarnation>)| {
+        let is_usable = |(id, incarnation): &(&BackendServerId, &Option<Incarnation>)| {
             self.servers.get(*id).is_some_and(|server| may_witness(server) && server.incarnation == **incarnation)
         };
-        let good = held.incarnations.iter().filter(good).count();
-        5 * good >= 4 * held.incarnations.len() && 4 * held.incarnations.len() >= 3 * new.incarnations.len()
+        let usable = stored.incarnations.iter().filter(is_usable).count();
+        5 * usable >= 4 * stored.incarnations.len() && 4 * stored.incarnations.len() >= 3 * new.incarnations.len()
     }
 }
 
