--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -48,50 +48,50 @@
 #[derive(Debug, Default)]
 pub(crate) struct Unreachable {
     /// Unreachable backend servers that may run something.
-    waiting: BTreeSet<BackendServerId>,
+    pending: BTreeSet<BackendServerId>,
     /// Backend servers that the record in the store may name.
-    named: BTreeSet<BackendServerId>,
+    recorded: BTreeSet<BackendServerId>,
     /// When leases expire, by an earlier scheduler's record.
-    noted_over: BTreeMap<BackendServerId, Moment>,
+    recorded_expiry: BTreeMap<BackendServerId, Moment>,
     /// When the record in the store was made.
-    noted_at: Option<Moment>,
+    recorded_at: Option<Moment>,
     revision: Revision,
 }
 
 impl Unreachable {
     /// Returns when every lease of earlier schedulers has expired; `by_election` is the bound without a record.
     pub(crate) fn lease_expiry_of(&self, id: &BackendServerId, by_election: Moment) -> Moment {
-        self.noted_over.get(id).map_or(by_election, |noted| by_election.min(*noted))
+        self.recorded_expiry.get(id).map_or(by_election, |recorded| by_election.min(*recorded))
     }
 
     /// Adds a backend server that is unreachable and may run something.
     pub(crate) fn add_pending(&mut self, id: &BackendServerId) {
-        self.waiting.insert(id.clone());
+        self.pending.insert(id.clone());
     }
 
     /// Removes a backend server that has responded or is no longer tracked.
     pub(crate) fn remove_pending(&mut self, id: &BackendServerId) {
-        self.waiting.remove(id);
+        self.pending.remove(id);
     }
 
     /// Whether the record in the store may name a backend server.
     pub(crate) fn is_recorded(&self, id: &BackendServerId) -> bool {
-        self.named.contains(id)
+        self.recorded.contains(id)
     }
 
     /// Whether the record in the store may name a backend server that has been reached.
-    fn is_to_be_withdrawn(&self) -> bool {
-        self.named.iter().any(|id| !self.waiting.contains(id))
+    fn needs_withdrawal(&self) -> bool {
+        self.recorded.iter().any(|id| !self.pending.contains(id))
     }
 }
 
 impl Scheduler {
     /// Restores the record of an earlier scheduler. Must be called before anything else is restored.
     pub fn restore_unreachable(&mut self, record: &UnreachableRecord, revision: Revision) {
-        let over = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
-        self.unreachable.noted_over = record.left_ms.iter().map(over).collect();
-        self.unreachable.named = record.left_ms.keys().cloned().collect();
-        self.unreachable.noted_at = Some(self.elected);
+        let expiry = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
+        self.unreachable.recorded_expiry = record.left_ms.iter().map(expiry).collect();
+        self.unreachable.recorded = record.left_ms.keys().cloned().collect();
+        self.unreachable.recorded_at = Some(self.elected);
         self.unreachable.revision = revision;
     }
 
@@ -107,11 +107,11 @@
         self.limit_earlier_leases(self.timing.lease_expiry(ended));
     }
 
-    /// Lowers the bound on the leases of earlier schedulers to `over`.
-    pub(crate) fn limit_earlier_leases(&mut self, over: Moment) {
-        self.earlier_lease_expiry = self.earlier_lease_expiry.min(over);
+    /// Lowers the bound on the leases of earlier schedulers to `expiry`.
+    pub(crate) fn limit_earlier_leases(&mut self, expiry: Moment) {
+        self.earlier_lease_expiry = self.earlier_lease_expiry.min(expiry);
         for server in self.servers.values_mut().filter(|server| !server.has_reported) {
-            server.lease_expiry = server.lease_expiry.min(over);
+            server.lease_expiry = server.lease_expiry.min(expiry);
         }
     }
 
@@ -123,16 +123,16 @@
     /// Returns the record to store now, if any. From here on the backend servers that it names count as named,
     /// whatever the outcome of the write.
     pub fn next_unreachable_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
-        let new = now.since(self.elected) < FIRST_RECORD_DELAY;
-        let fresh = self.unreachable.noted_at.is_some_and(|at| now.since(at) < RECORD_INTERVAL);
+        let newly_elected = now.since(self.elected) < FIRST_RECORD_DELAY;
+        let is_recent = self.unreachable.recorded_at.is_some_and(|at| now.since(at) < RECORD_INTERVAL);
         let record = UnreachableRecord { left_ms: self.unreachable_leases(now) };
-        let due = !record.left_ms.is_empty() && !new && !fresh;
-        if !due && !self.unreachable.is_to_be_withdrawn() {
+        let due = !record.left_ms.is_empty() && !newly_elected && !is_recent;
+        if !due && !self.unreachable.needs_withdrawal() {
             return None;
         }
-        let newly: Vec<BackendServerId> =
+        let newly_recorded: Vec<BackendServerId> =
             record.left_ms.keys().filter(|id| !self.unreachable.is_recorded(id)).cloned().collect();
-        self.unreachable.named.extend(newly);
+        self.unreachable.recorded.extend(newly_recorded);
         Some(UnreachableWrite { record, replaces: self.unreachable.revision, at: now })
     }
 
@@ -143,17 +143,17 @@
             let server = self.servers.get(id)?;
             let lost_just_now =
                 server.contact.failing_since.is_some_and(|since| now.since(since) < RECORD_UNRESPONSIVE_AFTER);
-            let named = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
-            named.then(|| (id.clone(), server.lease_expiry.since(now).millis()))
+            let to_record = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
+            to_record.then(|| (id.clone(), server.lease_expiry.since(now).millis()))
         };
-        self.unreachable.waiting.iter().filter_map(left).collect()
+        self.unreachable.pending.iter().filter_map(left).collect()
     }
 
     /// Handles a record that was stored at `revision`: backend servers that it does not name may get leases again.
     pub fn unreachable_stored(&mut self, write: UnreachableWrite, revision: Revision) {
-        let before = std::mem::take(&mut self.unreachable.named);
-        self.unreachable.named = write.record.left_ms.into_keys().collect();
-        self.unreachable.noted_at = Some(write.at);
+        let before = std::mem::take(&mut self.unreachable.recorded);
+        self.unreachable.recorded = write.record.left_ms.into_keys().collect();
+        self.unreachable.recorded_at = Some(write.at);
         self.unreachable.revision = revision;
         for id in before {
             if !self.unreachable.is_recorded(&id) {
