--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -49,8 +49,8 @@
         server.contact.refused = false;
         self.record_witness_answer(id, listing.incarnation, sent, now);
         self.plan_requested |= !listing.completions.is_empty();
-        for end in &listing.completions {
-            self.receive_completion(id, end, now);
+        for completion in &listing.completions {
+            self.receive_completion(id, completion, now);
         }
         self.stop_orphaned_runs(id, listing, now);
         for running in &listing.running {
@@ -136,7 +136,7 @@
         for task in missing {
             let Some(name) = self.group_of(task) else { continue };
             let Some(member) = self.member_mut(name, task.index, id) else { continue };
-            if member.confirmed_at.is_some_and(|settled| settled < sent) {
+            if member.confirmed_at.is_some_and(|confirmed| confirmed < sent) {
                 log::info!("job={} event=not_listed task={task} server={id}", task.occurrence.job);
                 self.observations.push(Observation::RunLost { why: "not_listed" });
                 self.remove_member(name, task.index, None, now);
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -13,25 +13,30 @@
 
 impl Scheduler {
     /// Processes a completion unless it was received before. It is acknowledged once the store holds its effect.
-    pub(crate) fn receive_completion(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
+    pub(crate) fn receive_completion(&mut self, id: &BackendServerId, completion: &Completion, now: Moment) {
         let server = self.servers.get_mut(id).expect("the caller checked that the server is tracked");
-        if end.serial <= server.highest_completion {
-            if end.serial <= server.acknowledged_serial {
+        if completion.serial <= server.highest_completion {
+            if completion.serial <= server.acknowledged_serial {
                 // Redelivered after it was acknowledged: either the acknowledging call was lost, or this is another
                 // completion with the same serial number.
-                log::info!("server={id} event=end_known task={} run={} serial={}", end.task, end.run, end.serial);
+                log::info!(
+                    "server={id} event=end_known task={} run={} serial={}",
+                    completion.task,
+                    completion.run,
+                    completion.serial
+                );
                 self.observations.push(Observation::CompletionRedelivered);
             }
             return;
         }
-        server.highest_completion = end.serial;
-        if let Some(name) = self.group_of(end.task) {
-            self.apply_completion(name, id, end, now);
+        server.highest_completion = completion.serial;
+        if let Some(name) = self.group_of(completion.task) {
+            self.apply_completion(name, id, completion, now);
         }
-        let occurrence = end.task.occurrence;
+        let occurrence = completion.task.occurrence;
         let stored_with = self.known_occurrence(occurrence).map(|state| (occurrence, state.version));
         let server = self.servers.get_mut(id).expect("completions remove no backend server");
-        server.pending_completions.push_back(PendingCompletion { serial: end.serial, stored_with });
+        server.pending_completions.push_back(PendingCompletion { serial: completion.serial, stored_with });
         if let Some(state) = self.known_occurrence_mut(occurrence)
             && !state.completions_from.contains(id)
         {
@@ -39,44 +44,50 @@
         }
     }
 
-    fn apply_completion(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
-        if end.kind == CompletionKind::Failed {
+    fn apply_completion(&mut self, name: GroupId, id: &BackendServerId, completion: &Completion, now: Moment) {
+        if completion.kind == CompletionKind::Failed {
             // It counts even if the run was abandoned before, since a failed run has used up an attempt.
-            self.apply_failure(name, id, end.run, now);
+            self.apply_failure(name, id, completion.run, now);
         }
-        let current = self.progress_of(name).run == end.run && self.member_mut(name, end.task.index, id).is_some();
+        let current =
+            self.progress_of(name).run == completion.run && self.member_mut(name, completion.task.index, id).is_some();
         if !current {
-            self.apply_late_completion(name, id, end, now);
+            self.apply_late_completion(name, id, completion, now);
             return;
         }
         log::info!(
             "job={} event=ended task={} run={} server={id} how={} serial={}",
-            end.task.occurrence.job,
-            end.task,
-            end.run,
-            end.kind,
-            end.serial
+            completion.task.occurrence.job,
+            completion.task,
+            completion.run,
+            completion.kind,
+            completion.serial
         );
-        if end.kind == CompletionKind::Stopped && self.group(name).stopping.is_some() {
+        if completion.kind == CompletionKind::Stopped && self.group(name).stopping.is_some() {
             let took = now.since(self.group(name).stopped_at);
             self.stop_durations.record(took);
         }
-        if end.kind == CompletionKind::Done {
-            self.measure_end(name, end.task.index, id, now);
+        if completion.kind == CompletionKind::Done {
+            self.measure_end(name, completion.task.index, id, now);
         }
-        self.remove_member(name, end.task.index, end.checkpoint.clone(), now);
-        match end.kind {
+        self.remove_member(name, completion.task.index, completion.checkpoint.clone(), now);
+        match completion.kind {
             CompletionKind::Done => self.apply_done(name, id, now),
             _ => self.stop_group(name, StopReason::GangBroken, now),
         }
     }
 
     /// Applies a completion of a run that was no longer tracked: if it had done the work, the work isn't repeated.
-    fn apply_late_completion(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
-        if end.kind != CompletionKind::Done || self.progress_of(name).done {
+    fn apply_late_completion(&mut self, name: GroupId, id: &BackendServerId, completion: &Completion, now: Moment) {
+        if completion.kind != CompletionKind::Done || self.progress_of(name).done {
             return;
         }
-        log::info!("job={} event=done_late task={} run={}", end.task.occurrence.job, end.task, end.run);
+        log::info!(
+            "job={} event=done_late task={} run={}",
+            completion.task.occurrence.job,
+            completion.task,
+            completion.run
+        );
         self.apply_done(name, id, now);
         self.stop_group(name, StopReason::AlreadyDone, now);
     }
@@ -163,8 +174,8 @@
         let Scheduler { servers, jobs, .. } = self;
         let Some(server) = servers.get_mut(id) else { return false };
         let before = server.acknowledged_serial;
-        while let Some(end) = server.pending_completions.front() {
-            let stored = end.stored_with.is_none_or(|(occurrence, version)| {
+        while let Some(completion) = server.pending_completions.front() {
+            let stored = completion.stored_with.is_none_or(|(occurrence, version)| {
                 let entry = jobs.get(&occurrence.job);
                 let state = entry.and_then(|entry| entry.occurrences.get(occurrence.number as usize));
                 state.is_none_or(|state| state.stored_version >= version)
@@ -172,7 +183,7 @@
             if !stored {
                 break;
             }
-            server.acknowledged_serial = end.serial;
+            server.acknowledged_serial = completion.serial;
             server.pending_completions.pop_front();
         }
         server.acknowledged_serial > before
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -170,30 +170,32 @@
 
     /// Whether a completion can be acknowledged only after an occurrence is stored.
     pub(crate) fn awaits_write(&self, id: OccurrenceId) -> bool {
-        self.pending_completions.iter().any(|end| end.stored_with.is_some_and(|(occurrence, _)| occurrence == id))
+        self.pending_completions
+            .iter()
+            .any(|completion| completion.stored_with.is_some_and(|(occurrence, _)| occurrence == id))
     }
 
     /// Returns the capacity that is taken, including by orphaned runs that are being stopped.
-    fn taken(&self) -> Resources {
-        let mut taken = self.used;
+    fn allocated(&self) -> Resources {
+        let mut allocated = self.used;
         for orphaned_run in self.orphaned_runs.values() {
-            taken.add(&orphaned_run.need);
+            allocated.add(&orphaned_run.need);
         }
-        taken
+        allocated
     }
 
     /// Returns the capacity that is free now.
     pub(crate) fn free(&self) -> Resources {
         let Some(info) = &self.info else { return Resources::default() };
         let mut free = info.capacity;
-        free.remove(&self.taken());
+        free.remove(&self.allocated());
         free
     }
 
     /// Whether more capacity is taken than there is, since its capacity has shrunk. A backend server that does not
     /// enforce its capacity would accept further starts all the same.
     pub(crate) fn is_over_capacity(&self) -> bool {
-        self.info.as_ref().is_some_and(|info| !info.capacity.contains(&self.taken()))
+        self.info.as_ref().is_some_and(|info| !info.capacity.contains(&self.allocated()))
     }
 
     /// Starts the next incarnation under the same id, before its first response: of the earlier one, only what the
