--- a/crates/scheduler/src/archive.rs
+++ b/crates/scheduler/src/archive.rs
@@ -29,19 +29,19 @@
 }
 
 impl Scheduler {
-    /// Returns jobs that can be archived, at most `most`: nothing of them runs, and the store holds their final
+    /// Returns jobs that can be archived, at most `max_jobs`: nothing of them runs, and the store holds their final
     /// progress.
-    pub fn archivable(&self, most: usize) -> Vec<Archival> {
+    pub fn archivable(&self, max_jobs: usize) -> Vec<Archival> {
         let entries = self.finished_jobs.iter().filter_map(|id| Some((*id, self.jobs.get(id)?)));
         let stored = entries.filter(|(_, entry)| is_stored(entry));
-        stored.take(most).map(|(id, entry)| archival(id, entry)).collect()
+        stored.take(max_jobs).map(|(id, entry)| archival(id, entry)).collect()
     }
 
-    /// Handles a job whose record replaces it in the store. `rest` lists progress that the store still holds.
-    pub fn archived(&mut self, archival: Archival, rest: &[OccurrenceId], now: Moment) {
+    /// Handles a job whose record replaces it in the store. `remaining` lists progress that the store still holds.
+    pub fn archived(&mut self, archival: Archival, remaining: &[OccurrenceId], now: Moment) {
         let Archival { job: id, record, .. } = archival;
         self.finished_jobs.remove(&id);
-        self.orphans.extend(rest);
+        self.orphans.extend(remaining);
         let Some(entry) = self.jobs.remove(&id) else { return };
         for occurrence in entry.occurrence_ids() {
             self.ready.remove(&occurrence);
@@ -57,9 +57,9 @@
         self.archived.entry(id).or_insert(Archived { record, since: now });
     }
 
-    /// Returns progress in the store whose job no longer exists, at most `most`.
-    pub fn orphans(&self, most: usize) -> Vec<OccurrenceId> {
-        self.orphans.iter().take(most).copied().collect()
+    /// Returns progress in the store whose job no longer exists, of at most `max_occurrences`.
+    pub fn orphans(&self, max_occurrences: usize) -> Vec<OccurrenceId> {
+        self.orphans.iter().take(max_occurrences).copied().collect()
     }
 
     /// Handles the removal of such progress from the store.
@@ -76,6 +76,6 @@
 }
 
 fn archival(job: JobId, entry: &JobEntry) -> Archival {
-    let held = entry.occurrence_ids().zip(&entry.occurrences).filter(|(_, state)| state.store_revision.0 > 0);
-    Archival { job, record: entry.job.ended(entry.state()), progress: held.map(|(id, _)| id).collect() }
+    let stored = entry.occurrence_ids().zip(&entry.occurrences).filter(|(_, state)| state.store_revision.0 > 0);
+    Archival { job, record: entry.job.ended(entry.state()), progress: stored.map(|(id, _)| id).collect() }
 }
--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -40,35 +40,35 @@
         !self.pending_writes.is_empty()
     }
 
-    /// Returns the next batch to store, with at most `most` writes; `None` if nothing is left to send.
+    /// Returns the next batch to store, with at most `max_writes` writes; `None` if nothing is left to send.
     ///
     /// Several batches may be in flight, but each occurrence is in only one of them. So the writes of an occurrence
     /// follow one another, and a batch without a response delays no other. After [`Scheduler::batch_failed`], the
     /// occurrences of a batch are offered again. This makes up for a write with unknown outcome: either it took
     /// effect, which the next write detects by its conflict, or the next write makes its condition false.
-    pub fn next_write_batch(&mut self, most: usize) -> Option<WriteBatch> {
+    pub fn next_write_batch(&mut self, max_writes: usize) -> Option<WriteBatch> {
         let mut tasks = 0;
         let mut writes: Vec<ProgressWrite> = Vec::new();
-        let free = self.pending_writes.iter().filter(|id| !self.writes_in_flight.contains(id));
-        for entry in free.filter_map(|id| self.entry(id)).take(most) {
-            tasks += entry.progress.groups.iter().map(Vec::len).sum::<usize>();
+        let sendable = self.pending_writes.iter().filter(|id| !self.writes_in_flight.contains(id));
+        for write in sendable.filter_map(|id| self.progress_write(id)).take(max_writes) {
+            tasks += write.progress.groups.iter().map(Vec::len).sum::<usize>();
             if tasks > MAX_BATCH_TASKS && !writes.is_empty() {
                 break;
             }
-            writes.push(entry);
+            writes.push(write);
         }
         if writes.is_empty() {
             return None;
         }
-        let placement_zones = writes.iter().flat_map(|entry| self.placement_zones(entry.occurrence)).collect();
-        self.writes_in_flight.extend(writes.iter().map(|entry| entry.occurrence));
+        let placement_zones = writes.iter().flat_map(|write| self.placement_zones(write.occurrence)).collect();
+        self.writes_in_flight.extend(writes.iter().map(|write| write.occurrence));
         Some(WriteBatch { writes, placement_zones })
     }
 
     /// Handles a batch that was not stored, or whose outcome is unknown.
     pub fn batch_failed(&mut self, batch: &WriteBatch) {
-        for entry in &batch.writes {
-            self.writes_in_flight.remove(&entry.occurrence);
+        for write in &batch.writes {
+            self.writes_in_flight.remove(&write.occurrence);
         }
     }
 
@@ -80,7 +80,7 @@
         planned.filter_map(move |member| zone(&member.server))
     }
 
-    fn entry(&self, id: OccurrenceId) -> Option<ProgressWrite> {
+    fn progress_write(&self, id: OccurrenceId) -> Option<ProgressWrite> {
         let occurrence = self.known_occurrence(id)?;
         Some(ProgressWrite {
             occurrence: id,
@@ -94,23 +94,23 @@
     /// acknowledged now.
     pub fn batch_stored(&mut self, batch: WriteBatch, revision: Revision) -> Vec<BackendServerId> {
         let mut acknowledged = Vec::new();
-        for entry in batch.writes {
-            let id = entry.occurrence;
+        for write in batch.writes {
+            let id = write.occurrence;
             self.writes_in_flight.remove(&id);
-            self.entry_stored(entry, revision);
+            self.write_stored(write, revision);
             acknowledged.extend(self.acknowledge_stored_with(id));
         }
         self.send_stored_starts();
         acknowledged
     }
 
-    fn entry_stored(&mut self, entry: ProgressWrite, revision: Revision) {
-        let id = entry.occurrence;
+    fn write_stored(&mut self, write: ProgressWrite, revision: Revision) {
+        let id = write.occurrence;
         let Some(occurrence) = self.known_occurrence_mut(id) else { return };
         occurrence.store_revision = revision;
-        occurrence.stored_version = entry.version;
-        occurrence.stored_progress = entry.progress;
-        if occurrence.version == entry.version {
+        occurrence.stored_version = write.version;
+        occurrence.stored_progress = write.progress;
+        if occurrence.version == write.version {
             self.pending_writes.remove(id);
         } else {
             self.pending_writes.requeue(id);
--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -26,11 +26,11 @@
 
     fn check_capacity(&mut self, now: Moment) -> Result<(), String> {
         self.refresh_capacity(now);
-        let mut anew = FleetCapacity::default();
+        let mut recomputed = FleetCapacity::default();
         for id in self.servers.keys() {
-            anew.set(id, self.server_capacity(id, now));
+            recomputed.set(id, self.server_capacity(id, now));
         }
-        self.fleet.check_same(&anew)
+        self.fleet.check_same(&recomputed)
     }
 
     /// Checks that each completion that waits is not stored yet, or is behind one that is not.
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -21,11 +21,11 @@
 impl Scheduler {
     /// Handles a backend server that the platform lists, new or with a changed description.
     pub fn server_listed(&mut self, id: BackendServerId, info: ServerInfo, now: Moment) {
-        let earlier = self.earlier_lease_expiry(&id);
+        let earlier_expiry = self.earlier_lease_expiry(&id);
         let draining = info.draining;
         self.evacuations.record_zone(&info.availability_zone);
         let evacuated = self.evacuations.is_evacuated(&info.availability_zone);
-        self.servers.entry(id.clone()).or_insert_with(|| Server::new(None, earlier));
+        self.servers.entry(id.clone()).or_insert_with(|| Server::new(None, earlier_expiry));
         let server = self.server_mut(&id).expect("it was just added");
         let was_draining = server.info.as_ref().is_some_and(|old| old.draining);
         server.update_info(info);
@@ -97,31 +97,31 @@
 
     /// Records a renewal that is about to be sent. Its lease counts from here on, whatever the outcome of the call.
     pub fn lease_sent(&mut self, id: &BackendServerId, lease: Duration, now: Moment) {
-        let over = self.timing.lease_expiry(now);
+        let expiry = self.timing.lease_expiry(now);
         if let Some(server) = self.servers.get_mut(id) {
-            server.lease_expiry = server.lease_expiry.max(over);
+            server.lease_expiry = server.lease_expiry.max(expiry);
             server.renewed_to = server.renewed_to.max(Some(now + lease));
         }
     }
 
-    /// Returns the lease for a start that is about to be sent, of at most `most`: the rest of the latest renewal if
+    /// Returns the lease for a start that is about to be sent, of at most `max_lease`: the rest of the latest renewal if
     /// that is at least half of a lease, else a new one. A full lease with each start would prolong the wait if the
     /// backend server is lost with the start in flight.
-    pub fn lease_for_start(&mut self, id: &BackendServerId, most: Duration, now: Moment) -> Duration {
+    pub fn lease_for_start(&mut self, id: &BackendServerId, max_lease: Duration, now: Moment) -> Duration {
         let renewed_to = self.servers.get(id).and_then(|server| server.renewed_to);
-        let left = renewed_to.map_or(Duration::ZERO, |to| to.since(now));
-        if left >= self.timing.lease.scaled(0.5) {
-            return left;
+        let remaining = renewed_to.map_or(Duration::ZERO, |to| to.since(now));
+        if remaining >= self.timing.lease.scaled(0.5) {
+            return remaining;
         }
-        self.lease_sent(id, most, now);
-        most
+        self.lease_sent(id, max_lease, now);
+        max_lease
     }
 
     /// Handles a call to a backend server that got no response.
-    pub fn call_failed(&mut self, id: &BackendServerId, how: CallFailure, now: Moment) {
+    pub fn call_failed(&mut self, id: &BackendServerId, failure: CallFailure, now: Moment) {
         let Some(server) = self.server_mut(id) else { return };
         server.failed_calls += 1;
-        server.contact.refused |= how == CallFailure::Refused;
+        server.contact.refused |= failure == CallFailure::Refused;
         let busy = !server.members.is_empty();
         if server.failed_calls == 1 {
             server.contact.failing_since = Some(now);
--- a/crates/scheduler/src/incarnations.rs
+++ b/crates/scheduler/src/incarnations.rs
@@ -14,17 +14,17 @@
     pub(crate) fn observe_incarnation(&mut self, id: &BackendServerId, incarnation: Incarnation, now: Moment) {
         self.resolve_lapsed(id, incarnation, now);
         let Some(server) = self.servers.get(id) else { return };
-        let known = server.incarnation;
-        if known == Some(incarnation) {
+        let previous = server.incarnation;
+        if previous == Some(incarnation) {
             return;
         }
-        match known {
-            Some(known) => {
+        match previous {
+            Some(previous) => {
                 log::info!(
-                    "server={id} event=life incarnation={incarnation} after={known} seen_end={}",
+                    "server={id} event=life incarnation={incarnation} after={previous} seen_end={}",
                     server.highest_completion
                 );
-                self.incarnation_ended(id, known, now);
+                self.incarnation_ended(id, previous, now);
             }
             None => self.end_other_incarnations(id, incarnation, now),
         }
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -44,8 +44,8 @@
     pub fn restored_addresses(&self) -> BTreeMap<BackendServerId, ServerAddress> {
         let occurrences = self.open_jobs.iter().flat_map(|id| &self.jobs[id].occurrences);
         let placed = occurrences.flat_map(|o| o.progress.groups.iter().flatten()).flat_map(|group| &group.placed);
-        let known = placed.filter(|placed| !placed.address.is_empty());
-        known.map(|placed| (placed.server.clone(), ServerAddress::from(&*placed.address))).collect()
+        let with_address = placed.filter(|placed| !placed.address.is_empty());
+        with_address.map(|placed| (placed.server.clone(), ServerAddress::from(&*placed.address))).collect()
     }
 
     /// Restores placements of an earlier scheduler: their runs may continue until its leases expire. Returns the
@@ -57,22 +57,21 @@
         for (s, step) in occurrence.progress.groups.iter().enumerate() {
             for (g, group) in step.iter().enumerate() {
                 let name = GroupId { occurrence: id, step: s, group: g };
-                let live = &mut occurrence.groups[s][g];
-                live.placed_at = self.elected;
+                let group_state = &mut occurrence.groups[s][g];
+                group_state.placed_at = self.elected;
                 if !group.placed.is_empty() {
                     placed_groups.push(name);
                 }
                 for placed in &group.placed {
-                    let earlier = self.unreachable.lease_expiry_of(&placed.server, by_election);
-                    let server =
-                        self.servers.entry(placed.server.clone()).or_insert_with(|| Server::new(None, earlier));
+                    let expiry = self.unreachable.lease_expiry_of(&placed.server, by_election);
+                    let server = self.servers.entry(placed.server.clone()).or_insert_with(|| Server::new(None, expiry));
                     self.unreachable.add_pending(&placed.server);
                     server.used.add(&job.steps[s].counted_resources());
                     server.members.insert(name.task(placed.index), group.run);
                     if !std::mem::replace(&mut server.is_stale, true) {
                         self.stale_servers.push(placed.server.clone());
                     }
-                    live.members.push(Member::restored(placed, self.elected));
+                    group_state.members.push(Member::restored(placed, self.elected));
                 }
             }
         }
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -63,11 +63,11 @@
 
 impl Member {
     /// Creates a member that is to start.
-    pub(crate) fn planned(placed: &Placement) -> Member {
+    pub(crate) fn planned(placement: &Placement) -> Member {
         Member {
-            index: placed.index,
-            server: placed.server.clone(),
-            incarnation: placed.incarnation,
+            index: placement.index,
+            server: placement.server.clone(),
+            incarnation: placement.incarnation,
             phase: Phase::Planned,
             confirmed_at: None,
             stop_sent: None,
@@ -81,13 +81,13 @@
     }
 
     /// Creates a member that an earlier scheduler placed, restored by one elected at `elected`.
-    pub(crate) fn restored(placed: &Placement, elected: Moment) -> Member {
+    pub(crate) fn restored(placement: &Placement, elected: Moment) -> Member {
         Member {
             phase: Phase::Restored,
             confirmed_at: Some(elected),
             throttle: Throttle::unknown(),
             measured: Measured::BegunBefore,
-            ..Member::planned(placed)
+            ..Member::planned(placement)
         }
     }
 }
@@ -100,9 +100,9 @@
 
     /// Returns how long it is known to have run: from its confirmation to the latest response of its backend server,
     /// at `heard`. `None` if this scheduler has no confirmation that it started.
-    pub(crate) fn known_run_time(&self, heard: Option<Moment>) -> Option<Duration> {
-        let started = self.confirmed_at.filter(|_| self.phase == Phase::Running)?;
-        Some(heard.map_or(Duration::ZERO, |heard| heard.since(started)))
+    pub(crate) fn known_run_time(&self, last_response: Option<Moment>) -> Option<Duration> {
+        let confirmed = self.confirmed_at.filter(|_| self.phase == Phase::Running)?;
+        Some(last_response.map_or(Duration::ZERO, |last_response| last_response.since(confirmed)))
     }
 }
 
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -60,8 +60,8 @@
     pub(crate) fn group_of(&self, task: TaskId) -> Option<GroupId> {
         let entry = self.jobs.get(&task.occurrence.job)?;
         let step = entry.job.steps.get(task.step as usize)?;
-        let known = (task.occurrence.number as usize) < entry.occurrences.len() && task.index < step.count;
-        known.then(|| GroupId::of(task, step))
+        let exists = (task.occurrence.number as usize) < entry.occurrences.len() && task.index < step.count;
+        exists.then(|| GroupId::of(task, step))
     }
 
     /// Returns all groups of a job.
@@ -85,8 +85,8 @@
     pub(crate) fn place(&mut self, name: GroupId, servers: &[(u32, BackendServerId)], now: Moment) {
         let need = self.step(name).counted_resources();
         let run = self.progress_of(name).run.next();
-        let placed: Vec<Placement> = servers.iter().map(|(index, id)| self.placed(*index, id)).collect();
-        let members = placed.iter().map(Member::planned).collect();
+        let placements: Vec<Placement> = servers.iter().map(|(index, id)| self.placement_on(*index, id)).collect();
+        let members = placements.iter().map(Member::planned).collect();
         for (index, id) in servers {
             let server = self.server_mut(id).expect("only tracked backend servers are chosen");
             server.used.add(&need);
@@ -96,7 +96,7 @@
         self.change(name, |progress| {
             progress.run = run;
             progress.started = true;
-            progress.placed = placed;
+            progress.placed = placements;
         });
         let version = self.occurrence(name.occurrence).version;
         let group = self.group_mut(name);
@@ -107,7 +107,7 @@
         self.begin_isolated_retry(name);
     }
 
-    fn placed(&self, index: u32, id: &BackendServerId) -> Placement {
+    fn placement_on(&self, index: u32, id: &BackendServerId) -> Placement {
         let server = self.servers.get(id);
         let incarnation = server.and_then(|server| server.incarnation);
         let address = server.and_then(|server| server.info.as_ref()).map_or("", |info| info.address.as_str());
@@ -143,8 +143,8 @@
         let need = self.step(name).counted_resources();
         let checkpoints = self.step(name).checkpoints;
         let group = self.group_mut(name);
-        let Some(at) = group.members.iter().position(|member| member.index == index) else { return };
-        let member = group.members.swap_remove(at);
+        let Some(position) = group.members.iter().position(|member| member.index == index) else { return };
+        let member = group.members.swap_remove(position);
         if group.members.is_empty() {
             group.stopping = None;
             group.ready_since = Some(now);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -270,14 +270,14 @@
             return;
         }
         self.last_check = now;
-        let over: Vec<BackendServerId> = self
+        let expired: Vec<BackendServerId> = self
             .servers
             .iter()
             .filter(|(_, server)| (server.failed_calls > 0 || !server.has_reported) && now >= server.lease_expiry)
             .map(|(id, _)| id.clone())
             .collect();
         self.lapsed.remove_expired(now);
-        for id in over {
+        for id in expired {
             self.record_lapsed(&id, now);
             self.lapse_members(&id, "lease_over", now);
             self.unreachable.remove_pending(&id);
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -87,8 +87,8 @@
     pub fn may_start(&self, id: &BackendServerId, task: TaskId, run: RunNumber) -> bool {
         let Some(name) = self.group_of(task) else { return false };
         let placed = self.group(name).members.iter().any(|member| member.index == task.index && member.server == *id);
-        let wanted = placed && self.progress_of(name).run == run && self.group(name).stopping.is_none();
-        wanted && self.may_renew(id) && self.servers.get(id).is_some_and(Server::takes_starts)
+        let requested = placed && self.progress_of(name).run == run && self.group(name).stopping.is_none();
+        requested && self.may_renew(id) && self.servers.get(id).is_some_and(Server::takes_starts)
     }
 
     /// Handles a start that was not sent, since [`Scheduler::may_start`] no longer held. An earlier order for it may
@@ -137,14 +137,14 @@
         // repeated: the first may have had no effect. Nor is one to an unresponsive backend server: each order would
         // prolong the lease that has to be waited for if it is lost.
         let takes_starts = self.servers.get(server).is_some_and(Server::takes_starts);
-        let most = if takes_starts { self.timing.start_tries } else { 0 };
+        let max_tries = if takes_starts { self.timing.start_tries } else { 0 };
         let stopping = self.group(name).stopping.is_some();
         let Some(member) = self.member_mut(name, index, server) else { return };
         let Phase::Sent { tries } = member.phase else { return };
         if stopping {
             return;
         }
-        if tries < most {
+        if tries < max_tries {
             member.phase = Phase::Sent { tries: tries + 1 };
             let order = self.start_order(name, index, server);
             self.orders.push(order);
@@ -171,11 +171,11 @@
 fn take_stored_starts(id: OccurrenceId, occurrence: &mut Occurrence) -> Vec<(GroupId, u32, BackendServerId)> {
     let mut sent = Vec::new();
     for (step, groups) in occurrence.groups.iter_mut().enumerate() {
-        for (group, live) in groups.iter_mut().enumerate() {
-            if live.placed_version > occurrence.stored_version {
+        for (group, group_state) in groups.iter_mut().enumerate() {
+            if group_state.placed_version > occurrence.stored_version {
                 continue;
             }
-            for member in live.members.iter_mut().filter(|member| member.phase == Phase::Planned) {
+            for member in group_state.members.iter_mut().filter(|member| member.phase == Phase::Planned) {
                 member.phase = Phase::Sent { tries: 1 };
                 sent.push((GroupId { occurrence: id, step, group }, member.index, member.server.clone()));
             }
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -76,12 +76,12 @@
         now: Moment,
     ) {
         let Some(server) = self.servers.get(id) else { return };
-        let heard = server.contact.last_response;
+        let last_response = server.contact.last_response;
         let members: Vec<(TaskId, RunNumber)> = server.members.iter().map(|(task, run)| (*task, *run)).collect();
         for (task, run) in members {
             let Some(name) = self.group_of(task) else { continue };
             let Some(member) = self.member_mut(name, task.index, id).filter(|member| which(member)) else { continue };
-            let at_work = member.known_run_time(heard);
+            let at_work = member.known_run_time(last_response);
             log::info!(
                 "job={} event=lapsed task={task} run={run} server={id} why={why} at_work_ms={}",
                 task.occurrence.job,
