--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -104,9 +104,9 @@
         }
     }
 
-    /// Returns the lease for a start that is about to be sent, of at most `max_lease`: the rest of the latest renewal if
-    /// that is at least half of a lease, else a new one. A full lease with each start would prolong the wait if the
-    /// backend server is lost with the start in flight.
+    /// Returns the lease for a start that is about to be sent, of at most `max_lease`: the rest of the latest renewal
+    /// if that is at least half of a lease, else a new one. A full lease with each start would prolong the wait if
+    /// the backend server is lost with the start in flight.
     pub fn lease_for_start(&mut self, id: &BackendServerId, max_lease: Duration, now: Moment) -> Duration {
         let renewed_to = self.servers.get(id).and_then(|server| server.renewed_to);
         let remaining = renewed_to.map_or(Duration::ZERO, |to| to.since(now));
