--- a/crates/scheduler/src/retention.rs
+++ b/crates/scheduler/src/retention.rs
@@ -6,8 +6,8 @@
 use crate::Scheduler;
 
 impl Scheduler {
-    /// Returns jobs whose retention has expired, at most `max_jobs`. Their records can be removed from the store, and so
-    /// can the marks of jobs that were cancelled before they were submitted.
+    /// Returns jobs whose retention has expired, at most `max_jobs`. Their records can be removed from the store, and
+    /// so can the marks of jobs that were cancelled before they were submitted.
     pub fn expired_records(&self, now: Moment, max_jobs: usize) -> Vec<JobId> {
         let has_expired = |since: Moment| now.since(since) > self.timing.keep_ended;
         let records = self.archived.iter().filter(|(_, ended)| has_expired(ended.since)).map(|(id, _)| *id);
--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -44,7 +44,7 @@
     /// Incarnation of the backend server that the task was placed on.
     pub(crate) incarnation: Option<Incarnation>,
     pub(crate) phase: Phase,
-    /// A listing requested after this time must show the run if it still runs; `None` while a listing may still lack it.
+    /// A listing requested after this time must show the run if it still runs; `None` while one may lack it.
     pub(crate) confirmed_at: Option<Moment>,
     /// When the latest stop was sent; `None` if none awaits a response.
     pub(crate) stop_sent: Option<Moment>,
