--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,7 +4,7 @@
 //! results of writes to the store and the requests of callers, and carries out the orders and writes that it returns.
 //! Three rules hold across elections:
 //!
-//! - *store before ordering*: a start is sent only after the store holds its placement ([`Scheduler::next_write_batch`]);
+//! - *store before ordering*: a start is sent only after its placement is stored ([`Scheduler::next_write_batch`]);
 //! - *store before acknowledging or reporting*: a completion is acknowledged and reported to callers only after the
 //!   store holds it;
 //! - *one placement at a time*: a task is placed again only when its earlier run is known to have ended: it is listed
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -87,7 +87,7 @@
     pub(crate) last_response: Option<Moment>,
     /// When the first call since its last response failed; `None` while it responds.
     pub(crate) failing_since: Option<Moment>,
-    /// Whether its address has refused a connection since `since`.
+    /// Whether its address has refused a connection since `failing_since`.
     pub(crate) refused: bool,
     /// When the platform stopped listing it; `None` while it is listed.
     pub(crate) unlisted_at: Option<Moment>,
