--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -191,7 +191,7 @@
             let group = self.group(*other);
             group.isolated_retry.is_some() && group.members.iter().any(goes_on)
         };
-        is_last_attempt(self.progress_of(name)) && self.group_names(name.occurrence.job).iter().any(has_isolated_retry)
+        is_last_attempt(self.progress_of(name)) && self.group_ids(name.occurrence.job).iter().any(has_isolated_retry)
     }
 
     /// Whether a backend server answers, or is silent for so short that it may have crashed and its next life is not there yet.
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -150,7 +150,7 @@
         self.observations.push(Observation::TaskAbandoned { why });
         self.occurrence_mut(name.occurrence).progress.failed = true;
         self.record_job_end(job, now);
-        let others = self.group_names(job);
+        let others = self.group_ids(job);
         for other in others.into_iter().filter(|other| other.occurrence == name.occurrence) {
             self.stop_group(other, StopReason::Hopeless, now);
         }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns all groups of a job.
-    pub(crate) fn group_names(&self, job: JobId) -> Vec<GroupId> {
+    pub(crate) fn group_ids(&self, job: JobId) -> Vec<GroupId> {
         let Some(entry) = self.jobs.get(&job) else { return Vec::new() };
         let mut names = Vec::new();
         for (id, occurrence) in entry.occurrence_ids().zip(&entry.occurrences) {
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -223,7 +223,7 @@
         self.changed.extend(entry.occurrence_ids());
         self.plan_requested = true;
         log::info!("job={id} event=cancelled fence={}", self.fence);
-        for name in self.group_names(id) {
+        for name in self.group_ids(id) {
             self.stop_group(name, StopReason::Cancelled, now);
         }
         if !had_ended {
