--- a/crates/scheduler/src/batch.rs
+++ b/crates/scheduler/src/batch.rs
@@ -81,7 +81,7 @@
     }
 
     fn progress_write(&self, id: OccurrenceId) -> Option<ProgressWrite> {
-        let occurrence = self.known_occurrence(id)?;
+        let occurrence = self.find_occurrence(id)?;
         Some(ProgressWrite {
             occurrence: id,
             version: occurrence.version,
@@ -106,7 +106,7 @@
 
     fn write_stored(&mut self, write: ProgressWrite, revision: Revision) {
         let id = write.occurrence;
-        let Some(occurrence) = self.known_occurrence_mut(id) else { return };
+        let Some(occurrence) = self.find_occurrence_mut(id) else { return };
         occurrence.store_revision = revision;
         occurrence.stored_version = write.version;
         occurrence.stored_progress = write.progress;
@@ -122,7 +122,7 @@
     /// scheduler took effect after all.
     pub fn stored_revisions_found(&mut self, revisions: &BTreeMap<OccurrenceId, Revision>) {
         for (&id, &revision) in revisions {
-            if let Some(occurrence) = self.known_occurrence_mut(id) {
+            if let Some(occurrence) = self.find_occurrence_mut(id) {
                 occurrence.store_revision = revision;
             }
         }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -34,10 +34,10 @@
             self.apply_completion(name, id, completion, now);
         }
         let occurrence = completion.task.occurrence;
-        let stored_with = self.known_occurrence(occurrence).map(|state| (occurrence, state.version));
+        let stored_with = self.find_occurrence(occurrence).map(|state| (occurrence, state.version));
         let server = self.servers.get_mut(id).expect("completions remove no backend server");
         server.pending_completions.push_back(PendingCompletion { serial: completion.serial, stored_with });
-        if let Some(state) = self.known_occurrence_mut(occurrence)
+        if let Some(state) = self.find_occurrence_mut(occurrence)
             && !state.completions_from.contains(id)
         {
             state.completions_from.push(id.clone());
@@ -192,7 +192,7 @@
     /// Releases the completions that waited for an occurrence to be stored. Returns the backend servers to which more
     /// can be acknowledged now.
     pub(crate) fn acknowledge_stored_with(&mut self, id: OccurrenceId) -> Vec<BackendServerId> {
-        let Some(occurrence) = self.known_occurrence_mut(id) else { return Vec::new() };
+        let Some(occurrence) = self.find_occurrence_mut(id) else { return Vec::new() };
         let waiting = std::mem::take(&mut occurrence.completions_from);
         let mut acknowledged = Vec::new();
         let mut still_waiting = Vec::new();
@@ -204,7 +204,7 @@
                 still_waiting.push(server);
             }
         }
-        if let Some(occurrence) = self.known_occurrence_mut(id) {
+        if let Some(occurrence) = self.find_occurrence_mut(id) {
             occurrence.completions_from = still_waiting;
         }
         acknowledged
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -12,11 +12,11 @@
 
 impl Scheduler {
     /// Returns an occurrence; `None` if it or its job is not tracked.
-    pub(crate) fn known_occurrence(&self, id: OccurrenceId) -> Option<&Occurrence> {
+    pub(crate) fn find_occurrence(&self, id: OccurrenceId) -> Option<&Occurrence> {
         self.jobs.get(&id.job)?.occurrences.get(id.number as usize)
     }
 
-    pub(crate) fn known_occurrence_mut(&mut self, id: OccurrenceId) -> Option<&mut Occurrence> {
+    pub(crate) fn find_occurrence_mut(&mut self, id: OccurrenceId) -> Option<&mut Occurrence> {
         self.jobs.get_mut(&id.job)?.occurrences.get_mut(id.number as usize)
     }
 
--- a/crates/scheduler/src/starts.rs
+++ b/crates/scheduler/src/starts.rs
@@ -23,7 +23,7 @@
     /// Orders the starts whose placements the store holds.
     pub(crate) fn send_stored_starts(&mut self) {
         for id in std::mem::take(&mut self.unsent_starts) {
-            let Some(occurrence) = self.known_occurrence_mut(id) else { continue };
+            let Some(occurrence) = self.find_occurrence_mut(id) else { continue };
             for (name, index, server) in take_stored_starts(id, occurrence) {
                 let order = self.start_order(name, index, &server);
                 self.orders.push(order);
