--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -174,10 +174,10 @@
         self.observations.push(Observation::CrashedUnderTask { early });
         if !early && self.step(name).long_running {
             // It was at work: it does not crash what starts it, and over months chance crashes add up.
-            self.change(name, |progress| progress.crashes.retain(|crash| crash.index != index));
+            self.update_progress(name, |progress| progress.crashes.retain(|crash| crash.index != index));
             return;
         }
-        self.change(name, |progress| progress.crashes.push(crash));
+        self.update_progress(name, |progress| progress.crashes.push(crash));
         if self.has_crashed_enough(name, index) {
             self.fail_occurrence(name, "crashes", now);
         }
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -99,7 +99,7 @@
         if self.step(name).long_running {
             return;
         }
-        self.change(name, |progress| {
+        self.update_progress(name, |progress| {
             progress.done = true;
             progress.checkpoint = None;
         });
@@ -129,7 +129,7 @@
         if self.step(name).long_running || self.progress_of(name).failed_runs.contains(&run) {
             return;
         }
-        self.change(name, |progress| progress.failed_runs.push(run));
+        self.update_progress(name, |progress| progress.failed_runs.push(run));
         let queue = &self.jobs[&job].job.queue;
         let attempts = self.policy.queues.get(queue).map_or(u32::MAX, |queue| queue.attempts);
         let used_attempts = self.progress_of(name).failed_runs.len();
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -48,7 +48,7 @@
     }
 
     /// Changes the progress of a group, and marks it as not yet stored.
-    pub(crate) fn change(&mut self, name: GroupId, change: impl FnOnce(&mut GroupProgress)) {
+    pub(crate) fn update_progress(&mut self, name: GroupId, change: impl FnOnce(&mut GroupProgress)) {
         let occurrence = self.occurrence_mut(name.occurrence);
         change(&mut occurrence.progress.groups[name.step][name.group]);
         occurrence.version += 1;
@@ -93,7 +93,7 @@
             server.members.insert(name.task(*index), run);
         }
         self.log_placement(name, servers, now);
-        self.change(name, |progress| {
+        self.update_progress(name, |progress| {
             progress.run = run;
             progress.started = true;
             progress.placed = placements;
@@ -156,7 +156,7 @@
         }
         self.refresh_isolated_retry(&member.server);
         let checkpoint = checkpoint.or(member.checkpoint).filter(|_| checkpoints);
-        self.change(name, |progress| {
+        self.update_progress(name, |progress| {
             progress.placed.retain(|placed| placed.index != index);
             if checkpoint.is_some() {
                 progress.checkpoint = checkpoint;
