--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -91,7 +91,7 @@
     pub(crate) fn pause_starts(&mut self, id: &BackendServerId, now: Moment) {
         let until = now + self.timing.refused_pause;
         if let Some(server) = self.server_mut(id) {
-            server.not_before = until;
+            server.no_starts_before = until;
         }
     }
 
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -18,7 +18,7 @@
     pub(crate) fn accepts_work(&self, now: Moment) -> bool {
         let steady = self.info.as_ref().is_some_and(|info| !info.draining);
         let stays = steady && !self.closed_for_maintenance && !self.evacuated && self.is_as_listed();
-        stays && self.listed && self.is_reachable() && now >= self.not_before
+        stays && self.listed && self.is_reachable() && now >= self.no_starts_before
     }
 }
 
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -129,7 +129,7 @@
     /// Whether its availability zone is being evacuated.
     pub(crate) evacuated: bool,
     /// Time before which it gets no new work, since it refused a start.
-    pub(crate) not_before: Moment,
+    pub(crate) no_starts_before: Moment,
     pub(crate) health: Health,
     pub(crate) speed: Speed,
     /// Whether the next plan evaluates its free capacity again.
@@ -156,7 +156,7 @@
             acknowledged_serial: 0,
             closed_for_maintenance: false,
             evacuated: false,
-            not_before: Moment::ZERO,
+            no_starts_before: Moment::ZERO,
             health: Health::default(),
             speed: Speed::default(),
             is_stale: false,
@@ -264,7 +264,7 @@
 
     /// Whether its free capacity can change with time alone.
     pub(crate) fn changes_with_time(&self, now: Moment) -> bool {
-        now < self.not_before || self.health.changes_with_time(now)
+        now < self.no_starts_before || self.health.changes_with_time(now)
     }
 
     /// Whether it is known to be in an availability zone.
