--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -100,7 +100,7 @@
         let expiry = self.timing.lease_expiry(now);
         if let Some(server) = self.servers.get_mut(id) {
             server.lease_expiry = server.lease_expiry.max(expiry);
-            server.renewed_to = server.renewed_to.max(Some(now + lease));
+            server.lease_granted_until = server.lease_granted_until.max(Some(now + lease));
         }
     }
 
@@ -108,8 +108,8 @@
     /// if that is at least half of a lease, else a new one. A full lease with each start would prolong the wait if
     /// the backend server is lost with the start in flight.
     pub fn lease_for_start(&mut self, id: &BackendServerId, max_lease: Duration, now: Moment) -> Duration {
-        let renewed_to = self.servers.get(id).and_then(|server| server.renewed_to);
-        let remaining = renewed_to.map_or(Duration::ZERO, |to| to.since(now));
+        let lease_granted_until = self.servers.get(id).and_then(|server| server.lease_granted_until);
+        let remaining = lease_granted_until.map_or(Duration::ZERO, |to| to.since(now));
         if remaining >= self.timing.lease.scaled(0.5) {
             return remaining;
         }
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -116,7 +116,7 @@
     /// Time by which every lease that it was given has expired.
     pub(crate) lease_expiry: Moment,
     /// End of the latest lease that this scheduler gave it, on the scheduler's clock.
-    pub(crate) renewed_to: Option<Moment>,
+    pub(crate) lease_granted_until: Option<Moment>,
     pub(crate) pending_completions: VecDeque<PendingCompletion>,
     /// Highest serial number of the completions received.
     pub(crate) highest_completion: u64,
@@ -150,7 +150,7 @@
             failed_calls: 0,
             contact: Contact::default(),
             lease_expiry,
-            renewed_to: None,
+            lease_granted_until: None,
             pending_completions: VecDeque::new(),
             highest_completion: 0,
             acknowledged_serial: 0,
