--- a/crates/scheduler/src/observations.rs
+++ b/crates/scheduler/src/observations.rs
@@ -85,7 +85,7 @@
         Duration::from_millis(self.wall_ms(now).saturating_sub(entry.job.accepted_ms))
     }
 
-    pub(crate) fn observe_start(&mut self, id: jobs::JobId, now: Moment) {
+    pub(crate) fn observe_job_start(&mut self, id: jobs::JobId, now: Moment) {
         let Some(entry) = self.jobs.get(&id) else { return };
         let (customer, queue) = (entry.job.customer.clone(), entry.job.queue.clone());
         let after = self.age(entry, now);
@@ -99,7 +99,7 @@
         self.observations.push(Observation::RunStarted { customer, queue, after });
     }
 
-    pub(crate) fn observe_end(&mut self, id: jobs::JobId, state: JobState, now: Moment) {
+    pub(crate) fn observe_job_end(&mut self, id: jobs::JobId, state: JobState, now: Moment) {
         let Some(entry) = self.jobs.get(&id) else { return };
         let (customer, queue) = (entry.job.customer.clone(), entry.job.queue.clone());
         let after = self.age(entry, now);
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -165,7 +165,7 @@
         entry.ended_at = Some(now);
         let failed = entry.occurrences.iter().any(|occurrence| occurrence.progress.failed);
         let state = if failed { JobState::Failed } else { JobState::Succeeded };
-        self.observe_end(job, state, now);
+        self.observe_job_end(job, state, now);
     }
 
     /// Releases the completions of a backend server whose effect is stored for acknowledgement. Returns whether there
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -134,7 +134,7 @@
             self.fence
         );
         if !self.jobs[&job].occurrences.iter().any(|occurrence| occurrence.progress.started()) {
-            self.observe_start(job, now);
+            self.observe_job_start(job, now);
         }
     }
 
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -227,7 +227,7 @@
             self.stop_group(name, StopReason::Cancelled, now);
         }
         if !had_ended {
-            self.observe_end(id, JobState::Cancelled, now);
+            self.observe_job_end(id, JobState::Cancelled, now);
         }
     }
 
