--- a/crates/scheduler/src/observations.rs
+++ b/crates/scheduler/src/observations.rs
@@ -81,14 +81,14 @@
         wall_ms + now.since(at).millis()
     }
 
-    pub(crate) fn age(&self, entry: &JobEntry, now: Moment) -> Duration {
+    pub(crate) fn time_since_accepted(&self, entry: &JobEntry, now: Moment) -> Duration {
         Duration::from_millis(self.wall_ms(now).saturating_sub(entry.job.accepted_ms))
     }
 
     pub(crate) fn observe_job_start(&mut self, id: jobs::JobId, now: Moment) {
         let Some(entry) = self.jobs.get(&id) else { return };
         let (customer, queue) = (entry.job.customer.clone(), entry.job.queue.clone());
-        let after = self.age(entry, now);
+        let after = self.time_since_accepted(entry, now);
         self.observations.push(Observation::Started { customer, queue, after });
     }
 
@@ -102,7 +102,7 @@
     pub(crate) fn observe_job_end(&mut self, id: jobs::JobId, state: JobState, now: Moment) {
         let Some(entry) = self.jobs.get(&id) else { return };
         let (customer, queue) = (entry.job.customer.clone(), entry.job.queue.clone());
-        let after = self.age(entry, now);
+        let after = self.time_since_accepted(entry, now);
         log::info!("job={id} event=over state={state} after_ms={} queue={queue}", after.millis());
         self.observations.push(Observation::Ended { customer, queue, state, after });
     }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -67,13 +67,13 @@
     /// Returns all groups of a job.
     pub(crate) fn group_ids(&self, job: JobId) -> Vec<GroupId> {
         let Some(entry) = self.jobs.get(&job) else { return Vec::new() };
-        let mut names = Vec::new();
+        let mut ids = Vec::new();
         for (id, occurrence) in entry.occurrence_ids().zip(&entry.occurrences) {
             for (step, groups) in occurrence.groups.iter().enumerate() {
-                names.extend((0..groups.len()).map(|group| GroupId { occurrence: id, step, group }));
+                ids.extend((0..groups.len()).map(|group| GroupId { occurrence: id, step, group }));
             }
         }
-        names
+        ids
     }
 
     pub(crate) fn member_mut(&mut self, name: GroupId, index: u32, server: &BackendServerId) -> Option<&mut Member> {
