--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -69,7 +69,7 @@
     /// crash.
     pub(crate) fn end_incarnation(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
-        let announced = server.announced();
+        let announced = server.has_announced_departure();
         let silent = server.contact.failing_since.map_or(0, |since| now.since(since).millis());
         log::info!("server={id} event=gone runs={} announced={announced} silent_ms={silent}", server.members.len());
         self.observations.push(Observation::ServerEnded { announced });
--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -118,7 +118,7 @@
     pub(crate) fn record_lapsed(&mut self, id: &BackendServerId, now: Moment) {
         let runs = self.under_crash(id, |_| true);
         let Some(server) = self.servers.get(id) else { return };
-        if !runs.is_empty() && !server.announced() {
+        if !runs.is_empty() && !server.has_announced_departure() {
             let lapsed = LapsedRuns { since: now, incarnation: server.incarnation, runs };
             self.lapsed.by_server.insert(id.clone(), lapsed);
         }
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -237,7 +237,7 @@
     }
 
     /// Whether the incarnation that last responded has announced its departure.
-    pub(crate) fn announced(&self) -> bool {
+    pub(crate) fn has_announced_departure(&self) -> bool {
         self.departing
     }
 
@@ -259,7 +259,7 @@
         };
         let responded_recently = silent.since(heard) < MAX_RESPONSE_INTERVAL;
         let skew = silent.since(unlisted).max(unlisted.since(silent));
-        self.announced() && responded_recently && !self.listed && skew < MAX_DEPARTURE_SKEW
+        self.has_announced_departure() && responded_recently && !self.listed && skew < MAX_DEPARTURE_SKEW
     }
 
     /// Whether its free capacity can change with time alone.
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -226,5 +226,5 @@
 }
 
 fn may_witness(server: &Server) -> bool {
-    server.is_reachable() && server.listed && !server.announced()
+    server.is_reachable() && server.listed && !server.has_announced_departure()
 }
