--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -76,7 +76,7 @@
 #[derive(Debug)]
 pub(crate) struct OrphanedRun {
     pub(crate) run: RunNumber,
-    pub(crate) need: Resources,
+    pub(crate) resources: Resources,
     pub(crate) stop_sent: Moment,
 }
 
@@ -179,7 +179,7 @@
     fn allocated(&self) -> Resources {
         let mut allocated = self.used;
         for orphaned_run in self.orphaned_runs.values() {
-            allocated.add(&orphaned_run.need);
+            allocated.add(&orphaned_run.resources);
         }
         allocated
     }
