--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -70,8 +70,8 @@
     pub(crate) fn end_incarnation(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
         let announced = server.has_announced_departure();
-        let silent = server.contact.failing_since.map_or(0, |since| now.since(since).millis());
-        log::info!("server={id} event=gone runs={} announced={announced} silent_ms={silent}", server.members.len());
+        let silent_ms = server.contact.failing_since.map_or(0, |since| now.since(since).millis());
+        log::info!("server={id} event=gone runs={} announced={announced} silent_ms={silent_ms}", server.members.len());
         self.observations.push(Observation::ServerEnded { announced });
         if !announced {
             self.charge_crash(id, now);
--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -249,16 +249,16 @@
     /// scheduler without a recent response, because it is new or was suspended, cannot tell the two apart.
     pub(crate) fn has_departed(&self) -> bool {
         let Contact {
-            last_response: Some(heard),
-            failing_since: Some(silent),
+            last_response: Some(last_response),
+            failing_since: Some(failing_since),
             refused: true,
-            unlisted_at: Some(unlisted),
+            unlisted_at: Some(unlisted_at),
         } = self.contact
         else {
             return false;
         };
-        let responded_recently = silent.since(heard) < MAX_RESPONSE_INTERVAL;
-        let skew = silent.since(unlisted).max(unlisted.since(silent));
+        let responded_recently = failing_since.since(last_response) < MAX_RESPONSE_INTERVAL;
+        let skew = failing_since.since(unlisted_at).max(unlisted_at.since(failing_since));
         self.has_announced_departure() && responded_recently && !self.listed && skew < MAX_DEPARTURE_SKEW
     }
 
--- a/crates/scheduler/src/timing.rs
+++ b/crates/scheduler/src/timing.rs
@@ -61,10 +61,10 @@
     /// Returns when a lease that was last renewed by a call sent at `sent` has expired, on any backend server's
     /// clock.
     pub fn lease_expiry(&self, sent: Moment) -> Moment {
-        self.lease_end(self.lease, sent)
+        self.expiry(self.lease, sent)
     }
 
-    fn lease_end(&self, lease: Duration, sent: Moment) -> Moment {
+    fn expiry(&self, lease: Duration, sent: Moment) -> Moment {
         sent + lease.scaled(1.0 / SLOWEST_CLOCK) + self.lease_slack
     }
 
@@ -74,10 +74,10 @@
         self.lease_expiry(elected + self.unconfirmed_renewal)
     }
 
-    /// Returns the same bound if at `heard` enough witnesses had responded to the new scheduler that no earlier one
+    /// Returns the same bound if at `responded` enough witnesses had responded to the new scheduler that no earlier one
     /// can count two thirds of them by later calls. Until the election an earlier one may have granted full leases.
-    pub fn outvoted_lease_expiry(&self, elected: Moment, heard: Moment) -> Moment {
+    pub fn outvoted_lease_expiry(&self, elected: Moment, responded: Moment) -> Moment {
         let unconfirmed = self.lease.min(self.unconfirmed_lease);
-        self.lease_expiry(elected).max(self.lease_end(unconfirmed, heard + self.witness_window))
+        self.lease_expiry(elected).max(self.expiry(unconfirmed, responded + self.witness_window))
     }
 }
--- a/crates/scheduler/src/witnesses.rs
+++ b/crates/scheduler/src/witnesses.rs
@@ -197,7 +197,7 @@
     /// Chooses responsive backend servers, from each availability zone in turn.
     fn choose_witnesses(&self) -> WitnessRecord {
         let mut zones: BTreeMap<&AvailabilityZoneId, VecDeque<(&BackendServerId, &Server)>> = BTreeMap::new();
-        for (id, server) in self.servers.iter().filter(|(_, server)| may_witness(server)) {
+        for (id, server) in self.servers.iter().filter(|(_, server)| can_be_witness(server)) {
             if let Some(info) = &server.info {
                 zones.entry(&info.availability_zone).or_default().push_back((id, server));
             }
@@ -218,13 +218,13 @@
             return false;
         };
         let is_usable = |(id, incarnation): &(&BackendServerId, &Option<Incarnation>)| {
-            self.servers.get(*id).is_some_and(|server| may_witness(server) && server.incarnation == **incarnation)
+            self.servers.get(*id).is_some_and(|server| can_be_witness(server) && server.incarnation == **incarnation)
         };
         let usable = stored.incarnations.iter().filter(is_usable).count();
         5 * usable >= 4 * stored.incarnations.len() && 4 * stored.incarnations.len() >= 3 * new.incarnations.len()
     }
 }
 
-fn may_witness(server: &Server) -> bool {
+fn can_be_witness(server: &Server) -> bool {
     server.is_reachable() && server.listed && !server.has_announced_departure()
 }
