--- a/crates/scheduler/src/run_state.rs
+++ b/crates/scheduler/src/run_state.rs
@@ -99,7 +99,7 @@
     }
 
     /// Returns how long it is known to have run: from its confirmation to the latest response of its backend server,
-    /// at `heard`. `None` if this scheduler has no confirmation that it started.
+    /// at `last_response`. `None` if this scheduler has no confirmation that it started.
     pub(crate) fn known_run_time(&self, last_response: Option<Moment>) -> Option<Duration> {
         let confirmed = self.confirmed_at.filter(|_| self.phase == Phase::Running)?;
         Some(last_response.map_or(Duration::ZERO, |last_response| last_response.since(confirmed)))
--- a/crates/scheduler/src/timing.rs
+++ b/crates/scheduler/src/timing.rs
@@ -74,8 +74,8 @@
         self.lease_expiry(elected + self.unconfirmed_renewal)
     }
 
-    /// Returns the same bound if at `responded` enough witnesses had responded to the new scheduler that no earlier one
-    /// can count two thirds of them by later calls. Until the election an earlier one may have granted full leases.
+    /// Returns the same bound if by `responded` the new scheduler had responses from so many witnesses that no earlier
+    /// one can count two thirds of them by later calls. Until the election an earlier one may have granted full leases.
     pub fn outvoted_lease_expiry(&self, elected: Moment, responded: Moment) -> Moment {
         let unconfirmed = self.lease.min(self.unconfirmed_lease);
         self.lease_expiry(elected).max(self.expiry(unconfirmed, responded + self.witness_window))
