--- a/crates/scheduler/src/crashes.rs
+++ b/crates/scheduler/src/crashes.rs
@@ -121,7 +121,7 @@
     pub(crate) fn record_lapsed(&mut self, id: &BackendServerId, now: Moment) {
         let runs = self.crashes_to_charge(id, |_| true);
         let Some(server) = self.servers.get(id) else { return };
-        if !runs.is_empty() && !server.announced() {
+        if !runs.is_empty() && !server.has_announced_departure() {
             let lapsed = LapsedRuns { since: now, incarnation: server.incarnation, runs };
             self.lapsed.by_server.insert(id.clone(), lapsed);
         }
@@ -179,10 +179,10 @@
         if !early && self.step(name).long_running {
             // It was serving, so it does not crash its backend server on start; over months, unrelated crashes would
             // add up.
-            self.change(name, |progress| progress.crashes.retain(|crash| crash.index != index));
+            self.update_progress(name, |progress| progress.crashes.retain(|crash| crash.index != index));
             return;
         }
-        self.change(name, |progress| progress.crashes.push(crash));
+        self.update_progress(name, |progress| progress.crashes.push(crash));
         if self.has_reached_crash_limit(name, index) {
             self.fail_occurrence(name, "crashes", now);
         }
@@ -197,7 +197,7 @@
             let group = self.group(*other);
             group.isolated_retry.is_some() && group.members.iter().any(is_undecided)
         };
-        is_last_attempt(self.progress_of(name)) && self.group_names(name.occurrence.job).iter().any(has_isolated_retry)
+        is_last_attempt(self.progress_of(name)) && self.group_ids(name.occurrence.job).iter().any(has_isolated_retry)
     }
 
     /// Returns whether a backend server responds, or has been unresponsive for so short a time that it may have
--- a/crates/scheduler/src/draining.rs
+++ b/crates/scheduler/src/draining.rs
@@ -18,7 +18,7 @@
     pub(crate) fn accepts_work(&self, now: Moment) -> bool {
         let not_draining = self.info.as_ref().is_some_and(|info| !info.draining);
         let stays_open = not_draining && !self.closed_for_maintenance && !self.evacuated && self.is_as_listed();
-        stays_open && self.listed && self.is_reachable() && now >= self.not_before
+        stays_open && self.listed && self.is_reachable() && now >= self.no_starts_before
     }
 }
 
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -1,4 +1,4 @@
-//! Listings of backend servers: runs confirmed, strays stopped, losses found.
+//! Listings of backend servers: confirms runs, stops orphaned ones and detects lost ones.
 
 use std::collections::BTreeMap;
 
@@ -15,9 +15,9 @@
 };
 
 impl Scheduler {
-    /// A backend server has told what it runs and what ended, on a call sent at `sent`.
+    /// Processes the listing of a backend server, returned by a call sent at `sent`.
     ///
-    /// Listings of one backend server must be told in the order in which their calls were sent.
+    /// Listings of one backend server must be passed in the order in which their calls were sent.
     pub fn listing(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         if !self.servers.contains_key(id) {
             return;
@@ -38,7 +38,7 @@
         }
         if !server.has_reported {
             self.plan_requested = true;
-            // From here on it obeys no earlier scheduler, which can have renewed its lease up to now.
+            // From here on it refuses earlier schedulers, which can have renewed its lease up to now.
             server.has_reported = true;
             server.lease_expiry = self.timing.lease_expiry(now);
         }
@@ -49,15 +49,15 @@
         server.contact.refused = false;
         self.record_witness_answer(id, listing.incarnation, sent, now);
         self.plan_requested |= !listing.completions.is_empty();
-        for end in &listing.completions {
-            self.receive_completion(id, end, now);
+        for completion in &listing.completions {
+            self.receive_completion(id, completion, now);
         }
         self.stop_orphaned_runs(id, listing, now);
         for running in &listing.running {
-            self.confirm(id, running, now);
+            self.confirm_run(id, running, now);
         }
         if !listing.more_completions {
-            self.detect_lost_runs(id, listing, sent, now);
+            self.remove_lost_runs(id, listing, sent, now);
         }
         self.update_isolated_retries(id);
         self.throttle_best_effort(id, now);
@@ -66,8 +66,8 @@
         }
     }
 
-    /// A run is where it was placed.
-    fn confirm(&mut self, id: &BackendServerId, running: &RunningTask, now: Moment) {
+    /// Confirms that a run is where it was placed.
+    fn confirm_run(&mut self, id: &BackendServerId, running: &RunningTask, now: Moment) {
         let Some(name) = self.group_of(running.task) else { return };
         if self.progress_of(name).run != running.run {
             return;
@@ -90,53 +90,53 @@
         self.measure_progress(name, id, running, now);
     }
 
-    /// Runs that no one wants here: stopped, and their room counted until they are gone.
+    /// Stops orphaned runs. Their capacity counts as taken until they are no longer listed.
     fn stop_orphaned_runs(&mut self, id: &BackendServerId, listing: &Listing, now: Moment) {
-        let unwanted: Vec<(TaskId, RunNumber)> = listing
+        let orphaned: Vec<(TaskId, RunNumber)> = listing
             .running
             .iter()
-            .filter(|running| !self.is_wanted(id, running))
+            .filter(|running| !self.is_expected(id, running))
             .map(|running| (running.task, running.run))
             .collect();
         let retry = self.timing.stop_retry;
-        let server = self.servers.get_mut(id).expect("the caller has looked");
-        if unwanted.is_empty() && server.orphaned_runs.is_empty() {
+        let server = self.servers.get_mut(id).expect("the caller checked that the server is tracked");
+        if orphaned.is_empty() && server.orphaned_runs.is_empty() {
             return;
         }
-        let whole = server.info.as_ref().map(|info| info.capacity).unwrap_or_default();
+        let full_capacity = server.info.as_ref().map(|info| info.capacity).unwrap_or_default();
         let mut before = std::mem::take(&mut server.orphaned_runs);
         let mut orphaned_runs = BTreeMap::new();
-        for (task, run) in unwanted {
-            // One of a job that is not known any more may take everything.
-            let need = self.group_of(task).map_or(whole, |name| self.step(name).counted_resources());
+        for (task, run) in orphaned {
+            // A run of a job that is no longer tracked may take the whole capacity.
+            let resources = self.group_of(task).map_or(full_capacity, |name| self.step(name).counted_resources());
             let orphaned_run = match before.remove(&task) {
                 Some(orphaned_run) if orphaned_run.run == run && orphaned_run.stop_sent + retry > now => orphaned_run,
                 _ => {
                     log::info!("job={} event=stray_stopped task={task} run={run} server={id}", task.occurrence.job);
                     self.orders.push(Order::Stop { server: id.clone(), task, run });
-                    OrphanedRun { run, need, stop_sent: now }
+                    OrphanedRun { run, resources, stop_sent: now }
                 }
             };
             orphaned_runs.insert(task, orphaned_run);
         }
-        self.server_mut(id).expect("the caller has looked").orphaned_runs = orphaned_runs;
+        self.server_mut(id).expect("the caller checked that the server is tracked").orphaned_runs = orphaned_runs;
     }
 
-    fn is_wanted(&self, id: &BackendServerId, running: &RunningTask) -> bool {
+    fn is_expected(&self, id: &BackendServerId, running: &RunningTask) -> bool {
         let Some(name) = self.group_of(running.task) else { return false };
         let placed = |member: &Member| member.index == running.task.index && member.server == *id;
         self.progress_of(name).run == running.run && self.group(name).members.iter().any(placed)
     }
 
-    /// Runs that the listing must show if they went on, and does not.
-    fn detect_lost_runs(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
+    /// Removes runs that the listing lacks although it would have to show them if they still ran.
+    fn remove_lost_runs(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         let server = &self.servers[id];
         let listed = |task: &TaskId| listing.running.iter().any(|running| running.task == *task);
         let missing: Vec<TaskId> = server.members.keys().filter(|task| !listed(task)).copied().collect();
         for task in missing {
             let Some(name) = self.group_of(task) else { continue };
             let Some(member) = self.member_mut(name, task.index, id) else { continue };
-            if member.confirmed_at.is_some_and(|settled| settled < sent) {
+            if member.confirmed_at.is_some_and(|confirmed| confirmed < sent) {
                 log::info!("job={} event=not_listed task={task} server={id}", task.occurrence.job);
                 self.observations.push(Observation::RunLost { why: "not_listed" });
                 self.remove_member(name, task.index, None, now);
--- a/crates/scheduler/src/outcomes.rs
+++ b/crates/scheduler/src/outcomes.rs
@@ -1,4 +1,4 @@
-//! How runs end: what comes of it for their job, and when it may be acknowledged.
+//! Completions of runs: their effect on the job, and when they may be acknowledged.
 
 use jobs::{JobId, JobState, OccurrenceId, RunNumber};
 use model::{BackendServerId, Moment};
@@ -12,70 +12,82 @@
 };
 
 impl Scheduler {
-    /// Takes an end in, unless it was before; it is acknowledged once the store holds what came of it.
-    pub(crate) fn receive_completion(&mut self, id: &BackendServerId, end: &Completion, now: Moment) {
-        let server = self.servers.get_mut(id).expect("the caller has looked");
-        if end.serial <= server.highest_completion {
-            if end.serial <= server.acknowledged_serial {
-                // Told again though it was acknowledged: the call that did so was lost, or this is another end with its serial number.
-                log::info!("server={id} event=end_known task={} run={} serial={}", end.task, end.run, end.serial);
+    /// Processes a completion unless it was received before. It is acknowledged once the store holds its effect.
+    pub(crate) fn receive_completion(&mut self, id: &BackendServerId, completion: &Completion, now: Moment) {
+        let server = self.servers.get_mut(id).expect("the caller checked that the server is tracked");
+        if completion.serial <= server.highest_completion {
+            if completion.serial <= server.acknowledged_serial {
+                // Redelivered after it was acknowledged: either the acknowledging call was lost, or this is another
+                // completion with the same serial number.
+                log::info!(
+                    "server={id} event=end_known task={} run={} serial={}",
+                    completion.task,
+                    completion.run,
+                    completion.serial
+                );
                 self.observations.push(Observation::CompletionRedelivered);
             }
             return;
         }
-        server.highest_completion = end.serial;
-        if let Some(name) = self.group_of(end.task) {
-            self.apply_end(name, id, end, now);
+        server.highest_completion = completion.serial;
+        if let Some(name) = self.group_of(completion.task) {
+            self.apply_completion(name, id, completion, now);
         }
-        let occurrence = end.task.occurrence;
-        let stored_with = self.known_occurrence(occurrence).map(|state| (occurrence, state.version));
-        let server = self.servers.get_mut(id).expect("ends remove no backend server");
-        server.pending_completions.push_back(PendingCompletion { serial: end.serial, stored_with });
-        if let Some(state) = self.known_occurrence_mut(occurrence)
+        let occurrence = completion.task.occurrence;
+        let stored_with = self.find_occurrence(occurrence).map(|state| (occurrence, state.version));
+        let server = self.servers.get_mut(id).expect("completions remove no backend server");
+        server.pending_completions.push_back(PendingCompletion { serial: completion.serial, stored_with });
+        if let Some(state) = self.find_occurrence_mut(occurrence)
             && !state.completions_from.contains(id)
         {
             state.completions_from.push(id.clone());
         }
     }
 
-    fn apply_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
-        if end.kind == CompletionKind::Failed {
-            // It counts even if the run was given up before: what failed has used up an attempt.
-            self.apply_failure(name, id, end.run, now);
+    fn apply_completion(&mut self, name: GroupId, id: &BackendServerId, completion: &Completion, now: Moment) {
+        if completion.kind == CompletionKind::Failed {
+            // It counts even if the run was abandoned before, since a failed run has used up an attempt.
+            self.apply_failure(name, id, completion.run, now);
         }
-        let current = self.progress_of(name).run == end.run && self.member_mut(name, end.task.index, id).is_some();
+        let current =
+            self.progress_of(name).run == completion.run && self.member_mut(name, completion.task.index, id).is_some();
         if !current {
-            self.apply_late_end(name, id, end, now);
+            self.apply_late_completion(name, id, completion, now);
             return;
         }
         log::info!(
             "job={} event=ended task={} run={} server={id} how={} serial={}",
-            end.task.occurrence.job,
-            end.task,
-            end.run,
-            end.kind,
-            end.serial
+            completion.task.occurrence.job,
+            completion.task,
+            completion.run,
+            completion.kind,
+            completion.serial
         );
-        if end.kind == CompletionKind::Stopped && self.group(name).stopping.is_some() {
+        if completion.kind == CompletionKind::Stopped && self.group(name).stopping.is_some() {
             let took = now.since(self.group(name).stopped_at);
             self.stop_durations.record(took);
         }
-        if end.kind == CompletionKind::Done {
-            self.measure_completion(name, end.task.index, id, now);
+        if completion.kind == CompletionKind::Done {
+            self.measure_completion(name, completion.task.index, id, now);
         }
-        self.remove_member(name, end.task.index, end.checkpoint.clone(), now);
-        match end.kind {
+        self.remove_member(name, completion.task.index, completion.checkpoint.clone(), now);
+        match completion.kind {
             CompletionKind::Done => self.apply_done(name, id, now),
             _ => self.stop_group(name, StopReason::GangBroken, now),
         }
     }
 
-    /// An end of a run that was taken for over before: if it had done the work, no one has to do it again.
-    fn apply_late_end(&mut self, name: GroupId, id: &BackendServerId, end: &Completion, now: Moment) {
-        if end.kind != CompletionKind::Done || self.progress_of(name).done {
+    /// Applies a completion of a run that was no longer tracked: if it had done the work, the work isn't repeated.
+    fn apply_late_completion(&mut self, name: GroupId, id: &BackendServerId, completion: &Completion, now: Moment) {
+        if completion.kind != CompletionKind::Done || self.progress_of(name).done {
             return;
         }
-        log::info!("job={} event=done_late task={} run={}", end.task.occurrence.job, end.task, end.run);
+        log::info!(
+            "job={} event=done_late task={} run={}",
+            completion.task.occurrence.job,
+            completion.task,
+            completion.run
+        );
         self.apply_done(name, id, now);
         self.stop_group(name, StopReason::AlreadyDone, now);
     }
@@ -87,7 +99,7 @@
         if self.step(name).long_running {
             return;
         }
-        self.change(name, |progress| {
+        self.update_progress(name, |progress| {
             progress.done = true;
             progress.checkpoint = None;
         });
@@ -99,7 +111,7 @@
                 name.step
             );
         }
-        self.note_end(name.occurrence.job, now);
+        self.record_job_end(name.occurrence.job, now);
     }
 
     /// Counts a failed run, once, against the task's attempts and the backend server.
@@ -117,16 +129,16 @@
         if self.step(name).long_running || self.progress_of(name).failed_runs.contains(&run) {
             return;
         }
-        self.change(name, |progress| progress.failed_runs.push(run));
+        self.update_progress(name, |progress| progress.failed_runs.push(run));
         let queue = &self.jobs[&job].job.queue;
         let attempts = self.policy.queues.get(queue).map_or(u32::MAX, |queue| queue.attempts);
-        let spent = self.progress_of(name).failed_runs.len();
-        if spent >= attempts as usize && !self.progress_of(name).done && !self.jobs[&job].cancelled {
+        let used_attempts = self.progress_of(name).failed_runs.len();
+        if used_attempts >= attempts as usize && !self.progress_of(name).done && !self.jobs[&job].cancelled {
             self.fail_occurrence(name, "attempts_used", now);
         }
     }
 
-    /// A task is given up: nothing else of its occurrence goes on.
+    /// Fails an occurrence, since one of its tasks is abandoned, and stops its other runs.
     pub(crate) fn fail_occurrence(&mut self, name: GroupId, why: &'static str, now: Moment) {
         let job = name.occurrence.job;
         log::info!(
@@ -137,15 +149,15 @@
         );
         self.observations.push(Observation::TaskAbandoned { why });
         self.occurrence_mut(name.occurrence).progress.failed = true;
-        self.note_end(job, now);
-        let others = self.group_names(job);
+        self.record_job_end(job, now);
+        let others = self.group_ids(job);
         for other in others.into_iter().filter(|other| other.occurrence == name.occurrence) {
             self.stop_group(other, StopReason::Hopeless, now);
         }
     }
 
-    /// Notes the end of a job once its last occurrence is over.
-    fn note_end(&mut self, job: JobId, now: Moment) {
+    /// Records the end of a job once its last occurrence has ended.
+    fn record_job_end(&mut self, job: JobId, now: Moment) {
         let entry = self.jobs.get_mut(&job).expect("its group was just changed");
         if entry.ended_at.is_some() || !entry.occurrences.iter().all(Occurrence::is_finished) {
             return;
@@ -153,16 +165,17 @@
         entry.ended_at = Some(now);
         let failed = entry.occurrences.iter().any(|occurrence| occurrence.progress.failed);
         let state = if failed { JobState::Failed } else { JobState::Succeeded };
-        self.observe_end(job, state, now);
+        self.observe_job_end(job, state, now);
     }
 
-    /// Lets ends of a backend server be acknowledged whose progress the store holds. Returns whether there were any.
+    /// Releases the completions of a backend server whose effect is stored for acknowledgement. Returns whether there
+    /// were any.
     pub(crate) fn acknowledge_stored(&mut self, id: &BackendServerId) -> bool {
         let Scheduler { servers, jobs, .. } = self;
         let Some(server) = servers.get_mut(id) else { return false };
         let before = server.acknowledged_serial;
-        while let Some(end) = server.pending_completions.front() {
-            let stored = end.stored_with.is_none_or(|(occurrence, version)| {
+        while let Some(completion) = server.pending_completions.front() {
+            let stored = completion.stored_with.is_none_or(|(occurrence, version)| {
                 let entry = jobs.get(&occurrence.job);
                 let state = entry.and_then(|entry| entry.occurrences.get(occurrence.number as usize));
                 state.is_none_or(|state| state.stored_version >= version)
@@ -170,16 +183,16 @@
             if !stored {
                 break;
             }
-            server.acknowledged_serial = end.serial;
+            server.acknowledged_serial = completion.serial;
             server.pending_completions.pop_front();
         }
         server.acknowledged_serial > before
     }
 
-    /// The store holds an occurrence as of a version: the ends that wait for it are looked at. Returns the backend
-    /// servers to which more can be acknowledged now.
+    /// Releases the completions that waited for an occurrence to be stored. Returns the backend servers to which more
+    /// can be acknowledged now.
     pub(crate) fn acknowledge_stored_with(&mut self, id: OccurrenceId) -> Vec<BackendServerId> {
-        let Some(occurrence) = self.known_occurrence_mut(id) else { return Vec::new() };
+        let Some(occurrence) = self.find_occurrence_mut(id) else { return Vec::new() };
         let waiting = std::mem::take(&mut occurrence.completions_from);
         let mut acknowledged = Vec::new();
         let mut still_waiting = Vec::new();
@@ -191,7 +204,7 @@
                 still_waiting.push(server);
             }
         }
-        if let Some(occurrence) = self.known_occurrence_mut(id) {
+        if let Some(occurrence) = self.find_occurrence_mut(id) {
             occurrence.completions_from = still_waiting;
         }
         acknowledged
--- a/crates/scheduler/src/unreachable.rs
+++ b/crates/scheduler/src/unreachable.rs
@@ -1,12 +1,14 @@
-//! Backend servers that no scheduler has reached lately, told from one scheduler to the next.
+//! Record of unreachable backend servers, passed from one scheduler to the next through the store.
 //!
-//! What runs on a lost backend server is over only when every lease is that an earlier scheduler can have given. A new
-//! scheduler reckons them from its own election, so each election would begin that wait anew. But one that does not
-//! reach a backend server gives it no lease, whether it never has reached it or has lost it: it notes in the store how
-//! long leases have left there, and the next goes on from that.
+//! Runs on a lost backend server have ended only when every lease that an earlier scheduler can have granted has
+//! expired. A new scheduler counts these from its own election, so each election would restart the wait. But a
+//! scheduler gives no lease to a backend server that it can't reach, whether it has never reached it or has lost
+//! contact. So it records in the store for how long leases there remain valid, and the next scheduler continues from
+//! that.
 //!
-//! A backend server that the note may name is given no lease and no work until the note is withdrawn: the next scheduler relies on
-//! it. A write without an answer may take effect later, so each has as its condition the revision that the one before left.
+//! A backend server that the record may name gets no lease and no work until the record is withdrawn, since the next
+//! scheduler relies on that. A write without a response may take effect later, so each write is conditional on the
+//! revision that the previous one left.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,141 +17,143 @@
 
 use crate::Scheduler;
 
-/// A new scheduler reaches what answers within this; only what is left is worth a write.
-const FIRST_NOTE_AFTER: Duration = Duration::from_millis(1000);
-/// A backend server that answered before is noted once it has been silent for so long: one whose connection broke
-/// answers again sooner, and must not wait for a note to be withdrawn.
-const NOTED_AFTER: Duration = Duration::from_millis(1000);
-/// What the next scheduler is told to wait is at most this much too long.
-const NOTE_EVERY: Duration = Duration::from_millis(1000);
-
-/// Backend servers that a scheduler has not reached, as the store holds them: how long leases of earlier schedulers
-/// have left there at most.
+/// Time after the election before the first record. By then a new scheduler has reached what responds, and only the
+/// rest is worth a write.
+const FIRST_RECORD_DELAY: Duration = Duration::from_millis(1000);
+/// Time without a response after which a backend server that responded before is recorded. One whose connection broke
+/// responds again sooner, and must not wait for a record to be withdrawn.
+const RECORD_UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1000);
+/// Time between two records. The wait of the next scheduler is too long by at most this.
+const RECORD_INTERVAL: Duration = Duration::from_millis(1000);
+
+/// Record of the backend servers that a scheduler could not reach, with the longest time that leases of earlier
+/// schedulers remain valid there.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnreachableRecord {
     /// In milliseconds from the write, so that no two clocks are compared.
     left_ms: BTreeMap<BackendServerId, u64>,
 }
 
-/// A note that is to be stored.
+/// Write of the record to the store.
 #[derive(Debug, Clone)]
 pub struct UnreachableWrite {
-    /// What.
+    /// Record to store.
     pub record: UnreachableRecord,
-    /// The store's revision of the note that it replaces; 0 if there is none.
+    /// Revision in the store that the write replaces; 0 if there is none.
     pub replaces: Revision,
     at: Moment,
 }
 
-/// What a scheduler knows of the note in the store.
+/// State that a scheduler keeps of the record in the store.
 #[derive(Debug, Default)]
 pub(crate) struct Unreachable {
-    /// Backend servers with runs, and not reached.
-    waiting: BTreeSet<BackendServerId>,
-    /// Backend servers that the note in the store may name.
-    named: BTreeSet<BackendServerId>,
-    /// When leases are over by an earlier scheduler's note.
-    noted_over: BTreeMap<BackendServerId, Moment>,
-    /// When the note that the store holds was drawn up.
-    noted_at: Option<Moment>,
+    /// Unreachable backend servers that may run something.
+    pending: BTreeSet<BackendServerId>,
+    /// Backend servers that the record in the store may name.
+    recorded: BTreeSet<BackendServerId>,
+    /// When leases expire, by an earlier scheduler's record.
+    recorded_expiry: BTreeMap<BackendServerId, Moment>,
+    /// When the record in the store was made.
+    recorded_at: Option<Moment>,
     revision: Revision,
 }
 
 impl Unreachable {
-    /// When every lease that earlier schedulers can have given is over, if it is `by_election` without a note.
+    /// Returns when every lease of earlier schedulers has expired; `by_election` is the bound without a record.
     pub(crate) fn lease_expiry_of(&self, id: &BackendServerId, by_election: Moment) -> Moment {
-        self.noted_over.get(id).map_or(by_election, |noted| by_election.min(*noted))
+        self.recorded_expiry.get(id).map_or(by_election, |recorded| by_election.min(*recorded))
     }
 
-    /// A run may go on there, and it is not reached.
+    /// Adds a backend server that is unreachable and may run something.
     pub(crate) fn add_pending(&mut self, id: &BackendServerId) {
-        self.waiting.insert(id.clone());
+        self.pending.insert(id.clone());
     }
 
-    /// It has answered, or is not known any more.
+    /// Removes a backend server that has responded or is no longer tracked.
     pub(crate) fn remove_pending(&mut self, id: &BackendServerId) {
-        self.waiting.remove(id);
+        self.pending.remove(id);
     }
 
-    /// Whether the note in the store may name it.
+    /// Whether the record in the store may name a backend server.
     pub(crate) fn is_recorded(&self, id: &BackendServerId) -> bool {
-        self.named.contains(id)
+        self.recorded.contains(id)
     }
 
-    /// Whether the note may name one that has been reached.
-    fn is_to_be_withdrawn(&self) -> bool {
-        self.named.iter().any(|id| !self.waiting.contains(id))
+    /// Whether the record in the store may name a backend server that has been reached.
+    fn needs_withdrawal(&self) -> bool {
+        self.recorded.iter().any(|id| !self.pending.contains(id))
     }
 }
 
 impl Scheduler {
-    /// Takes over the note of an earlier scheduler, before anything else is restored.
+    /// Restores the record of an earlier scheduler. Must be called before anything else is restored.
     pub fn restore_unreachable(&mut self, record: &UnreachableRecord, revision: Revision) {
-        let over = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
-        self.unreachable.noted_over = record.left_ms.iter().map(over).collect();
-        self.unreachable.named = record.left_ms.keys().cloned().collect();
-        self.unreachable.noted_at = Some(self.elected);
+        let expiry = |(id, left): (&BackendServerId, &u64)| (id.clone(), self.elected + Duration::from_millis(*left));
+        self.unreachable.recorded_expiry = record.left_ms.iter().map(expiry).collect();
+        self.unreachable.recorded = record.left_ms.keys().cloned().collect();
+        self.unreachable.recorded_at = Some(self.elected);
         self.unreachable.revision = revision;
     }
 
-    /// When every lease that earlier schedulers can have given a backend server is over.
+    /// Returns when every lease that earlier schedulers can have granted on a backend server has expired.
     pub(crate) fn earlier_lease_expiry(&self, id: &BackendServerId) -> Moment {
         self.unreachable.lease_expiry_of(id, self.earlier_lease_expiry)
     }
 
-    /// Every earlier scheduler has said that it renews no lease any more, or is known to have begun anew since: the
-    /// latest of them at `ended`.
+    /// Handles the end of all earlier schedulers: each has confirmed that it renews no leases any more, or is known
+    /// to have restarted since, the latest of them at `ended`.
     pub fn earlier_terms_ended(&mut self, ended: Moment) {
         self.resolve_witnesses();
         self.limit_earlier_leases(self.timing.lease_expiry(ended));
     }
 
-    /// Every lease that an earlier scheduler can have given is over by then, and may be over sooner.
-    pub(crate) fn limit_earlier_leases(&mut self, over: Moment) {
-        self.earlier_lease_expiry = self.earlier_lease_expiry.min(over);
+    /// Lowers the bound on the leases of earlier schedulers to `expiry`.
+    pub(crate) fn limit_earlier_leases(&mut self, expiry: Moment) {
+        self.earlier_lease_expiry = self.earlier_lease_expiry.min(expiry);
         for server in self.servers.values_mut().filter(|server| !server.has_reported) {
-            server.lease_expiry = server.lease_expiry.min(over);
+            server.lease_expiry = server.lease_expiry.min(expiry);
         }
     }
 
-    /// Whether a backend server may be given a lease: the next scheduler may have been told that it was given none.
+    /// Whether a backend server may be given a lease. The next scheduler may rely on it having none.
     pub fn may_renew(&self, id: &BackendServerId) -> bool {
         !self.unreachable.is_recorded(id)
     }
 
-    /// The note that should be stored now, if any. The backend servers that it names count as named from here on,
-    /// whatever comes of the write.
+    /// Returns the record to store now, if any. From here on the backend servers that it names count as named,
+    /// whatever the outcome of the write.
     pub fn next_unreachable_write(&mut self, now: Moment) -> Option<UnreachableWrite> {
-        let new = now.since(self.elected) < FIRST_NOTE_AFTER;
-        let fresh = self.unreachable.noted_at.is_some_and(|at| now.since(at) < NOTE_EVERY);
+        let newly_elected = now.since(self.elected) < FIRST_RECORD_DELAY;
+        let is_recent = self.unreachable.recorded_at.is_some_and(|at| now.since(at) < RECORD_INTERVAL);
         let record = UnreachableRecord { left_ms: self.unreachable_leases(now) };
-        let due = !record.left_ms.is_empty() && !new && !fresh;
-        if !due && !self.unreachable.is_to_be_withdrawn() {
+        let due = !record.left_ms.is_empty() && !newly_elected && !is_recent;
+        if !due && !self.unreachable.needs_withdrawal() {
             return None;
         }
-        let newly: Vec<BackendServerId> =
+        let newly_recorded: Vec<BackendServerId> =
             record.left_ms.keys().filter(|id| !self.unreachable.is_recorded(id)).cloned().collect();
-        self.unreachable.named.extend(newly);
+        self.unreachable.recorded.extend(newly_recorded);
         Some(UnreachableWrite { record, replaces: self.unreachable.revision, at: now })
     }
 
-    /// What the note is to name, with how long leases have left there in milliseconds: also what it names already, for
-    /// as long as that is not reached.
+    /// Returns the backend servers that the record is to name, with the remaining lease time there in milliseconds.
+    /// Those that it may name already are kept while they are unreachable.
     fn unreachable_leases(&self, now: Moment) -> BTreeMap<BackendServerId, u64> {
         let left = |id: &BackendServerId| {
             let server = self.servers.get(id)?;
-            let lost_just_now = server.contact.failing_since.is_some_and(|since| now.since(since) < NOTED_AFTER);
-            let named = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
-            named.then(|| (id.clone(), server.lease_expiry.since(now).millis()))
+            let lost_just_now =
+                server.contact.failing_since.is_some_and(|since| now.since(since) < RECORD_UNRESPONSIVE_AFTER);
+            let to_record = !server.has_reported || !lost_just_now || self.unreachable.is_recorded(id);
+            to_record.then(|| (id.clone(), server.lease_expiry.since(now).millis()))
         };
-        self.unreachable.waiting.iter().filter_map(left).collect()
+        self.unreachable.pending.iter().filter_map(left).collect()
     }
 
-    /// The store has taken a note, at `revision`: what it does not name may be given leases again.
+    /// Handles a record that was stored at `revision`: backend servers that it does not name may get leases again.
     pub fn unreachable_stored(&mut self, write: UnreachableWrite, revision: Revision) {
-        let before = std::mem::take(&mut self.unreachable.named);
-        self.unreachable.named = write.record.left_ms.into_keys().collect();
-        self.unreachable.noted_at = Some(write.at);
+        let before = std::mem::take(&mut self.unreachable.recorded);
+        self.unreachable.recorded = write.record.left_ms.into_keys().collect();
+        self.unreachable.recorded_at = Some(write.at);
         self.unreachable.revision = revision;
         for id in before {
             if !self.unreachable.is_recorded(&id) {
@@ -159,7 +163,8 @@
         }
     }
 
-    /// The store holds another note than was to be replaced: an earlier write of ours took effect after all.
+    /// Handles a conflict: the store holds another record than expected, since an earlier write of this scheduler
+    /// took effect after all.
     pub fn unreachable_revision_found(&mut self, revision: Revision) {
         self.unreachable.revision = revision;
     }
