--- a/crates/scheduler/tests/advice.rs
+++ b/crates/scheduler/tests/advice.rs
@@ -17,7 +17,7 @@
 
 fn fixture(servers: usize) -> Fixture {
     let mut fixture = Fixture::new(servers);
-    fixture.need_advice(ADVICE);
+    fixture.require_permits(ADVICE);
     fixture
 }
 
@@ -88,7 +88,7 @@
 fn a_ticket_whose_time_is_over_is_asked_for_again() {
     let (mut fixture, started) = started();
     fixture.advance(2000);
-    fixture.end(&started, CompletionKind::Stopped);
+    fixture.complete(&started, CompletionKind::Stopped);
     let again = question(&mut fixture);
     assert_eq!(again.servers, [server_id(0)]);
     answer(&mut fixture, &again, &[0]);
--- a/crates/scheduler/tests/answers_in_any_order.rs
+++ b/crates/scheduler/tests/answers_in_any_order.rs
@@ -21,12 +21,12 @@
     fixture.submit(job(1, vec![step(1, 1)]));
     let place = fixture.start_all().remove(0).server;
     let ids: Vec<BackendServerId> = (0..7).map(server_id).filter(|id| *id != place).collect();
-    fixture.vanish(&place);
+    fixture.lose_unnoticed(&place);
     for id in &ids {
-        fixture.fall_silent(id);
+        fixture.stop_responding(id);
     }
-    fixture.hold_witnesses(Some(witnesses(&ids)), true);
-    fixture.elect_anew();
+    fixture.set_stored_witnesses(Some(witnesses(&ids)), true);
+    fixture.elect_next();
     let elected = fixture.now;
     let listing = Listing { incarnation: Some(Incarnation(1000)), ..Listing::default() };
     let (early, late) = (elected + Duration::from_millis(1000), elected + Duration::from_millis(7000));
--- a/crates/scheduler/tests/attempts.rs
+++ b/crates/scheduler/tests/attempts.rs
@@ -2,20 +2,20 @@
 
 mod common;
 
-use common::{Fixture, gang, job, run_of};
+use common::{Fixture, gang, job, run_number};
 use jobs::JobState;
 use scheduler::CompletionKind;
 
 #[test]
 fn a_failure_counts_when_another_member_was_seen_to_end_first() {
     let mut fixture = Fixture::new(2);
-    fixture.attempts(1);
+    fixture.set_attempts(1);
     fixture.submit(job(1, vec![gang(2, 8)]));
     let placed = fixture.start_all();
     let (first, second) = (&placed[0], &placed[1]);
     // The other member's end is listed before the failure that caused it.
-    fixture.end(second, CompletionKind::Broken);
-    fixture.end(first, CompletionKind::Failed);
+    fixture.complete(second, CompletionKind::Broken);
+    fixture.complete(first, CompletionKind::Failed);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Failed));
     assert!(fixture.start_all().is_empty(), "no attempt is left");
@@ -24,7 +24,7 @@
 #[test]
 fn a_failure_of_a_run_that_was_given_up_counts() {
     let mut fixture = Fixture::new(2);
-    fixture.attempts(1);
+    fixture.set_attempts(1);
     fixture.submit(job(1, vec![gang(1, 8)]));
     let placed = fixture.start_all();
     let gone = &placed[0];
@@ -32,7 +32,7 @@
     assert_eq!(fixture.start_all().len(), 1, "it is placed again once the lease is over");
     // The first run had failed before its lease was over; its backend server is back and says so.
     fixture.reconnect(&gone.server);
-    fixture.end(gone, CompletionKind::Failed);
+    fixture.complete(gone, CompletionKind::Failed);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Failed));
 }
@@ -40,16 +40,16 @@
 #[test]
 fn two_members_that_fail_in_one_run_are_one_attempt() {
     let mut fixture = Fixture::new(4);
-    fixture.attempts(2);
+    fixture.set_attempts(2);
     fixture.submit(job(1, vec![gang(2, 8)]));
     for placed in fixture.start_all() {
-        fixture.end(&placed, CompletionKind::Failed);
+        fixture.complete(&placed, CompletionKind::Failed);
     }
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Running));
     let again = fixture.start_all();
     assert_eq!(again.len(), 2);
-    assert_eq!(run_of(&again[0]), 2);
+    assert_eq!(run_number(&again[0]), 2);
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let again = fixture.start_all();
     assert_eq!(again.len(), 1);
     fixture.reconnect(&placed[0].server);
-    fixture.end(&placed[0], CompletionKind::Done);
+    fixture.complete(&placed[0], CompletionKind::Done);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
     fixture.start_all();
@@ -76,7 +76,7 @@
     fixture.cut_past_lease(&placed[0].server);
     assert!(fixture.start_all().is_empty(), "there is no other place");
     fixture.reconnect(&placed[0].server);
-    fixture.end(&placed[0], CompletionKind::Done);
+    fixture.complete(&placed[0], CompletionKind::Done);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
 }
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -25,9 +25,9 @@
     resize(&mut fixture, 0, 4);
     fixture.submit(job_in("urgent", 2, vec![step(1, 2)]));
     assert!(fixture.start_all().is_empty(), "6 of 4 accelerators are taken");
-    fixture.end(&placed[0], CompletionKind::Done);
+    fixture.complete(&placed[0], CompletionKind::Done);
     assert!(fixture.start_all().is_empty(), "4 of 4 are taken");
-    fixture.end(&placed[1], CompletionKind::Done);
+    fixture.complete(&placed[1], CompletionKind::Done);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
--- a/crates/scheduler/tests/common/capacity.rs
+++ b/crates/scheduler/tests/common/capacity.rs
@@ -1,4 +1,4 @@
-//! Backend servers whose capacity changes while they run.
+//! Changes of the capacity of running backend servers.
 
 use jobs::{Resources, TaskId};
 use model::BackendServerId;
@@ -6,11 +6,11 @@
 
 use super::{info, world::World};
 
-/// A capacity that has shrunk counts after so long (users: 3 s of contact and a heartbeat of 1.5 s).
-const SHRUNK_COUNTS_AFTER_MS: u64 = 4500;
+/// Time after which a reduced capacity is enforced (platform: 3 s of contact and a heartbeat of 1.5 s).
+const SHRINK_GRACE_MS: u64 = 4500;
 
 impl World {
-    /// A backend server's capacity becomes so many eighths of what it was at first.
+    /// Sets a backend server's capacity to so many eighths of its initial one.
     pub(crate) fn resize(&mut self, i: usize, eighths: u64) {
         let Some(id) = self.servers.keys().nth(i % self.servers.len()).cloned() else { return };
         if !self.reachable(&id) {
@@ -27,20 +27,20 @@
         let server = self.server_mut(&id);
         server.resized_at = now;
         server.info = ServerInfo { capacity, ..server.info.clone() };
-        self.tell_listed(&id);
+        self.report_listed(&id);
     }
 
-    /// A task has begun on a backend server: where it does not guard its capacity, the scheduler has to.
+    /// Checks the capacity after a start: where the backend server does not enforce it, the scheduler has to.
     pub(crate) fn check_capacity(&mut self, id: &BackendServerId, task: TaskId) {
         let server = &self.servers[id];
         let mut used = Resources::default();
         for other in server.running.keys() {
             used.add(&self.jobs[&other.occurrence.job].steps[other.step as usize].need);
         }
-        let counts = self.now >= server.resized_at + SHRUNK_COUNTS_AFTER_MS;
+        let is_enforced = self.now >= server.resized_at + SHRINK_GRACE_MS;
         assert!(
-            !counts || server.info.capacity.contains(&used),
-            "{task} began on {id} at {}: {used:?} of {:?}",
+            !is_enforced || server.info.capacity.contains(&used),
+            "{task} started on {id} at {}: {used:?} of {:?}",
             self.now,
             server.info.capacity
         );
--- a/crates/scheduler/tests/common/crashes.rs
+++ b/crates/scheduler/tests/common/crashes.rs
@@ -1,4 +1,4 @@
-//! Backend servers that crash under a task: their port is closed for some seconds, then another life answers in their place.
+//! Backend servers that crash under a task: their port is closed for some seconds, then another one replaces them.
 
 use jobs::TaskId;
 use model::BackendServerId;
@@ -9,38 +9,38 @@
     world::{STEP_MS, World},
 };
 
-/// From a crash until the next life answers, in milliseconds (seen on the users' platform: 3.1 to 3.6 s).
-const BACK_AFTER_MS: u64 = 3500;
-/// More starts than this, after three backend servers have crashed under a task, break the users' rule.
-const STARTS_LEFT: usize = 2;
+/// Time from a crash until its replacement responds, in milliseconds (observed on the platform: 3.1 to 3.6 s).
+const REPLACEMENT_DELAY_MS: u64 = 3500;
+/// Maximum number of starts of a task after three backend servers have crashed under it (platform rules).
+const MAX_STARTS_AFTER_CRASHES: usize = 2;
 
 impl World {
-    /// A task that crashes backend servers has begun.
-    pub(crate) fn crash_if_it_must(&mut self, id: &BackendServerId, task: TaskId) {
-        if self.crashing.contains(&task) {
+    /// Schedules a crash after the start of a crashing task.
+    pub(crate) fn crash_after_start(&mut self, id: &BackendServerId, task: TaskId) {
+        if self.crashing_tasks.contains(&task) {
             self.after(STEP_MS, Event::Crash { server: id.clone() });
         }
     }
 
-    /// Backend servers crash under a task from here on, as often as it begins.
-    pub(crate) fn let_crash(&mut self, task: TaskId) {
-        self.crashing.insert(task);
+    /// Makes a task crash its backend server on every start from now on.
+    pub(crate) fn crash_on_start(&mut self, task: TaskId) {
+        self.crashing_tasks.insert(task);
     }
 
     pub(crate) fn on_crash(&mut self, id: &BackendServerId) {
         if !self.servers.contains_key(id) {
             return;
         }
-        self.end_life(id);
+        self.end_incarnation(id);
         for leader in 0..self.leaders.len() {
             let how = CallFailure::Refused;
             self.after(STEP_MS, Event::CallFailed { leader, server: id.clone(), how });
         }
-        self.after(BACK_AFTER_MS, Event::Back { server: id.clone() });
+        self.after(REPLACEMENT_DELAY_MS, Event::Replaced { server: id.clone() });
     }
 
-    /// Another life answers at the address of one that has crashed.
-    pub(crate) fn on_back(&mut self, id: &BackendServerId) {
+    /// Replaces a crashed backend server.
+    pub(crate) fn on_replaced(&mut self, id: &BackendServerId) {
         let now = self.moment();
         for leader in self.leaders.iter_mut().filter(|leader| leader.alive) {
             leader.scheduler.server_ended(id, now);
@@ -48,15 +48,15 @@
         self.add_server();
     }
 
-    /// A task begins: not three times more after three backend servers have crashed under it.
+    /// Checks at a start that at most two follow after three backend servers have crashed under the task.
     pub(crate) fn check_crashes(&mut self, task: TaskId) {
         let seen = self.seen.entry(task).or_default();
         if seen.crashes >= 3 {
-            seen.begun_since += 1;
+            seen.starts_since += 1;
             assert!(
-                seen.begun_since <= STARTS_LEFT,
-                "{task} began {} times after three crashes, the last after {}",
-                seen.begun_since,
+                seen.starts_since <= MAX_STARTS_AFTER_CRASHES,
+                "{task} started {} times after three crashes, the last after {}",
+                seen.starts_since,
                 seen.crashes
             );
         }
--- a/crates/scheduler/tests/common/events.rs
+++ b/crates/scheduler/tests/common/events.rs
@@ -14,32 +14,32 @@
     world::{ClockReading, STEP_MS, World},
 };
 
-/// After this long a scheduler is told that a start was not answered.
-pub(crate) const UNANSWERED_MS: u64 = 400;
+/// Time after which the caller gets an unanswered start reported as unknown.
+pub(crate) const START_TIMEOUT_MS: u64 = 400;
 
-/// Something that arrives somewhere. `leader` is the index of the scheduler that called or hears.
+/// An event that arrives. `leader` is the index of the calling or receiving scheduler.
 #[derive(Debug)]
 pub(crate) enum Event {
-    Hold {
+    Heartbeat {
         leader: usize,
         server: BackendServerId,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
         acknowledged: u64,
         until: Option<u64>,
         sent: Moment,
     },
-    Held {
+    HeartbeatReply {
         leader: usize,
         server: BackendServerId,
         reply: Option<Listing>,
-        /// Whose clock, and what it shows.
+        /// Incarnation, and its clock in milliseconds.
         clock: (Incarnation, u64),
         sent: Moment,
     },
     Start {
         leader: usize,
         server: BackendServerId,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
         task: TaskId,
         run: RunNumber,
         until: u64,
@@ -56,7 +56,7 @@
     Stop {
         leader: usize,
         server: BackendServerId,
-        life: Option<Incarnation>,
+        incarnation: Option<Incarnation>,
         task: TaskId,
         run: RunNumber,
         answered: bool,
@@ -81,54 +81,54 @@
         leader: usize,
         batch: WriteBatch,
     },
-    Note {
+    WriteUnreachable {
         leader: usize,
         write: UnreachableWrite,
         answered: bool,
     },
-    Noted {
+    UnreachableWritten {
         leader: usize,
         write: UnreachableWrite,
         result: Result<Revision, Revision>,
     },
-    NoteLost {
+    UnreachableWriteLost {
         leader: usize,
     },
-    Choose {
+    WriteWitnesses {
         leader: usize,
         write: WitnessWrite,
         answered: bool,
     },
-    Chosen {
+    WitnessesWritten {
         leader: usize,
         write: WitnessWrite,
         result: Result<Revision, Option<(WitnessRecord, Revision)>>,
     },
-    ChoiceLost {
+    WitnessWriteLost {
         leader: usize,
     },
-    /// A scheduler hears that the platform no longer lists a backend server.
+    /// A scheduler is informed that the platform no longer lists a backend server.
     Unlisted {
         leader: usize,
         server: BackendServerId,
     },
-    /// A scheduler hears how the evacuations stand by then.
-    EvacuationsTold {
+    /// A scheduler is informed of the evacuations in force at that time.
+    EvacuationsReported {
         leader: usize,
     },
-    /// A backend server's process ends without a word.
+    /// A backend server's process ends without notice.
     Crash {
         server: BackendServerId,
     },
-    /// Another life answers at its address.
-    Back {
+    /// Another backend server replaces a crashed one.
+    Replaced {
         server: BackendServerId,
     },
-    /// A backend server that has crashed begins its next life under its id.
-    Return {
+    /// A crashed backend server restarts under its id.
+    Restart {
         server: Box<FakeServer>,
     },
-    /// A scheduler's call finds that a backend server has gone.
+    /// A scheduler's call to an ended backend server fails.
     CallFailed {
         leader: usize,
         server: BackendServerId,
@@ -148,32 +148,36 @@
 
     pub(crate) fn handle(&mut self, event: Event) {
         match event {
-            Event::Hold { leader, server, life, acknowledged, until, sent } => {
-                // Over a connection on which another life answers, or none has answered, nothing is acknowledged or renewed.
-                let meant = self.is_life(&server, life);
-                let (acknowledged, until) = if meant { (acknowledged, until) } else { (0, None) };
-                self.on_hold(leader, &server, acknowledged, until, sent);
+            Event::Heartbeat { leader, server, incarnation, acknowledged, until, sent } => {
+                // Nothing is acknowledged or renewed over a connection on which another incarnation responds, or none
+                // has responded yet.
+                let is_current = self.is_current_incarnation(&server, incarnation);
+                let (acknowledged, until) = if is_current { (acknowledged, until) } else { (0, None) };
+                self.on_heartbeat(leader, &server, acknowledged, until, sent);
             }
-            Event::Held { leader, server, reply, clock, sent } => self.on_held(leader, server, reply, clock, sent),
-            Event::Start { leader, server, life, task, run, until, answered, checkpoint } => {
+            Event::HeartbeatReply { leader, server, reply, clock, sent } => {
+                self.on_heartbeat_reply(leader, server, reply, clock, sent)
+            }
+            Event::Start { leader, server, incarnation, task, run, until, answered, checkpoint } => {
                 if answered {
                     self.check_evacuated(&server, task);
                 }
-                let reply = if self.is_life(&server, life) {
+                let reply = if self.is_current_incarnation(&server, incarnation) {
                     self.start(leader, &server, task, run, until, checkpoint)
                 } else {
                     StartReply::Unknown
                 };
-                let reply = if self.is_mute(&server) { StartReply::Unknown } else { reply };
-                let delay = if reply == StartReply::Unknown { UNANSWERED_MS } else { STEP_MS };
+                let reply = if self.replies_lost(&server) { StartReply::Unknown } else { reply };
+                let delay = if reply == StartReply::Unknown { START_TIMEOUT_MS } else { STEP_MS };
                 if answered {
                     self.after(delay, Event::Started { leader, server, task, run, reply });
                 }
             }
             Event::Started { leader, server, task, run, reply } => self.on_started(leader, &server, task, run, reply),
-            Event::Stop { leader, server, life, task, run, answered } => {
-                let obeyed = self.is_life(&server, life) && self.on_stop(leader, &server, task, run);
-                if obeyed && answered && !self.is_mute(&server) {
+            Event::Stop { leader, server, incarnation, task, run, answered } => {
+                let accepted =
+                    self.is_current_incarnation(&server, incarnation) && self.on_stop(leader, &server, task, run);
+                if accepted && answered && !self.replies_lost(&server) {
                     self.after(STEP_MS, Event::Stopped { leader, server, task, run });
                 }
             }
@@ -186,40 +190,40 @@
             }
             Event::Written { leader, batch, result } => self.on_written(leader, batch, result),
             Event::WriteLost { leader, batch } => {
-                self.leaders[leader].writing -= 1;
+                self.leaders[leader].writes_in_flight -= 1;
                 self.leaders[leader].scheduler.batch_failed(&batch);
             }
-            Event::Note { leader, write, answered } => {
-                let result = self.write_note(leader, &write);
+            Event::WriteUnreachable { leader, write, answered } => {
+                let result = self.write_unreachable(leader, &write);
                 if answered {
-                    self.after(STEP_MS, Event::Noted { leader, write, result });
+                    self.after(STEP_MS, Event::UnreachableWritten { leader, write, result });
                 }
             }
-            Event::Noted { leader, write, result } => {
+            Event::UnreachableWritten { leader, write, result } => {
                 let leader = &mut self.leaders[leader];
-                leader.noting = false;
+                leader.writing_unreachable = false;
                 match result {
                     Ok(revision) => leader.scheduler.unreachable_stored(write, revision),
                     Err(found) => leader.scheduler.unreachable_revision_found(found),
                 }
             }
-            Event::NoteLost { leader } => self.leaders[leader].noting = false,
-            Event::Choose { leader, write, answered } => {
+            Event::UnreachableWriteLost { leader } => self.leaders[leader].writing_unreachable = false,
+            Event::WriteWitnesses { leader, write, answered } => {
                 let result = self.write_witnesses(leader, &write);
                 if answered {
-                    self.after(STEP_MS, Event::Chosen { leader, write, result });
+                    self.after(STEP_MS, Event::WitnessesWritten { leader, write, result });
                 }
             }
-            Event::Chosen { leader, write, result } => self.on_chosen(leader, write, result),
-            Event::ChoiceLost { leader } => self.leaders[leader].choosing = false,
+            Event::WitnessesWritten { leader, write, result } => self.on_witnesses_written(leader, write, result),
+            Event::WitnessWriteLost { leader } => self.leaders[leader].writing_witnesses = false,
             Event::Unlisted { leader, server } => {
                 let now = self.moment();
                 self.leaders[leader].scheduler.server_unlisted(&server, now);
             }
-            Event::EvacuationsTold { leader } => self.on_evacuations_told(leader),
+            Event::EvacuationsReported { leader } => self.on_evacuations_reported(leader),
             Event::Crash { server } => self.on_crash(&server),
-            Event::Back { server } => self.on_back(&server),
-            Event::Return { server } => self.on_return(*server),
+            Event::Replaced { server } => self.on_replaced(&server),
+            Event::Restart { server } => self.on_restart(*server),
             Event::CallFailed { leader, server, how } => {
                 let now = self.moment();
                 self.leaders[leader].scheduler.call_failed(&server, how, now);
@@ -227,24 +231,31 @@
         }
     }
 
-    fn on_hold(&mut self, leader: usize, id: &BackendServerId, acknowledged: u64, until: Option<u64>, sent: Moment) {
+    fn on_heartbeat(
+        &mut self,
+        leader: usize,
+        id: &BackendServerId,
+        acknowledged: u64,
+        until: Option<u64>,
+        sent: Moment,
+    ) {
         if !self.reachable_by(leader, id) {
             return;
         }
         let fence = self.leaders[leader].fence;
-        self.note(id, fence, acknowledged);
+        self.record_acknowledged(id, fence, acknowledged);
         let server = self.server_mut(id);
-        let reply = server.hold(fence, acknowledged, until);
+        let reply = server.heartbeat(fence, acknowledged, until);
         let (id, clock) = (server.id.clone(), (server.incarnation, server.clock_ms()));
-        if self.is_mute(&id) {
+        if self.replies_lost(&id) {
             return;
         }
-        // An answer may be overtaken by later ones on other connections.
+        // Replies on different connections may arrive out of order.
         let delay = STEP_MS * (1 + self.rng.u64(..6));
-        self.after(delay, Event::Held { leader, server: id, reply, clock, sent });
+        self.after(delay, Event::HeartbeatReply { leader, server: id, reply, clock, sent });
     }
 
-    fn on_held(
+    fn on_heartbeat_reply(
         &mut self,
         leader: usize,
         id: BackendServerId,
@@ -252,14 +263,14 @@
         (incarnation, clock): (Incarnation, u64),
         sent: Moment,
     ) {
-        if !self.is_life(&id, Some(incarnation)) {
-            // The connection broke with the life that had answered.
+        if !self.is_current_incarnation(&id, Some(incarnation)) {
+            // The connection broke with the incarnation that had responded.
             return;
         }
         let (now, at) = (self.moment(), self.now);
         let reachable = self.reachable_by(leader, &id);
         let leader = &mut self.leaders[leader];
-        if !leader.alive || !reachable || leader.holding.remove(&id).is_none() {
+        if !leader.alive || !reachable || leader.calls_in_flight.remove(&id).is_none() {
             return;
         }
         let Some(listing) = reply else {
@@ -267,7 +278,7 @@
             return;
         };
         leader.clocks.insert(id.clone(), ClockReading { incarnation, clock, at });
-        leader.reached.insert(id.clone());
+        leader.responded.insert(id.clone());
         leader.scheduler.listing(&id, &listing, sent, now);
     }
 
@@ -280,7 +291,7 @@
         }
     }
 
-    /// Whether the backend server obeys, and so may answer.
+    /// Returns whether the backend server accepts the fencing token, and so may reply.
     fn on_stop(&mut self, leader: usize, id: &BackendServerId, task: TaskId, run: RunNumber) -> bool {
         if !self.reachable_by(leader, id) {
             return false;
@@ -289,8 +300,8 @@
         if !self.server_mut(id).stop(task, run, fence) {
             return false;
         }
-        if self.servers[id].running.get(&task).is_some_and(|known| known.run == run) {
-            self.end(id, task, CompletionKind::Stopped);
+        if self.servers[id].running.get(&task).is_some_and(|current| current.run == run) {
+            self.complete(id, task, CompletionKind::Stopped);
         }
         true
     }
@@ -302,7 +313,7 @@
         }
     }
 
-    fn on_evacuations_told(&mut self, leader: usize) {
+    fn on_evacuations_reported(&mut self, leader: usize) {
         let now = self.moment();
         let zones: BTreeSet<AvailabilityZoneId> = self.evacuated.keys().cloned().collect();
         let leader = &mut self.leaders[leader];
@@ -317,7 +328,7 @@
         result: Result<Revision, BTreeMap<OccurrenceId, Revision>>,
     ) {
         let leader = &mut self.leaders[index];
-        leader.writing -= 1;
+        leader.writes_in_flight -= 1;
         match result {
             Ok(revision) => {
                 leader.scheduler.batch_stored(batch, revision);
@@ -325,7 +336,7 @@
             Err(found) if leader.fence == self.holder => {
                 leader.scheduler.stored_revisions_found(&found);
                 leader.scheduler.batch_failed(&batch);
-                self.on_evacuations_told(index);
+                self.on_evacuations_reported(index);
             }
             Err(_) => leader.alive = false,
         }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A scheduler with backend servers and a store that do as they are told.
+//! Drives a scheduler directly, with backend servers and a store that never fail unless a test makes them. Each call
+//! runs to completion, so tests control the order of events.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 mod capacity;
@@ -7,10 +8,10 @@
 mod leading;
 mod oracle;
 mod platform;
-mod returns;
+mod restarts;
 mod runs;
 pub(crate) mod server;
-mod still;
+mod stalled;
 pub(crate) mod witnesses;
 pub(crate) mod world;
 
@@ -35,7 +36,7 @@
     pub(crate) permit: Option<scheduler::Permit>,
 }
 
-pub(crate) fn run_of(started: &Started) -> u64 {
+pub(crate) fn run_number(started: &Started) -> u64 {
     started.run.0
 }
 
@@ -72,7 +73,7 @@
     format!("s{i:02}").parse().expect("it is a valid id")
 }
 
-/// The availability zone of a rack: every other one is in the same.
+/// Returns the availability zone of a rack; racks alternate between two zones.
 pub(crate) fn zone(rack: usize) -> AvailabilityZoneId {
     format!("az-{}", rack % 2 + 1).parse().expect("it is a valid id")
 }
@@ -115,31 +116,31 @@
     pub(crate) scheduler: Scheduler,
     pub(crate) now: Moment,
     serials: BTreeMap<BackendServerId, u64>,
-    /// How often each backend server has come back under its id.
-    returns: BTreeMap<BackendServerId, u64>,
+    /// Number of restarts of each backend server under its id.
+    restarts: BTreeMap<BackendServerId, u64>,
     infos: BTreeMap<BackendServerId, ServerInfo>,
-    /// Also of those that have gone.
-    places: BTreeMap<BackendServerId, ServerAddress>,
+    /// Addresses of all backend servers, including ended ones.
+    addresses: BTreeMap<BackendServerId, ServerAddress>,
     jobs: Vec<Job>,
     stored: BTreeMap<OccurrenceId, (Progress, Revision)>,
-    /// Backend servers that the latest scheduler had not reached.
-    note: Option<(UnreachableRecord, Revision)>,
-    /// Backend servers that witness who schedules.
+    /// Stored record of backend servers that the latest scheduler did not reach, with its revision.
+    unreachable: Option<(UnreachableRecord, Revision)>,
+    /// Stored record of the witnesses, with its revision.
     witnesses: Option<(WitnessRecord, Revision)>,
-    /// Every earlier scheduler goes by them.
-    witnesses_bind: bool,
-    /// The number of the newest backend server.
+    /// Whether every earlier scheduler renews leases by witnesses only.
+    witnesses_binding: bool,
+    /// Number of the newest backend server.
     added: usize,
     running: BTreeMap<BackendServerId, Vec<Started>>,
     cut: Vec<BackendServerId>,
     revision: u64,
     policy: Policy,
     pub(crate) stops: Vec<Order>,
-    /// How fast each task was last told to work.
-    pub(crate) paces: BTreeMap<TaskId, u32>,
-    /// What backend servers list as every task's progress.
+    /// Last throttle ordered for each task, in percent of its full speed.
+    pub(crate) throttle_percent: BTreeMap<TaskId, u32>,
+    /// Progress that backend servers list for every task, in percent.
     pub(crate) percent: u32,
-    /// The tail latency that they list.
+    /// Tail latency that backend servers list, by task.
     pub(crate) latency_ms: BTreeMap<TaskId, f64>,
 }
 
@@ -153,21 +154,21 @@
             scheduler: Scheduler::new(Fence(10), Moment::from_millis(1000), timing, policy()),
             now: Moment::from_millis(1000),
             serials: BTreeMap::new(),
-            returns: BTreeMap::new(),
+            restarts: BTreeMap::new(),
             infos: BTreeMap::new(),
-            places: BTreeMap::new(),
+            addresses: BTreeMap::new(),
             jobs: Vec::new(),
             stored: BTreeMap::new(),
-            note: None,
+            unreachable: None,
             witnesses: None,
-            witnesses_bind: true,
+            witnesses_binding: true,
             added: servers,
             running: BTreeMap::new(),
             cut: Vec::new(),
             revision: 100,
             policy: policy(),
             stops: Vec::new(),
-            paces: BTreeMap::new(),
+            throttle_percent: BTreeMap::new(),
             percent: 1,
             latency_ms: BTreeMap::new(),
         };
@@ -179,21 +180,21 @@
 
     pub(crate) fn add_server(&mut self, i: usize) {
         self.scheduler.server_listed(server_id(i), info(i), self.now);
-        self.places.insert(server_id(i), info(i).address);
+        self.addresses.insert(server_id(i), info(i).address);
         self.infos.insert(server_id(i), info(i));
         self.running.insert(server_id(i), Vec::new());
         self.list(&server_id(i));
     }
 
-    pub(crate) fn attempts(&mut self, attempts: u32) {
+    pub(crate) fn set_attempts(&mut self, attempts: u32) {
         for queue in self.policy.queues.values_mut() {
             queue.attempts = attempts;
         }
         self.scheduler.set_policy(self.policy.clone());
     }
 
-    /// Queues let their steps run only where the adviser allows it.
-    pub(crate) fn need_advice(&mut self, permits: PermitPolicy) {
+    /// Makes all queues require permits.
+    pub(crate) fn require_permits(&mut self, permits: PermitPolicy) {
         for queue in self.policy.queues.values_mut() {
             queue.permits = Some(permits);
         }
@@ -220,14 +221,14 @@
             }
         }
         self.scheduler.tick(self.now);
-        self.store_note();
+        self.store_unreachable();
         self.store_witnesses();
     }
 
-    fn store_note(&mut self) {
+    fn store_unreachable(&mut self) {
         if let Some(write) = self.scheduler.next_unreachable_write(self.now) {
             self.revision += 1;
-            self.note = Some((write.record.clone(), Revision(self.revision)));
+            self.unreachable = Some((write.record.clone(), Revision(self.revision)));
             self.scheduler.unreachable_stored(write, Revision(self.revision));
         }
     }
@@ -243,8 +244,8 @@
     pub(crate) fn store_all(&mut self) {
         while let Some(batch) = self.scheduler.next_write_batch(8) {
             self.revision += 1;
-            for entry in &batch.writes {
-                self.stored.insert(entry.occurrence, (entry.progress.clone(), Revision(self.revision)));
+            for write in &batch.writes {
+                self.stored.insert(write.occurrence, (write.progress.clone(), Revision(self.revision)));
             }
             self.scheduler.batch_stored(batch, Revision(self.revision));
         }
@@ -266,7 +267,7 @@
                 }
                 stop @ Order::Stop { .. } => self.stops.push(stop),
                 Order::Throttle { server, task, run, percent } => {
-                    self.paces.insert(task, percent);
+                    self.throttle_percent.insert(task, percent);
                     self.scheduler.throttle_replied(&server, task, run, percent);
                 }
             }
@@ -274,12 +275,12 @@
         started
     }
 
-    /// A run ends, and its backend server lists that.
-    pub(crate) fn end(&mut self, started: &Started, kind: CompletionKind) {
-        self.end_with(started, kind, None);
+    /// Ends a run and delivers the listing with its completion.
+    pub(crate) fn complete(&mut self, started: &Started, kind: CompletionKind) {
+        self.complete_with(started, kind, None);
     }
 
-    pub(crate) fn end_with(&mut self, started: &Started, kind: CompletionKind, checkpoint: Option<&str>) {
+    pub(crate) fn complete_with(&mut self, started: &Started, kind: CompletionKind, checkpoint: Option<&str>) {
         let id = &started.server;
         self.running
             .get_mut(id)
@@ -287,7 +288,7 @@
             .retain(|other| other.task != started.task || other.run != started.run);
         let serial = self.serials.entry(id.clone()).or_insert(0);
         *serial += 1;
-        let end = Completion {
+        let completion = Completion {
             serial: *serial,
             task: started.task,
             run: started.run,
@@ -295,24 +296,25 @@
             checkpoint: checkpoint.map(Arc::from),
         };
         let incarnation = self.incarnation(id);
-        let listing = Listing { incarnation, running: self.listed(id), completions: vec![end], ..Listing::default() };
+        let listing =
+            Listing { incarnation, running: self.listed(id), completions: vec![completion], ..Listing::default() };
         self.now = self.now + Duration::from_millis(1);
         self.scheduler.listing(id, &listing, self.now, self.now);
     }
 
-    /// The life of a backend server that is there now.
+    /// Returns the current incarnation of a backend server.
     pub(crate) fn incarnation(&self, id: &BackendServerId) -> Option<Incarnation> {
-        Some(Incarnation(1000 + self.returns.get(id).copied().unwrap_or(0)))
+        Some(Incarnation(1000 + self.restarts.get(id).copied().unwrap_or(0)))
     }
 
-    /// Plans and stores; the starts that are to be sent, which nobody carries out.
+    /// Plans and stores; returns the ordered starts without carrying them out.
     pub(crate) fn ordered_starts(&mut self) -> Vec<Started> {
         self.scheduler.plan(self.now, self.now.millis());
         self.store_all();
         self.repeated_starts()
     }
 
-    /// The starts that are to be sent, which nobody carries out.
+    /// Returns the ordered starts without carrying them out.
     pub(crate) fn repeated_starts(&mut self) -> Vec<Started> {
         let mut starts = Vec::new();
         for order in self.scheduler.take_orders() {
@@ -326,7 +328,7 @@
         starts
     }
 
-    /// The scheduler hears what came of a start.
+    /// Delivers the reply to a start.
     pub(crate) fn reply(&mut self, start: &Started, reply: StartReply) {
         self.scheduler.start_replied(&start.server, start.task, start.run, reply, self.now);
     }
@@ -357,27 +359,28 @@
         }
     }
 
-    /// Where a task runs.
+    /// Returns the backend server on which a task runs.
     pub(crate) fn server_of(&self, task: TaskId) -> Option<BackendServerId> {
         let here = |runs: &Vec<Started>| runs.iter().any(|started| started.task == task);
         self.running.iter().find(|(_, runs)| here(runs)).map(|(id, _)| id.clone())
     }
 
-    /// What runs on a backend server.
+    /// Returns the runs on a backend server.
     pub(crate) fn running_on(&self, id: &BackendServerId) -> Vec<Started> {
         self.running.get(id).cloned().unwrap_or_default()
     }
 
-    /// Another scheduler is elected, reads what the store holds, and hears all backend servers.
-    pub(crate) fn elect_anew(&mut self) {
+    /// Elects another scheduler, which restores the stored records and receives the listings of all reachable backend
+    /// servers.
+    pub(crate) fn elect_next(&mut self) {
         self.now = self.now + Duration::from_millis(1000);
         let fence = Fence(self.scheduler.fence().0 + 1);
         let mut next = Scheduler::new(fence, self.now, Timing::default(), self.policy.clone());
-        if let Some((note, revision)) = &self.note {
-            next.restore_unreachable(note, *revision);
+        if let Some((record, revision)) = &self.unreachable {
+            next.restore_unreachable(record, *revision);
         }
-        let (witnesses, at) = self.witnesses.clone().map_or((None, Revision(0)), |(note, at)| (Some(note), at));
-        next.restore_witnesses(witnesses, at, self.witnesses_bind);
+        let (witnesses, at) = self.witnesses.clone().map_or((None, Revision(0)), |(record, at)| (Some(record), at));
+        next.restore_witnesses(witnesses, at, self.witnesses_binding);
         for job in self.jobs.clone() {
             next.add_job(job);
         }
@@ -393,19 +396,19 @@
         }
     }
 
-    /// The store holds other witnesses, or none; `bind` tells whether all schedulers go by them.
-    pub(crate) fn hold_witnesses(&mut self, note: Option<WitnessRecord>, bind: bool) {
+    /// Replaces the stored witnesses; `witnesses_binding` says whether all earlier schedulers renew by witnesses only.
+    pub(crate) fn set_stored_witnesses(&mut self, record: Option<WitnessRecord>, witnesses_binding: bool) {
         self.revision += 1;
-        self.witnesses = note.map(|note| (note, Revision(self.revision)));
-        self.witnesses_bind = bind;
+        self.witnesses = record.map(|record| (record, Revision(self.revision)));
+        self.witnesses_binding = witnesses_binding;
     }
 
-    /// The backend server that was added last.
+    /// Returns the backend server that was added last.
     pub(crate) fn newest(&self) -> BackendServerId {
         self.running.keys().next_back().expect("there is one").clone()
     }
 
-    /// A backend server crashes, and another life with nothing on it answers in its place.
+    /// Crashes a backend server; an empty one with another id replaces it.
     pub(crate) fn crash(&mut self, id: &BackendServerId) {
         self.lose(id);
         self.added += 1;
@@ -413,44 +416,44 @@
         self.advance(10);
     }
 
-    /// The platform ceases to list a backend server that is cut off.
-    pub(crate) fn forget(&mut self, id: &BackendServerId) {
+    /// Removes an unreachable backend server from the platform's list.
+    pub(crate) fn unlist(&mut self, id: &BackendServerId) {
         self.scheduler.server_unlisted(id, self.now);
         self.infos.remove(id);
         self.advance(100);
     }
 
-    /// What runs on a backend server ends as if it had been told to stop.
-    pub(crate) fn stop_on(&mut self, id: &BackendServerId) {
+    /// Ends all runs on a backend server as stopped.
+    pub(crate) fn stop_all_on(&mut self, id: &BackendServerId) {
         for started in self.running_on(id) {
-            self.end(&started, CompletionKind::Stopped);
+            self.complete(&started, CompletionKind::Stopped);
         }
     }
 
-    /// A backend server crashes, and its next life is at the same place.
-    pub(crate) fn crash_in_place(&mut self, id: &BackendServerId) {
-        let address = self.place_of(id);
+    /// Crashes a backend server; one with another id replaces it at the same address.
+    pub(crate) fn crash_at_same_address(&mut self, id: &BackendServerId) {
+        let address = self.address_of(id);
         self.lose(id);
         self.added += 1;
         let next = server_id(self.added);
         self.add_server(self.added);
         let info = ServerInfo { address, ..self.infos[&next].clone() };
         self.scheduler.server_listed(next.clone(), info.clone(), self.now);
-        self.places.insert(next.clone(), info.address.clone());
+        self.addresses.insert(next.clone(), info.address.clone());
         self.infos.insert(next, info);
         self.advance(10);
     }
 
-    /// A backend server crashes, and another life begins under its id, which the scheduler does not hear of.
-    pub(crate) fn lose_unheard(&mut self, id: &BackendServerId) -> Vec<Started> {
+    /// Restarts a backend server under its id without notice to the scheduler; returns the lost runs.
+    pub(crate) fn restart_unnoticed(&mut self, id: &BackendServerId) -> Vec<Started> {
         self.serials.remove(id);
-        *self.returns.entry(id.clone()).or_default() += 1;
+        *self.restarts.entry(id.clone()).or_default() += 1;
         std::mem::take(self.running.get_mut(id).expect("it was added"))
     }
 
-    /// A backend server crashes, and another life answers under its id: it holds nothing, and counts its ends from 1.
-    pub(crate) fn crash_and_return(&mut self, id: &BackendServerId) {
-        let lost = self.lose_unheard(id);
+    /// Crashes and restarts a backend server under its id: it runs nothing and numbers its completions from 1.
+    pub(crate) fn crash_and_restart(&mut self, id: &BackendServerId) {
+        let lost = self.restart_unnoticed(id);
         self.scheduler.call_failed(id, CallFailure::Refused, self.now);
         for started in &lost {
             self.break_gang(started);
@@ -458,24 +461,24 @@
         self.advance(600);
     }
 
-    /// The place of a backend server that is or was there.
-    pub(crate) fn place_of(&self, id: &BackendServerId) -> ServerAddress {
-        self.places[id].clone()
+    /// Returns the address of a present or ended backend server.
+    pub(crate) fn address_of(&self, id: &BackendServerId) -> ServerAddress {
+        self.addresses[id].clone()
     }
 
-    /// A backend server is lost for good, and no scheduler hears of it.
-    pub(crate) fn vanish(&mut self, id: &BackendServerId) {
+    /// Removes a backend server for good without notice to the scheduler.
+    pub(crate) fn lose_unnoticed(&mut self, id: &BackendServerId) {
         self.running.remove(id).expect("it was added");
         self.infos.remove(id);
     }
 
-    /// A backend server is lost for good: it leaves every call without an answer.
-    pub(crate) fn fall_silent(&mut self, id: &BackendServerId) {
+    /// Loses a backend server for good: calls to it time out.
+    pub(crate) fn stop_responding(&mut self, id: &BackendServerId) {
         self.cut.push(id.clone());
         self.running.get_mut(id).expect("it was added").clear();
     }
 
-    /// A backend server crashes for good.
+    /// Crashes a backend server for good.
     pub(crate) fn lose(&mut self, id: &BackendServerId) {
         let lost = self.running.remove(id).expect("it was added");
         self.infos.remove(id);
@@ -485,9 +488,9 @@
         }
     }
 
-    /// The other members of a run's gang, if it is one, end with it, and their backend servers list that.
+    /// Ends the other members of the run's gang, if it has one; their backend servers list that.
     fn break_gang(&mut self, lost: &Started) {
-        let job = self.jobs.iter().find(|job| job.id == lost.task.occurrence.job).expect("it was handed in");
+        let job = self.jobs.iter().find(|job| job.id == lost.task.occurrence.job).expect("it was submitted");
         if !job.steps[lost.task.step as usize].gang {
             return;
         }
@@ -495,7 +498,7 @@
             |s: &&Started| (s.task.occurrence, s.task.step, s.run) == (lost.task.occurrence, lost.task.step, lost.run);
         let others: Vec<Started> = self.running.values().flatten().filter(same_run).cloned().collect();
         for other in others {
-            self.end(&other, CompletionKind::Broken);
+            self.complete(&other, CompletionKind::Broken);
         }
     }
 
--- a/crates/scheduler/tests/common/oracle.rs
+++ b/crates/scheduler/tests/common/oracle.rs
@@ -1,79 +1,79 @@
-//! What must never happen.
+//! Invariants that must hold at all times.
 
 use jobs::{Fence, JobId, OccurrenceId, TaskId};
 use model::BackendServerId;
 use scheduler::CompletionKind;
 
 use super::{
-    events::UNANSWERED_MS,
+    events::START_TIMEOUT_MS,
     world::{ATTEMPTS, World},
 };
 
-/// A write that was under way and the order that follows, which a scheduler that has not heard of the evacuation gives
-/// twice more if it gets no answer.
-const UNDER_WAY_MS: u64 = 3 * UNANSWERED_MS;
+/// Time for a write in flight and the order that follows it, which a scheduler that has not learned of the evacuation
+/// repeats twice if it gets no reply.
+const IN_FLIGHT_MS: u64 = 3 * START_TIMEOUT_MS;
 
 impl World {
-    /// A backend server that obeys the fence forgets these ends: they are taken note of.
-    pub(crate) fn note(&mut self, id: &BackendServerId, fence: Fence, acknowledged: u64) {
+    /// Records the completions that a backend server drops after accepting the acknowledgement: the scheduler must have
+    /// recorded them.
+    pub(crate) fn record_acknowledged(&mut self, id: &BackendServerId, fence: Fence, acknowledged: u64) {
         let server = &self.servers[id];
         if fence < server.fence {
             return;
         }
-        let counts = |serial: u64| serial <= acknowledged && serial > server.lapsed_after;
-        for end in server.ended.iter().filter(|end| counts(end.serial)) {
-            let seen = self.seen.entry(end.task).or_default();
+        let is_acknowledged = |serial: u64| serial <= acknowledged && serial > server.lapsed_serial;
+        for completion in server.completions.iter().filter(|completion| is_acknowledged(completion.serial)) {
+            let seen = self.seen.entry(completion.task).or_default();
             let stored = &self.stored;
-            match end.kind {
-                CompletionKind::Done => seen.done_noted = true,
-                CompletionKind::Failed => seen.failures_noted += 1,
+            match completion.kind {
+                CompletionKind::Done => seen.done_acknowledged = true,
+                CompletionKind::Failed => seen.failures_acknowledged += 1,
                 _ => {}
             }
             assert!(
-                !matches!(end.kind, CompletionKind::Done | CompletionKind::Failed)
-                    || stored.contains_key(&end.task.occurrence),
-                "an end of {} was acknowledged and nothing is stored",
-                end.task
+                !matches!(completion.kind, CompletionKind::Done | CompletionKind::Failed)
+                    || stored.contains_key(&completion.task.occurrence),
+                "a completion of {} was acknowledged and nothing is stored",
+                completion.task
             );
         }
     }
 
-    pub(crate) fn check_begin(&mut self, id: &BackendServerId, task: TaskId) {
-        self.begun += 1;
+    pub(crate) fn check_start(&mut self, id: &BackendServerId, task: TaskId) {
+        self.start_count += 1;
         self.check_crashes(task);
         for other in self.servers.values().filter(|other| other.id != *id) {
             assert!(!other.running.contains_key(&task), "{task} runs on {id} and on {} at {}", other.id, self.now);
         }
         let seen = self.seen.entry(task).or_default();
-        assert!(!seen.done_noted, "{task} began again after it was noted as done");
-        assert!(seen.failures_noted < ATTEMPTS, "{task} began after {ATTEMPTS} failures");
+        assert!(!seen.done_acknowledged, "{task} started again after its completion was acknowledged");
+        assert!(seen.failures_acknowledged < ATTEMPTS, "{task} started after {ATTEMPTS} failures");
         if let Some(at) = self.cancelled.get(&task.occurrence.job) {
-            assert!(self.now < at + 13_000, "{task} began long after its job was cancelled");
+            assert!(self.now < at + 13_000, "{task} started long after its job was cancelled");
         }
         let job = &self.jobs[&task.occurrence.job];
         for &earlier in &job.steps[task.step as usize].after {
             for index in 0..job.steps[earlier].count {
                 let needed = TaskId { step: earlier as u32, index, ..task };
                 let done = self.seen.get(&needed).is_some_and(|seen| seen.done_at.is_some());
-                assert!(done, "{task} began before {needed} was done");
+                assert!(done, "{task} started before {needed} was done");
             }
         }
     }
 
-    /// An order that arrives at once starts nothing where an evacuation holds; one that was under way may.
+    /// An order that arrives on time starts nothing in an evacuated availability zone; one already in flight may.
     pub(crate) fn check_evacuated(&self, id: &BackendServerId, task: TaskId) {
         let Some(server) = self.servers.get(id) else { return };
         if let Some(since) = self.evacuated.get(&server.info.availability_zone) {
             let late = self.now - since;
             assert!(
-                late <= UNDER_WAY_MS,
+                late <= IN_FLIGHT_MS,
                 "{task} was ordered on {id} {late} ms after its availability zone was evacuated"
             );
         }
     }
 
-    /// A job that is shown as failed has a task that was owed nothing more: all its attempts failed, or two backend servers crashed
-    /// under it.
+    /// A failed job has a task with no attempts left: all its attempts failed, or two backend servers crashed under it.
     pub(crate) fn check_failed(&self, id: JobId) {
         let job = &self.jobs[&id];
         let spent = (0..job.steps.len()).any(|s| {
--- a/crates/scheduler/tests/common/platform.rs
+++ b/crates/scheduler/tests/common/platform.rs
@@ -1,22 +1,22 @@
-//! The platform's list of backend servers: their heartbeats, and how they leave.
+//! The platform's list of backend servers: their heartbeats and departures.
 
 use model::BackendServerId;
 use scheduler::{CallFailure, ServerInfo};
 
 use super::{events::Event, world::World};
 
-/// A backend server tells of itself this often (users' settings).
+/// Interval of a backend server's heartbeats to the platform (platform settings).
 const HEARTBEAT_MS: u64 = 1500;
-/// It falls out of the list after so many heartbeats that did not come.
-const MISSED: u64 = 3;
-/// How long one that leaves serves on after it has said so, at least.
+/// Number of missed heartbeats after which the platform no longer lists it.
+const MAX_MISSED_HEARTBEATS: u64 = 3;
+/// Minimum time between the announcement of a departure and the departure.
 const DRAIN_MS: u64 = 2000;
-/// Schedulers hear of a departure within this, from the list and from their own calls.
-const HEARD_WITHIN_MS: u64 = 250;
+/// Maximum delay until schedulers notice a departure, from the list and from failed calls.
+const NOTICE_DELAY_MS: u64 = 250;
 
 impl World {
-    /// A backend server says that it leaves.
-    pub(crate) fn leave(&mut self, i: usize) {
+    /// Announces the departure of a backend server.
+    pub(crate) fn announce_departure(&mut self, i: usize) {
         let Some(id) = self.servers.keys().nth(i % self.servers.len()).cloned() else { return };
         if !self.reachable(&id) {
             return;
@@ -28,10 +28,10 @@
         }
         server.leaves_at = Some(at);
         server.info = ServerInfo { draining: true, ..server.info.clone() };
-        self.tell_listed(&id);
+        self.report_listed(&id);
     }
 
-    /// Heartbeats come, stop coming, and backend servers leave at their time.
+    /// Delivers heartbeats, unlists backend servers that miss them, and ends those whose departure is due.
     pub(crate) fn run_platform(&mut self) {
         let ids: Vec<BackendServerId> = self.servers.keys().cloned().collect();
         for id in ids {
@@ -43,9 +43,9 @@
             } else if reachable && now >= server.last_heartbeat + HEARTBEAT_MS {
                 server.last_heartbeat = now;
                 if !std::mem::replace(&mut server.listed, true) {
-                    self.tell_listed(&id);
+                    self.report_listed(&id);
                 }
-            } else if server.listed && now >= server.last_heartbeat + MISSED * HEARTBEAT_MS {
+            } else if server.listed && now >= server.last_heartbeat + MAX_MISSED_HEARTBEATS * HEARTBEAT_MS {
                 server.listed = false;
                 for leader in self.living_leaders() {
                     self.after(0, Event::Unlisted { leader, server: id.clone() });
@@ -54,21 +54,21 @@
         }
     }
 
-    /// A backend server ends. Whoever reaches it finds its port closed, unless its machine has gone with it.
+    /// Ends a backend server. Connections to it are refused, unless its machine has ended with it.
     fn depart(&mut self, id: &BackendServerId) {
         let was_reachable = self.reachable(id);
-        self.end_life(id);
+        self.end_incarnation(id);
         for leader in self.living_leaders() {
             let how =
                 if was_reachable && self.rng.u8(..) < 200 { CallFailure::Refused } else { CallFailure::NoResponse };
-            let (unlisted, failed) = (self.rng.u64(..HEARD_WITHIN_MS), self.rng.u64(..HEARD_WITHIN_MS));
+            let (unlisted, failed) = (self.rng.u64(..NOTICE_DELAY_MS), self.rng.u64(..NOTICE_DELAY_MS));
             self.after(unlisted, Event::Unlisted { leader, server: id.clone() });
             self.after(failed, Event::CallFailed { leader, server: id.clone(), how });
         }
         self.add_server();
     }
 
-    pub(crate) fn tell_listed(&mut self, id: &BackendServerId) {
+    pub(crate) fn report_listed(&mut self, id: &BackendServerId) {
         let (now, info) = (self.moment(), self.servers[id].info.clone());
         for leader in self.leaders.iter_mut().filter(|leader| leader.alive) {
             leader.scheduler.server_listed(id.clone(), info.clone(), now);
--- a/crates/scheduler/tests/common/runs.rs
+++ b/crates/scheduler/tests/common/runs.rs
@@ -1,4 +1,4 @@
-//! Runs on the backend servers: they begin, work, wait for their gang, and end.
+//! Runs on the simulated backend servers: starts, work, waiting for the gang, and ends.
 
 use std::collections::BTreeMap;
 
@@ -11,11 +11,11 @@
     world::{ATTEMPTS, STEP_MS, World},
 };
 
-/// A member of a gang waits this long for the others (users: 3 s).
+/// Time for which a member of a gang waits for the others (platform rules: 3 s).
 const GANG_WAIT_MS: u64 = 3000;
 
 impl World {
-    /// A start reaches a backend server, unless it is out of reach.
+    /// Delivers a start to a backend server if it is reachable.
     pub(crate) fn start(
         &mut self,
         leader: usize,
@@ -31,7 +31,7 @@
         let fence = self.leaders[leader].fence;
         let job = self.jobs[&task.occurrence.job].clone();
         let step = &job.steps[task.step as usize];
-        let fails = self.now < self.fail_tasks_until && self.rng.u8(..) < 100 || self.fails_by_itself(task);
+        let fails = self.now < self.fail_tasks_until && self.rng.u8(..) < 100 || self.fails_by_own_fault(task);
         let work = self.work(if checkpoint { 300 } else { 600 });
         let new = Run { run, left: (!step.gang).then_some(work), waited: 0, fails, checkpoint: None };
         let mut used = Resources::default();
@@ -39,40 +39,40 @@
             used.add(&self.jobs[&other.occurrence.job].steps[other.step as usize].need);
         }
         let server = self.server_mut(id);
-        let known = server.running.contains_key(&task);
+        let already_running = server.running.contains_key(&task);
         let reply = server.start(task, new, until, fence, &step.need, used);
-        if reply == StartReply::Started && !known {
+        if reply == StartReply::Started && !already_running {
             self.check_capacity(id, task);
-            self.check_begin(id, task);
-            self.crash_if_it_must(id, task);
+            self.check_start(id, task);
+            self.crash_after_start(id, task);
         }
         reply
     }
 
-    /// Whether a run of a task fails through its job's own fault.
-    fn fails_by_itself(&self, task: TaskId) -> bool {
+    /// Returns whether a run of a task fails through its job's own fault.
+    fn fails_by_own_fault(&self, task: TaskId) -> bool {
         let gang = self.jobs[&task.occurrence.job].steps[task.step as usize].gang;
         let same =
             |other: &TaskId| *other == task || gang && (other.occurrence, other.step) == (task.occurrence, task.step);
         let failures: usize = self.seen.iter().filter(|(other, _)| same(other)).map(|(_, seen)| seen.failures).sum();
-        self.faulty.contains(&task.occurrence.job) && failures < ATTEMPTS - 1
+        self.faulty_jobs.contains(&task.occurrence.job) && failures < ATTEMPTS - 1
     }
 
-    /// What a run takes, in milliseconds. One in four outlasts a lease.
+    /// Draws the duration of a run in milliseconds. One in four outlasts a lease.
     fn work(&mut self, least: u64) -> u64 {
         let drawn = least + self.rng.u64(..800) + if self.rng.u8(..) < 64 { 8000 } else { 0 };
         self.work_ms.unwrap_or(drawn)
     }
 
     pub(crate) fn run_servers(&mut self) {
-        self.begin_gangs();
+        self.start_gangs();
         let ids: Vec<BackendServerId> = self.servers.keys().cloned().collect();
         for id in ids {
             let server = self.server_mut(&id);
             server.clock += STEP_MS as f64 * server.rate;
             let lapsed = server.lease_until <= server.clock_ms();
             if lapsed {
-                server.lapsed_after = server.serial;
+                server.lapsed_serial = server.serial;
             }
             let tasks: Vec<TaskId> = server.running.keys().copied().collect();
             for task in tasks {
@@ -90,13 +90,13 @@
                     }
                 };
                 if let Some(kind) = kind {
-                    self.end(&id, task, kind);
+                    self.complete(&id, task, kind);
                 }
             }
         }
     }
 
-    fn begin_gangs(&mut self) {
+    fn start_gangs(&mut self) {
         let mut present: BTreeMap<(OccurrenceId, u32, RunNumber), Vec<(BackendServerId, TaskId)>> = BTreeMap::new();
         for server in self.servers.values() {
             for (task, run) in server.running.iter().filter(|(_, run)| run.left.is_none()) {
@@ -114,8 +114,8 @@
         }
     }
 
-    pub(crate) fn end(&mut self, id: &BackendServerId, task: TaskId, kind: CompletionKind) {
-        let Some(run) = self.server_mut(id).end(task, kind) else { return };
+    pub(crate) fn complete(&mut self, id: &BackendServerId, task: TaskId, kind: CompletionKind) {
+        let Some(run) = self.server_mut(id).complete(task, kind) else { return };
         let seen = self.seen.entry(task).or_default();
         match kind {
             CompletionKind::Done => seen.done_at = Some(self.now),
@@ -125,7 +125,7 @@
         if !self.jobs[&task.occurrence.job].steps[task.step as usize].gang {
             return;
         }
-        // The others of its gang end with it: well, if it ended well.
+        // The other members of the gang end with it, as done if it is done.
         let other = if kind == CompletionKind::Done { CompletionKind::Done } else { CompletionKind::Broken };
         let members: Vec<(BackendServerId, TaskId)> = self
             .servers
@@ -135,7 +135,7 @@
             .map(|(server, task, _)| (server, task))
             .collect();
         for (server, member) in members {
-            self.server_mut(&server).end(member, other);
+            self.server_mut(&server).complete(member, other);
             if other == CompletionKind::Done {
                 self.seen.entry(member).or_default().done_at = Some(self.now);
             }
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -1,6 +1,6 @@
-//! Schedulers, one after another and side by side, with backend servers and a store that fail in the ways of
-//! the users' pages: orders and writes without an answer that are carried out seconds later, cuts, crashes,
-//! slow clocks, a store that is down. An oracle sees what ran.
+//! Simulates successive and concurrent schedulers with backend servers and a store in virtual time. They fail in the
+//! ways that the platform's protocol allows: orders and writes whose replies are lost and that take effect seconds
+//! later, network partitions, crashes, slow clocks, an unavailable store. An oracle checks all runs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,36 +14,36 @@
     WriteBatch,
 };
 
-use super::{events::Event, info, policy, server::FakeServer, server_id, still::Watch, witnesses::CutOff};
+use super::{events::Event, info, policy, server::FakeServer, server_id, stalled::StallCheck, witnesses::CutOff};
 
 pub(crate) const STEP_MS: u64 = 10;
 pub(crate) const LEASE_MS: u64 = 6000;
 pub(crate) const ATTEMPTS: usize = 4;
 
-/// One elected box.
+/// An elected box.
 pub(crate) struct Leader {
     pub(crate) scheduler: Scheduler,
     pub(crate) fence: Fence,
     pub(crate) alive: bool,
-    /// How many writes are under way.
-    pub(crate) writing: usize,
-    /// A note of what it has not reached is on its way to the store.
-    pub(crate) noting: bool,
-    /// Availability zones that it knows to be evacuated.
+    /// Number of writes in flight.
+    pub(crate) writes_in_flight: usize,
+    /// Whether a write of the unreachable record is in flight.
+    pub(crate) writing_unreachable: bool,
+    /// Availability zones that it has recorded as evacuated.
     pub(crate) evacuated: BTreeSet<AvailabilityZoneId>,
-    /// Renews no more from here on: its election cannot be confirmed.
+    /// Time in milliseconds from which it stops renewing, because its election cannot be confirmed.
     pub(crate) renews_until: u64,
-    /// The store has confirmed its election up to then.
+    /// Time until which the store has confirmed its election.
     pub(crate) confirmed: Moment,
-    /// Witnesses are on their way to the store.
-    pub(crate) choosing: bool,
+    /// Whether a write of the witnesses is in flight.
+    pub(crate) writing_witnesses: bool,
     pub(crate) cut_off: CutOff,
     pub(crate) clocks: BTreeMap<BackendServerId, ClockReading>,
-    pub(crate) holding: BTreeMap<BackendServerId, u64>,
-    pub(crate) reached: BTreeSet<BackendServerId>,
+    pub(crate) calls_in_flight: BTreeMap<BackendServerId, u64>,
+    pub(crate) responded: BTreeSet<BackendServerId>,
 }
 
-/// What a life's clock showed, and when.
+/// Clock of a backend server's incarnation, and the time at which it was read.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ClockReading {
     pub(crate) incarnation: Incarnation,
@@ -51,17 +51,17 @@
     pub(crate) at: u64,
 }
 
-/// What the oracle remembers of a task.
+/// Oracle's record of a task.
 #[derive(Debug, Default)]
 pub(crate) struct Seen {
     pub(crate) done_at: Option<u64>,
-    pub(crate) done_noted: bool,
-    pub(crate) failures_noted: usize,
+    pub(crate) done_acknowledged: bool,
+    pub(crate) failures_acknowledged: usize,
     pub(crate) failures: usize,
-    /// Backend servers that have crashed while it ran there.
+    /// Number of backend servers that crashed while it ran there.
     pub(crate) crashes: usize,
-    /// How often it has begun since three had.
-    pub(crate) begun_since: usize,
+    /// Number of starts since the third crash.
+    pub(crate) starts_since: usize,
 }
 
 pub(crate) struct World {
@@ -71,33 +71,33 @@
     pub(crate) leaders: Vec<Leader>,
     pub(crate) events: Vec<(u64, Event)>,
     pub(crate) stored: BTreeMap<OccurrenceId, (Progress, Revision)>,
-    /// Backend servers that a scheduler had not reached.
-    pub(crate) note: Option<(UnreachableRecord, Revision)>,
+    /// Stored record of backend servers that a scheduler did not reach.
+    pub(crate) unreachable: Option<(UnreachableRecord, Revision)>,
     pub(crate) witnesses: Option<(WitnessRecord, Revision)>,
-    /// Schedulers go by witnesses; those of an earlier version do not.
-    pub(crate) by_witnesses: bool,
+    /// Whether schedulers renew by witnesses; earlier versions do not.
+    pub(crate) uses_witnesses: bool,
     pub(crate) revision: u64,
     pub(crate) holder: Fence,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) cancelled: BTreeMap<JobId, u64>,
-    /// Availability zones that are evacuated, and since when.
+    /// Evacuated availability zones, and since when, in milliseconds.
     pub(crate) evacuated: BTreeMap<AvailabilityZoneId, u64>,
     pub(crate) store_down_until: u64,
     pub(crate) lose_writes_until: u64,
     pub(crate) lose_orders_until: u64,
-    /// The host drops orders until then: it has no link, or too many wait there.
+    /// Time until which the runtime drops orders, as without a connection or with a full queue.
     pub(crate) drop_orders_until: u64,
     pub(crate) fail_tasks_until: u64,
-    /// Tasks under which a backend server crashes as soon as they begin.
-    pub(crate) crashing: BTreeSet<TaskId>,
-    /// Jobs of which every task fails until it has one attempt left.
-    pub(crate) faulty: BTreeSet<JobId>,
-    /// What every run takes, if it is not drawn.
+    /// Tasks that crash their backend server on every start.
+    pub(crate) crashing_tasks: BTreeSet<TaskId>,
+    /// Jobs whose tasks all fail until one attempt is left.
+    pub(crate) faulty_jobs: BTreeSet<JobId>,
+    /// Duration of every run; random when `None`.
     pub(crate) work_ms: Option<u64>,
     pub(crate) seen: BTreeMap<TaskId, Seen>,
     pub(crate) rng: fastrand::Rng,
-    pub(crate) begun: usize,
-    pub(crate) watch: Watch,
+    pub(crate) start_count: usize,
+    pub(crate) stall_check: StallCheck,
 }
 
 impl World {
@@ -109,9 +109,9 @@
             leaders: Vec::new(),
             events: Vec::new(),
             stored: BTreeMap::new(),
-            note: None,
+            unreachable: None,
             witnesses: None,
-            by_witnesses: !seed.is_multiple_of(4),
+            uses_witnesses: !seed.is_multiple_of(4),
             revision: 1,
             holder: Fence(0),
             jobs: BTreeMap::new(),
@@ -122,13 +122,13 @@
             lose_orders_until: 0,
             drop_orders_until: 0,
             fail_tasks_until: 0,
-            crashing: BTreeSet::new(),
-            faulty: BTreeSet::new(),
+            crashing_tasks: BTreeSet::new(),
+            faulty_jobs: BTreeSet::new(),
             work_ms: None,
             seen: BTreeMap::new(),
             rng: fastrand::Rng::with_seed(seed),
-            begun: 0,
-            watch: Watch::default(),
+            start_count: 0,
+            stall_check: StallCheck::default(),
         };
         for _ in 0..servers {
             world.add_server();
@@ -138,7 +138,7 @@
     }
 
     pub(crate) fn server_mut(&mut self, id: &BackendServerId) -> &mut FakeServer {
-        self.servers.get_mut(id).expect("only backend servers that live are named")
+        self.servers.get_mut(id).expect("only present backend servers are named")
     }
 
     pub(crate) fn moment(&self) -> Moment {
@@ -159,7 +159,7 @@
             leader.scheduler.server_listed(server.id.clone(), server.info.clone(), Moment::from_millis(self.now));
         }
         server.last_heartbeat = self.now;
-        server.unguarded = i.is_multiple_of(2);
+        server.overcommits = i.is_multiple_of(2);
         self.servers.insert(server.id.clone(), server);
     }
 
@@ -178,9 +178,8 @@
         }
     }
 
-    /// Another box is elected. Those before it do not know, unless they are killed; one that lives was confirmed up to
-    /// now, and renews on for as long as the witnesses vouch for it, within the time for which an unconfirmed
-    /// scheduler may.
+    /// Elects another box. Earlier ones, unless killed, are not informed; one that lives was confirmed up to now, and
+    /// renews only while the witnesses confirm it, within the limit for an unconfirmed scheduler.
     pub(crate) fn elect(&mut self) {
         if self.now < self.store_down_until {
             return;
@@ -196,11 +195,11 @@
         let mut scheduler = Scheduler::new(self.holder, now, World::timing(), policy());
         let evacuated: BTreeSet<AvailabilityZoneId> = self.evacuated.keys().cloned().collect();
         scheduler.set_evacuated(EvacuatedBy::Platform, &evacuated, now);
-        if let Some((note, revision)) = &self.note {
-            scheduler.restore_unreachable(note, *revision);
+        if let Some((record, revision)) = &self.unreachable {
+            scheduler.restore_unreachable(record, *revision);
         }
-        let (witnesses, at) = self.witnesses.clone().map_or((None, Revision(0)), |(note, at)| (Some(note), at));
-        scheduler.restore_witnesses(witnesses, at, self.by_witnesses);
+        let (witnesses, at) = self.witnesses.clone().map_or((None, Revision(0)), |(record, at)| (Some(record), at));
+        scheduler.restore_witnesses(witnesses, at, self.uses_witnesses);
         for job in self.jobs.values() {
             scheduler.add_job(job.clone());
         }
@@ -213,7 +212,7 @@
         for server in self.servers.values().filter(|server| server.listed) {
             scheduler.server_listed(server.id.clone(), server.info.clone(), now);
         }
-        // Boxes that were killed have begun anew, and say so.
+        // Killed boxes have restarted and report that their terms have ended.
         if self.leaders.iter().all(|leader| !leader.alive) {
             scheduler.earlier_terms_ended(now);
         }
@@ -221,21 +220,21 @@
             scheduler,
             fence: self.holder,
             alive: true,
-            writing: 0,
-            noting: false,
+            writes_in_flight: 0,
+            writing_unreachable: false,
             evacuated,
             renews_until: u64::MAX,
             confirmed: now,
-            choosing: false,
+            writing_witnesses: false,
             cut_off: CutOff::default(),
             clocks: BTreeMap::new(),
-            holding: BTreeMap::new(),
-            reached: BTreeSet::new(),
+            calls_in_flight: BTreeMap::new(),
+            responded: BTreeSet::new(),
         });
     }
 
-    /// Operators evacuate an availability zone, or take it back. Those that schedule hear of it after a while, if at all:
-    /// an evacuation that is not told is found by the next write that places a run there.
+    /// Evacuates an availability zone or ends its evacuation. Schedulers learn of it after a delay; the next write that
+    /// places a run in the zone conflicts until they do.
     pub(crate) fn set_evacuated(&mut self, zone: AvailabilityZoneId, evacuated: bool) {
         if self.now < self.store_down_until {
             return;
@@ -247,7 +246,7 @@
         }
         for leader in 0..self.leaders.len() {
             let late = if self.rng.u8(..) < 60 { 8000 } else { self.rng.u64(..100) };
-            self.after(late, Event::EvacuationsTold { leader });
+            self.after(late, Event::EvacuationsReported { leader });
         }
     }
 
@@ -257,10 +256,10 @@
         }
     }
 
-    /// A backend server's life ends; another begins in its place.
+    /// Ends a backend server; another one replaces it.
     pub(crate) fn crash(&mut self, i: usize) {
         let Some(id) = self.servers.keys().nth(i % self.servers.len()).cloned() else { return };
-        self.end_life(&id);
+        self.end_incarnation(&id);
         let now = self.moment();
         for leader in self.leaders.iter_mut().filter(|leader| leader.alive) {
             leader.scheduler.server_ended(&id, now);
@@ -268,17 +267,17 @@
         self.add_server();
     }
 
-    /// What runs on a backend server dies with it, and gangs break.
-    pub(crate) fn end_life(&mut self, id: &BackendServerId) {
+    /// Ends a backend server together with its runs, and breaks their gangs.
+    pub(crate) fn end_incarnation(&mut self, id: &BackendServerId) {
         let tasks: Vec<TaskId> = self.servers[id].running.keys().copied().collect();
-        // All are struck before any of them ends: the first member of a gang takes the others along.
+        // Counts all crashes before ending any run: the first member of a gang to end takes the others with it.
         if self.servers[id].leaves_at.is_none() {
             for task in &tasks {
                 self.seen.entry(*task).or_default().crashes += 1;
             }
         }
         for task in tasks {
-            self.end(id, task, CompletionKind::Broken);
+            self.complete(id, task, CompletionKind::Broken);
         }
         self.servers.remove(id);
     }
@@ -291,16 +290,16 @@
         }
     }
 
-    /// What a backend server is told arrives, and its answers do not.
-    pub(crate) fn cut_answers(&mut self, i: usize, ms: u64) {
+    /// Drops the replies of a backend server; calls still reach it.
+    pub(crate) fn drop_replies(&mut self, i: usize, ms: u64) {
         let id = self.servers.keys().nth(i % self.servers.len()).cloned();
         if let Some(server) = id.and_then(|id| self.servers.get_mut(&id)) {
-            server.mute_until = server.mute_until.max(self.now + ms);
+            server.replies_lost_until = server.replies_lost_until.max(self.now + ms);
         }
     }
 
-    pub(crate) fn is_mute(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(|server| self.now < server.mute_until)
+    pub(crate) fn replies_lost(&self, id: &BackendServerId) -> bool {
+        self.servers.get(id).is_some_and(|server| self.now < server.replies_lost_until)
     }
 
     pub(crate) fn reachable(&self, id: &BackendServerId) -> bool {
@@ -322,7 +321,7 @@
                     self.run_leader(leader);
                 }
             }
-            self.check_still();
+            self.check_stalled();
         }
     }
 
@@ -332,28 +331,28 @@
         batch: &WriteBatch,
     ) -> Result<Revision, BTreeMap<OccurrenceId, Revision>> {
         let found = |id: OccurrenceId| self.stored.get(&id).map_or(Revision(0), |(_, revision)| *revision);
-        let as_known = |zone| self.leaders[leader].evacuated.contains(zone) == self.evacuated.contains_key(zone);
-        let fits = batch.placement_zones.iter().all(as_known)
-            && batch.writes.iter().all(|entry| found(entry.occurrence) == entry.replaces);
+        let is_in_agreement = |zone| self.leaders[leader].evacuated.contains(zone) == self.evacuated.contains_key(zone);
+        let fits = batch.placement_zones.iter().all(is_in_agreement)
+            && batch.writes.iter().all(|write| found(write.occurrence) == write.replaces);
         if self.leaders[leader].fence != self.holder || !fits {
-            return Err(batch.writes.iter().map(|entry| (entry.occurrence, found(entry.occurrence))).collect());
+            return Err(batch.writes.iter().map(|write| (write.occurrence, found(write.occurrence))).collect());
         }
         self.revision += 1;
-        for entry in &batch.writes {
-            self.stored.insert(entry.occurrence, (entry.progress.clone(), Revision(self.revision)));
+        for write in &batch.writes {
+            self.stored.insert(write.occurrence, (write.progress.clone(), Revision(self.revision)));
         }
         Ok(Revision(self.revision))
     }
 
-    /// A note of what a scheduler has not reached arrives at the store. The error is the revision of the one that stands there.
-    pub(crate) fn write_note(&mut self, leader: usize, write: &UnreachableWrite) -> Result<Revision, Revision> {
-        let found = self.note.as_ref().map_or(Revision(0), |(_, revision)| *revision);
+    /// Writes the unreachable record to the store. The error is the stored revision.
+    pub(crate) fn write_unreachable(&mut self, leader: usize, write: &UnreachableWrite) -> Result<Revision, Revision> {
+        let found = self.unreachable.as_ref().map_or(Revision(0), |(_, revision)| *revision);
         if self.leaders[leader].fence != self.holder || found != write.replaces {
             return Err(found);
         }
         self.revision += 1;
         let revision = Revision(self.revision);
-        self.note = Some((write.record.clone(), revision));
+        self.unreachable = Some((write.record.clone(), revision));
         Ok(revision)
     }
 
@@ -368,7 +367,7 @@
         }
         for server in self.servers.values_mut() {
             server.cut_until = 0;
-            server.mute_until = 0;
+            server.replies_lost_until = 0;
         }
         for i in 0..self.servers.len() {
             self.resize(i, 8);
@@ -378,14 +377,14 @@
         }
     }
 
-    /// What the scheduler in office tells of a job.
+    /// Returns the state of a job as reported by the current leader.
     pub(crate) fn state(&self, id: JobId) -> Option<JobState> {
         let leader = self.leaders.iter().rfind(|leader| leader.alive && leader.fence == self.holder)?;
         leader.scheduler.job_status(id).map(|(state, _)| state)
     }
 
     pub(crate) fn unacknowledged(&self) -> usize {
-        self.servers.values().map(|server| server.ended.len()).sum()
+        self.servers.values().map(|server| server.completions.len()).sum()
     }
 
     pub(crate) fn text() -> Arc<str> {
--- a/crates/scheduler/tests/crashing.rs
+++ b/crates/scheduler/tests/crashing.rs
@@ -24,7 +24,7 @@
 fn a_task_that_crashes_backend_servers_is_given_up() {
     let mut world = World::new(8, 1);
     world.advance(500);
-    world.let_crash(task(0));
+    world.crash_on_start(task(0));
     world.submit(job_in("urgent", JOB.0, vec![step(1, 1)]));
     world.advance(LONG_MS);
     assert_eq!(world.state(JOB), Some(JobState::Failed));
@@ -34,7 +34,7 @@
 fn crashes_are_remembered_by_the_next_scheduler() {
     let mut world = World::new(8, 2);
     world.advance(500);
-    world.let_crash(task(0));
+    world.crash_on_start(task(0));
     world.submit(job_in("urgent", JOB.0, vec![step(1, 1)]));
     for _ in 0..20 {
         world.advance(4000);
@@ -151,13 +151,13 @@
         let server = fixture.server_of(task(0)).expect("it runs");
         // The next life takes longer than the lease: meanwhile nobody knows what became of the run, and it is placed again.
         fixture.cut_past_lease(&server);
-        fixture.forget(&server);
+        fixture.unlist(&server);
         fixture.start_all();
         assert_eq!(fixture.state(1), Some(JobState::Running));
         fixture.scheduler.server_ended(&server, fixture.now);
         fixture.store_all();
         let again = fixture.server_of(task(0)).expect("it runs");
-        fixture.stop_on(&again);
+        fixture.stop_all_on(&again);
     }
     assert_eq!(fixture.state(1), Some(JobState::Failed));
 }
@@ -175,7 +175,7 @@
         fixture.advance(100);
         let again = fixture.server_of(task(0)).expect("it runs");
         // Both end for good, empty.
-        fixture.stop_on(&again);
+        fixture.stop_all_on(&again);
         fixture.crash(&server);
         fixture.store_all();
     }
@@ -187,7 +187,7 @@
     let mut world = World::new(8, seed);
     world.work_ms = Some(2500);
     world.advance(500);
-    world.let_crash(task(0));
+    world.crash_on_start(task(0));
     world.submit(job_in("urgent", JOB.0, vec![step(1, 1)]));
     for id in 2..=12 {
         world.submit(job_in("urgent", id, vec![step(3, 1)]));
--- a/crates/scheduler/tests/dropped_starts.rs
+++ b/crates/scheduler/tests/dropped_starts.rs
@@ -17,7 +17,7 @@
 /// Jobs come while orders are dropped, after a while in which some get no answer, for as long as `unanswered_ms` tells.
 fn play(seed: u64, unanswered_ms: u64) {
     let mut world = World::new(8, seed);
-    world.watch.on = true;
+    world.stall_check.enabled = true;
     world.advance(500);
     world.lose_orders_until = world.now + unanswered_ms;
     for (id, steps) in [vec![step(5, 2)], vec![gang(3, 8)], vec![step(4, 4)], vec![step(1, 1)]].into_iter().enumerate()
--- a/crates/scheduler/tests/elections.rs
+++ b/crates/scheduler/tests/elections.rs
@@ -18,7 +18,7 @@
 /// Schedulers that do not go by witnesses: each may renew for 8 s without a word of the store.
 fn without_witnesses(servers: usize) -> Fixture {
     let mut fixture = Fixture::new(servers);
-    fixture.hold_witnesses(None, false);
+    fixture.set_stored_witnesses(None, false);
     fixture
 }
 
@@ -27,8 +27,8 @@
     let mut fixture = without_witnesses(2);
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     let lost = fixture.start_all().remove(0).server;
-    fixture.vanish(&lost);
-    fixture.elect_anew();
+    fixture.lose_unnoticed(&lost);
+    fixture.elect_next();
     let first = fixture.now;
     for elections in 0..2 {
         while fixture.now.since(first) < OVER && (elections > 0 || fixture.now.since(first) < Duration::from_secs(9)) {
@@ -37,7 +37,7 @@
                 return;
             }
         }
-        fixture.elect_anew();
+        fixture.elect_next();
     }
     panic!("it does not run again within {OVER} of the first election");
 }
@@ -47,8 +47,8 @@
     let mut fixture = without_witnesses(servers);
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     let started = fixture.start_all().remove(0);
-    fixture.vanish(&started.server);
-    fixture.elect_anew();
+    fixture.lose_unnoticed(&started.server);
+    fixture.elect_next();
     fixture.now = fixture.now + Duration::from_millis(1500);
     (fixture, started)
 }
@@ -106,7 +106,7 @@
         }
         assert!((8..=11).contains(&writes), "{writes} writes in 10 s with {servers} backend servers");
         let mut calm = Fixture::new(servers);
-        calm.elect_anew();
+        calm.elect_next();
         calm.now = calm.now + Duration::from_secs(5);
         assert!(calm.scheduler.next_unreachable_write(calm.now).is_none());
     }
@@ -127,12 +127,12 @@
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     let lost = fixture.start_all().remove(0).server;
     fixture.advance(100);
-    fixture.fall_silent(&lost);
+    fixture.stop_responding(&lost);
     for _ in 0..40 {
         fixture.advance(100);
     }
     let scheduler_lost = fixture.now;
-    fixture.elect_anew();
+    fixture.elect_next();
     while fixture.now.since(scheduler_lost) < RUNS_AGAIN_WITHIN {
         fixture.advance(100);
         if !fixture.start_all().is_empty() {
@@ -149,7 +149,7 @@
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     let started = fixture.start_all().remove(0);
     let id = &started.server;
-    fixture.fall_silent(id);
+    fixture.stop_responding(id);
     fixture.advance(100);
     assert!(fixture.scheduler.may_renew(id), "a connection may have broken");
     fixture.advance(1500);
@@ -176,7 +176,7 @@
     let at = runs(&world).expect("it runs");
     world.cut(at, 4600, false);
     world.advance(4400);
-    assert!(world.note.is_some(), "it was silent for long");
+    assert!(world.unreachable.is_some(), "it was silent for long");
     world.store_down_until = u64::MAX;
     world.advance(1200);
     world.kill_leaders();
--- a/crates/scheduler/tests/evacuation.rs
+++ b/crates/scheduler/tests/evacuation.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeSet;
 
-use common::{Fixture, gang, job, job_in, run_of, server_id, step, zone};
+use common::{Fixture, gang, job, job_in, run_number, server_id, step, zone};
 use jobs::{JobState, OccurrenceId, Placement, Progress, RunNumber, Step};
 use model::{AvailabilityZoneId, Duration, Revision};
 use scheduler::{CompletionKind, EvacuatedBy, EvacuationError, Order, StartReply};
@@ -53,7 +53,7 @@
     fixture.advance(1000);
     assert!(fixture.start_all().is_empty());
     assert!(fixture.stops.is_empty(), "it would lose what it has done since its checkpoint");
-    fixture.end(&started[0], CompletionKind::Done);
+    fixture.complete(&started[0], CompletionKind::Done);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
 }
@@ -72,7 +72,7 @@
     assert!(fixture.scheduler.take_orders().is_empty());
     let started = fixture.start_all();
     assert_eq!(started.len(), 4);
-    assert!(started.iter().all(|started| started.server >= server_id(4) && run_of(started) == 2), "{started:?}");
+    assert!(started.iter().all(|started| started.server >= server_id(4) && run_number(started) == 2), "{started:?}");
 }
 
 #[test]
@@ -122,7 +122,7 @@
     assert_eq!(fixture.stops.len(), 1, "one may be absent at a time");
     let stopped = fixture.stops[0].subject().1;
     let first = started.iter().find(|started| started.task == stopped).expect("it was started");
-    fixture.end(first, CompletionKind::Stopped);
+    fixture.complete(first, CompletionKind::Stopped);
     assert_eq!(fixture.start_all().len(), 1);
     fixture.advance(100);
     fixture.start_all();
--- a/crates/scheduler/tests/forget.rs
+++ b/crates/scheduler/tests/forget.rs
@@ -24,7 +24,7 @@
     fixture.submit(job(2, vec![step(1, 1)]));
     let placed = fixture.start_all();
     let first = placed.iter().find(|started| started.task.occurrence.job == JobId(1)).expect("both start");
-    fixture.end(first, CompletionKind::Done);
+    fixture.complete(first, CompletionKind::Done);
     fixture
 }
 
--- a/crates/scheduler/tests/fuzz.rs
+++ b/crates/scheduler/tests/fuzz.rs
@@ -64,14 +64,14 @@
         1 => any::<u8>().prop_map(Action::Evacuate),
         1 => any::<u8>().prop_map(Action::TakeBack),
         1 => Just(Action::Elect),
-        3 => elect_beside(),
+        3 => elect_concurrent(),
         1 => Just(Action::KillAndElect),
         1 => Just(Action::KillAll),
     ]
 }
 
 /// The one in office goes on with a few backend servers, with half of them or with most; the one elected reaches nearly all others.
-fn elect_beside() -> impl Strategy<Value = Action> {
+fn elect_concurrent() -> impl Strategy<Value = Action> {
     let some = (any::<u8>(), any::<u8>());
     let old = prop_oneof![any::<u8>(), some.prop_map(|(a, b)| a & b), some.prop_map(|(a, b)| a | b)];
     let neither = prop_oneof![3 => Just(0u8), 1 => (any::<u8>(), any::<u8>()).prop_map(|(a, b)| a & b)];
@@ -118,7 +118,7 @@
         Action::Submit(shape) => submit(world, shape, steps(shape)),
         Action::SubmitChoosy(shape) => submit(world, shape, choosy_steps(shape)),
         Action::SubmitFaulty(shape) => {
-            world.faulty.insert(JobId(world.jobs.len() as u64 + 1));
+            world.faulty_jobs.insert(JobId(world.jobs.len() as u64 + 1));
             submit(world, shape, if shape % 2 == 0 { steps(shape) } else { choosy_steps(shape) });
         }
         Action::Cancel(i) => {
@@ -128,20 +128,20 @@
             }
         }
         Action::Crash(i) => world.crash(i.into()),
-        Action::Return(i, ms) => world.crash_and_return(i.into(), ms.into()),
+        Action::Return(i, ms) => world.crash_and_restart(i.into(), ms.into()),
         Action::Resize(i, eighths) => world.resize(i.into(), eighths.into()),
         Action::LetCrash(i) => {
             // A task of the newest job.
             if let Some((id, job)) = world.jobs.iter().next_back() {
                 let occurrence = OccurrenceId { job: *id, number: 0 };
                 let task = TaskId { occurrence, step: 0, index: u32::from(i) % job.steps[0].count };
-                world.let_crash(task);
+                world.crash_on_start(task);
             }
         }
         Action::Cut(i, ms) => world.cut(i.into(), ms.into(), false),
         Action::CutRefusing(i, ms) => world.cut(i.into(), ms.into(), true),
-        Action::CutAnswers(i, ms) => world.cut_answers(i.into(), ms.into()),
-        Action::Leave(i) => world.leave(i.into()),
+        Action::CutAnswers(i, ms) => world.drop_replies(i.into(), ms.into()),
+        Action::Leave(i) => world.announce_departure(i.into()),
         Action::LoseOrders(ms) => world.lose_orders_until = now + u64::from(ms),
         Action::LoseWrites(ms) => world.lose_writes_until = now + u64::from(ms),
         Action::StoreDown(ms) => world.store_down_until = now + u64::from(ms),
@@ -149,7 +149,7 @@
         Action::Evacuate(i) => world.set_evacuated(zone(usize::from(i)), true),
         Action::TakeBack(i) => world.set_evacuated(zone(usize::from(i)), false),
         Action::Elect => world.elect(),
-        Action::ElectBeside(old, new, ms) => world.elect_beside(old, new, ms.into()),
+        Action::ElectBeside(old, new, ms) => world.elect_concurrent(old, new, ms.into()),
         Action::KillAndElect => {
             world.kill_leaders();
             world.elect();
@@ -172,7 +172,7 @@
 
 fn play(seed: u64, actions: &[(u16, Action)], watch: bool) {
     let mut world = World::new(SERVERS, seed);
-    world.watch.on = watch;
+    world.stall_check.enabled = watch;
     for (gap, action) in actions {
         apply(&mut world, action);
         world.advance(u64::from(*gap));
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -14,7 +14,7 @@
         let started = fixture.start_all();
         fixture.scheduler.cancel(JobId(id), fixture.now);
         fixture.advance(ms);
-        fixture.end(&started[0], CompletionKind::Stopped);
+        fixture.complete(&started[0], CompletionKind::Stopped);
     }
     fixture.submit(job_in("archive", 99, vec![step(32, 1)]));
     fixture.start_all().len()
@@ -35,7 +35,7 @@
         let started = fixture.start_all();
         fixture.scheduler.cancel(JobId(id), fixture.now);
         fixture.advance(900);
-        fixture.end(&started[0], CompletionKind::Stopped);
+        fixture.complete(&started[0], CompletionKind::Stopped);
     }
     fixture.submit(job_in("archive", 98, vec![step(18, 1)]));
     assert_eq!(fixture.start_all().len(), 18);
@@ -66,9 +66,9 @@
     let mut busy: Vec<_> = started.iter().map(|start| start.server.clone()).collect();
     busy.dedup();
     for id in &busy[..4] {
-        fixture.fall_silent(id);
+        fixture.stop_responding(id);
     }
-    fixture.elect_anew();
+    fixture.elect_next();
     fixture.submit(job_in("archive", 2, vec![step(1, 1)]));
     assert_eq!(fixture.start_all().len(), 1, "8 of the 32 accelerators that are left are in use");
 }
@@ -122,7 +122,7 @@
     fixture.submit(job_in("archive", 2, vec![step(1, 8), step(6, 1)]));
     let first = fixture.start_all();
     assert_eq!(first.len(), 1, "the second step is held back");
-    fixture.fall_silent(&first[0].server);
+    fixture.stop_responding(&first[0].server);
     let mut started = 0;
     for _ in 0..STANDS_AT_MOST_MS / 100 {
         fixture.advance(100);
@@ -188,7 +188,7 @@
         fixture.advance(100);
         first = fixture.start_all();
     }
-    fixture.end(&first[0], CompletionKind::Done);
+    fixture.complete(&first[0], CompletionKind::Done);
     assert!(fixture.start_all().is_empty(), "it has just run");
     fixture.advance(1500);
     assert!(fixture.start_all().is_empty(), "it has run 1.5 s ago");
--- a/crates/scheduler/tests/late_starts.rs
+++ b/crates/scheduler/tests/late_starts.rs
@@ -24,10 +24,10 @@
     world.cancel(JOB);
     for (i, task) in tasks.into_iter().enumerate() {
         let until = LATE_MS + LEASE_MS;
-        let (server, run, life) = (server_id(i), RunNumber(1), None);
+        let (server, run, incarnation) = (server_id(i), RunNumber(1), None);
         world.after(
             LATE_MS,
-            Event::Start { leader: 0, server, life, task, run, until, answered: false, checkpoint: false },
+            Event::Start { leader: 0, server, incarnation, task, run, until, answered: false, checkpoint: false },
         );
     }
     world
@@ -46,9 +46,9 @@
 
 /// The late order is carried out, and what it has started is stopped in time.
 fn check_stopped(world: &mut World) {
-    let begun = world.begun;
+    let begun = world.start_count;
     world.advance(LATE_MS + 20);
-    assert!(world.begun > begun, "the late order was carried out");
+    assert!(world.start_count > begun, "the late order was carried out");
     world.advance(STOPPED_WITHIN_MS);
     assert_eq!(running(world), Vec::<BackendServerId>::new());
 }
@@ -69,9 +69,9 @@
     world.kill_leaders();
     world.advance(1500);
     world.elect();
-    let begun = world.begun;
+    let begun = world.start_count;
     world.advance(LATE_MS + 20);
-    assert_eq!(world.begun, begun);
+    assert_eq!(world.start_count, begun);
 }
 
 /// The box that had ordered it is removed for good, and the late order is carried out before there is another.
--- a/crates/scheduler/tests/pace.rs
+++ b/crates/scheduler/tests/pace.rs
@@ -28,12 +28,12 @@
 }
 
 /// Listings come every half second and show this tail latency; returns how fast the best-effort task works after each.
-fn paces(fixture: &mut Fixture, serving: &Started, filler: &Started, latencies_ms: &[f64]) -> Vec<u32> {
+fn throttle_percent(fixture: &mut Fixture, serving: &Started, filler: &Started, latencies_ms: &[f64]) -> Vec<u32> {
     let pace = |latency_ms: &f64| {
         fixture.latency_ms.insert(serving.task, *latency_ms);
         fixture.advance(700);
         fixture.start_all();
-        fixture.paces.get(&filler.task).copied().unwrap_or(100)
+        fixture.throttle_percent.get(&filler.task).copied().unwrap_or(100)
     };
     latencies_ms.iter().map(pace).collect()
 }
@@ -41,27 +41,27 @@
 #[test]
 fn a_target_that_is_missed_slows_best_effort_tasks_to_a_halt_within_four_listings() {
     let (mut fixture, serving, filler) = both();
-    let slowed = paces(&mut fixture, &serving, &filler, &[150.0; 4]);
+    let slowed = throttle_percent(&mut fixture, &serving, &filler, &[150.0; 4]);
     assert_eq!(slowed, [40, 16, 0, 0]);
 }
 
 #[test]
 fn best_effort_tasks_go_faster_in_small_steps_once_targets_are_met_with_ease() {
     let (mut fixture, serving, filler) = both();
-    let after = paces(&mut fixture, &serving, &filler, &[150.0, 80.0, 50.0, 50.0, 95.0]);
+    let after = throttle_percent(&mut fixture, &serving, &filler, &[150.0, 80.0, 50.0, 50.0, 95.0]);
     assert_eq!(after, [40, 40, 50, 60, 48]);
 }
 
 #[test]
 fn best_effort_tasks_work_at_full_speed_once_nothing_serves_beside_them() {
     let (mut fixture, serving, filler) = both();
-    paces(&mut fixture, &serving, &filler, &[150.0, 150.0]);
+    throttle_percent(&mut fixture, &serving, &filler, &[150.0, 150.0]);
     let now = fixture.now;
     fixture.scheduler.cancel(serving.task.occurrence.job, now);
-    fixture.end(&serving, scheduler::CompletionKind::Stopped);
+    fixture.complete(&serving, scheduler::CompletionKind::Stopped);
     fixture.advance(700);
     fixture.start_all();
-    assert_eq!(fixture.paces[&filler.task], 100);
+    assert_eq!(fixture.throttle_percent[&filler.task], 100);
 }
 
 #[test]
--- a/crates/scheduler/tests/plan.rs
+++ b/crates/scheduler/tests/plan.rs
@@ -25,9 +25,9 @@
     fixture.submit(job(1, vec![step(2, 1), Step { after: vec![0], ..step(1, 1) }]));
     let first = fixture.start_all();
     assert_eq!(first.len(), 2);
-    fixture.end(&first[0], CompletionKind::Done);
+    fixture.complete(&first[0], CompletionKind::Done);
     assert!(fixture.start_all().is_empty(), "one task of the first step still runs");
-    fixture.end(&first[1], CompletionKind::Done);
+    fixture.complete(&first[1], CompletionKind::Done);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
@@ -50,7 +50,7 @@
     fixture.submit(job(3, vec![Step { same_rack: true, ..gang(4, 8) }]));
     assert!(fixture.start_all().is_empty(), "neither rack is whole");
     for started in &in_the_way {
-        fixture.end(started, CompletionKind::Done);
+        fixture.complete(started, CompletionKind::Done);
     }
     let placed = fixture.start_all();
     assert_eq!(ids(&placed), [3]);
@@ -94,7 +94,7 @@
     fixture.submit(job_in("urgent", 3, vec![gang(1, 8)]));
     assert!(fixture.start_all().is_empty(), "the room is not free yet");
     assert_eq!(stopped(&fixture), [2], "it goes on from its checkpoint; the other would lose 3 s of work");
-    fixture.end_with(&checkpoint[0], CompletionKind::Stopped, Some("half"));
+    fixture.complete_with(&checkpoint[0], CompletionKind::Stopped, Some("half"));
     assert_eq!(ids(&fixture.start_all()), [3]);
 }
 
@@ -103,7 +103,7 @@
     let mut fixture = Fixture::new(1);
     fixture.submit(job(1, vec![Step { checkpoints: true, ..step(1, 8) }]));
     let first = fixture.start_all();
-    fixture.end_with(&first[0], CompletionKind::Lapsed, Some("half"));
+    fixture.complete_with(&first[0], CompletionKind::Lapsed, Some("half"));
     let again = fixture.start_all();
     assert_eq!(again[0].checkpoint.as_deref(), Some("half"));
 }
@@ -130,7 +130,7 @@
     fixture.scheduler.cancel(JobId(1), fixture.now);
     fixture.start_all();
     assert_eq!(stopped(&fixture), [1]);
-    fixture.end(&first[0], CompletionKind::Done);
+    fixture.complete(&first[0], CompletionKind::Done);
     assert!(fixture.start_all().is_empty());
 }
 
@@ -148,12 +148,12 @@
 #[test]
 fn what_lasts_is_started_again_however_it_ended() {
     let mut fixture = Fixture::new(1);
-    fixture.attempts(1);
+    fixture.set_attempts(1);
     fixture.submit(job(1, vec![Step { long_running: true, ..step(1, 1) }]));
     for kind in [CompletionKind::Failed, CompletionKind::Done, CompletionKind::Lapsed] {
         let started = fixture.start_all();
         assert_eq!(started.len(), 1, "before it ends {kind}");
-        fixture.end(&started[0], kind);
+        fixture.complete(&started[0], kind);
         fixture.advance(10_000);
     }
 }
@@ -175,7 +175,7 @@
     fixture.submit(job(2, vec![gang(1, 8)]));
     let first = fixture.start_all();
     for started in &first {
-        fixture.end(started, CompletionKind::Failed);
+        fixture.complete(started, CompletionKind::Failed);
     }
     let again = fixture.start_all();
     assert_eq!(again.len(), 1, "both earlier places are doubtful now");
@@ -193,7 +193,7 @@
     let started = fixture.start_all();
     fixture.start_all();
     let before = fixture.scheduler.counts().refreshed;
-    fixture.end(&started[0], CompletionKind::Done);
+    fixture.complete(&started[0], CompletionKind::Done);
     fixture.start_all();
     fixture.start_all();
     let looked_at = fixture.scheduler.counts().refreshed - before;
--- a/crates/scheduler/tests/repeated_starts.rs
+++ b/crates/scheduler/tests/repeated_starts.rs
@@ -24,7 +24,7 @@
 /// The backend server lists the run's end, and nothing is started again.
 fn check_done(mut fixture: Fixture, start: &Started) {
     assert!(fixture.ordered_starts().is_empty(), "it is started again before it is known what became of it");
-    fixture.end(start, CompletionKind::Done);
+    fixture.complete(start, CompletionKind::Done);
     assert!(fixture.ordered_starts().is_empty());
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
 }
--- a/crates/scheduler/tests/returned.rs
+++ b/crates/scheduler/tests/returned.rs
@@ -7,7 +7,7 @@
 
 mod common;
 
-use common::{Fixture, info, job_in, run_of, server_id, step};
+use common::{Fixture, info, job_in, run_number, server_id, step};
 use jobs::{JobState, Step};
 use model::BackendServerId;
 use scheduler::{CompletionKind, ServerInfo};
@@ -18,11 +18,11 @@
     let server = fixture.newest();
     fixture.submit(job_in("urgent", 1, vec![step(6, 1)]));
     for started in fixture.start_all() {
-        fixture.end(&started, CompletionKind::Done);
+        fixture.complete(&started, CompletionKind::Done);
     }
     fixture.store_all();
     assert_eq!((fixture.state(1), fixture.scheduler.acknowledged_serial(&server)), (Some(JobState::Succeeded), 6));
-    fixture.crash_and_return(&server);
+    fixture.crash_and_restart(&server);
     (fixture, server)
 }
 
@@ -33,7 +33,7 @@
     fixture.submit(job_in("urgent", 2, vec![step(1, 1)]));
     let started = fixture.start_all();
     fixture.advance(1000);
-    fixture.end(&started[0], CompletionKind::Done);
+    fixture.complete(&started[0], CompletionKind::Done);
     fixture.advance(1000);
     assert!(fixture.start_all().is_empty(), "it is started again");
     assert_eq!(fixture.state(2), Some(JobState::Succeeded));
@@ -48,7 +48,7 @@
     let first = fixture.start_all();
     fixture.advance(1000);
     for started in &first {
-        fixture.end(started, CompletionKind::Done);
+        fixture.complete(started, CompletionKind::Done);
     }
     let next = fixture.start_all();
     assert_eq!(next.iter().map(|started| started.task.step).collect::<Vec<_>>(), [1, 1]);
@@ -70,7 +70,7 @@
         // It keeps off the place for a while.
         fixture.advance(3500);
         let started = fixture.start_all();
-        fixture.crash_and_return(&server);
+        fixture.crash_and_restart(&server);
         !started.is_empty()
     });
     assert_eq!(crashes.count(), 3);
@@ -85,7 +85,7 @@
         assert_eq!(fixture.start_all().len(), 1);
         fixture.cut_past_lease(&server);
         fixture.reconnect(&server);
-        fixture.crash_and_return(&server);
+        fixture.crash_and_restart(&server);
     }
     fixture.store_all();
     assert_eq!(fixture.state(JOB), Some(JobState::Failed));
@@ -108,14 +108,14 @@
 fn what_an_earlier_scheduler_placed_in_another_life_starts_again_at_once() {
     let (mut fixture, server) = with_one_task();
     assert_eq!(fixture.start_all().len(), 1);
-    fixture.lose_unheard(&server);
-    fixture.elect_anew();
+    fixture.restart_unnoticed(&server);
+    fixture.elect_next();
     fixture.advance(3100);
     let again = fixture.start_all();
-    assert_eq!(again.iter().map(run_of).collect::<Vec<_>>(), [2]);
+    assert_eq!(again.iter().map(run_number).collect::<Vec<_>>(), [2]);
     for _ in 0..4 {
-        fixture.lose_unheard(&server);
-        fixture.elect_anew();
+        fixture.restart_unnoticed(&server);
+        fixture.elect_next();
         fixture.advance(3100);
         fixture.start_all();
     }
@@ -127,7 +127,7 @@
     let (mut fixture, server) = with_one_task();
     let earlier = ServerInfo { incarnation: fixture.incarnation(&server), ..info(0) };
     fixture.scheduler.server_listed(server.clone(), earlier.clone(), fixture.now);
-    fixture.crash_and_return(&server);
+    fixture.crash_and_restart(&server);
     assert!(fixture.start_all().is_empty(), "what is listed may have other room");
     let next = ServerInfo { incarnation: fixture.incarnation(&server), ..earlier };
     fixture.scheduler.server_listed(server, next, fixture.now);
@@ -143,7 +143,7 @@
         assert_eq!(fixture.start_all().len(), 1);
         let leaving = ServerInfo { draining: true, ..here };
         fixture.scheduler.server_listed(server.clone(), leaving, fixture.now);
-        fixture.crash_and_return(&server);
+        fixture.crash_and_restart(&server);
     }
     assert_eq!(fixture.state(JOB), Some(JobState::Running));
 }
--- a/crates/scheduler/tests/silent_store.rs
+++ b/crates/scheduler/tests/silent_store.rs
@@ -5,22 +5,22 @@
 use common::{job_in, step, world::World};
 
 /// How many runs begin anew after the store was silent for so long, and has answered again.
-fn lost_with_the_store(by_witnesses: bool, silent_ms: u64) -> usize {
+fn lost_with_the_store(uses_witnesses: bool, silent_ms: u64) -> usize {
     let mut world = World::new(4, 1);
-    world.by_witnesses = by_witnesses;
+    world.uses_witnesses = uses_witnesses;
     world.work_ms = Some(60_000);
     world.advance(1500);
     for id in 1..=4 {
         world.submit(job_in("urgent", id, vec![step(1, 8)]));
     }
     world.advance(4000);
-    let begun = world.begun;
+    let begun = world.start_count;
     world.store_down_until = world.now + silent_ms;
     world.advance(silent_ms + 300);
     world.kill_leaders();
     world.elect();
     world.advance(8000);
-    world.begun - begun
+    world.start_count - begun
 }
 
 #[test]
@@ -35,16 +35,16 @@
 
 /// The store is silent for 8 s, which is borne; one backend server, on which nothing runs, crashes 2 s after it fell
 /// silent. How many runs on the others begin anew.
-fn lost_beside_a_crash(servers: usize, by_witnesses: bool) -> usize {
+fn lost_beside_a_crash(servers: usize, uses_witnesses: bool) -> usize {
     let mut world = World::new(servers, 1);
-    world.by_witnesses = by_witnesses;
+    world.uses_witnesses = uses_witnesses;
     world.work_ms = Some(60_000);
     world.advance(1500);
     for id in 1..servers as u64 {
         world.submit(job_in("urgent", id, vec![step(1, 8)]));
     }
     world.advance(4000);
-    let begun = world.begun;
+    let begun = world.start_count;
     let idle = world.servers.values().position(|server| server.running.is_empty()).expect("one is");
     world.store_down_until = world.now + 8000;
     world.advance(2000);
@@ -53,7 +53,7 @@
     world.kill_leaders();
     world.elect();
     world.advance(8000);
-    world.begun - begun
+    world.start_count - begun
 }
 
 #[test]
--- a/crates/scheduler/tests/speed.rs
+++ b/crates/scheduler/tests/speed.rs
@@ -47,7 +47,7 @@
             let (over, rest) = going.into_iter().partition(|start| if is_gang { all_done } else { done(start) });
             going = rest;
             for start in over {
-                self.fixture.end(&start, CompletionKind::Done);
+                self.fixture.complete(&start, CompletionKind::Done);
             }
         }
         self.fixture.store_all();
@@ -177,7 +177,7 @@
         for start in fleet.fixture.start_all() {
             let kind = if start.server == server_id(0) { CompletionKind::Failed } else { CompletionKind::Done };
             fleet.fixture.now = fleet.fixture.now + Duration::from_millis(5);
-            fleet.fixture.end(&start, kind);
+            fleet.fixture.complete(&start, kind);
         }
     }
     assert!(fleet.report(0).factor > 0.85, "{}", fleet.report(0).factor);
@@ -189,7 +189,7 @@
     let mut fleet = Fleet::new(&a_third_slow(12));
     teach(&mut fleet, 4);
     assert!(fleet.report(1).factor > 1.3);
-    fleet.fixture.crash_and_return(&server_id(1));
+    fleet.fixture.crash_and_restart(&server_id(1));
     assert_eq!(fleet.report(1).runs, 0);
 }
 
@@ -201,7 +201,7 @@
     fleet.fixture.submit(job_in("urgent", 1, vec![step(12, 8)]));
     let going = fleet.fixture.start_all();
     fleet.fixture.percent = 0;
-    fleet.fixture.elect_anew();
+    fleet.fixture.elect_next();
     let even = |id: &BackendServerId| (0..12).step_by(2).any(|i| server_id(i) == *id);
     for told in [0, 40] {
         fleet.fixture.now = fleet.fixture.now + Duration::from_millis(800);
--- a/crates/scheduler/tests/standing.rs
+++ b/crates/scheduler/tests/standing.rs
@@ -12,7 +12,7 @@
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     let started = fixture.start_all().remove(0);
     fixture.advance(100);
-    fixture.fall_silent(&started.server);
+    fixture.stop_responding(&started.server);
     fixture
 }
 
--- a/crates/scheduler/tests/standing_still.rs
+++ b/crates/scheduler/tests/standing_still.rs
@@ -40,7 +40,7 @@
         let (id, task) = (stop.subject().0.clone(), stop.subject().1);
         let run = fixture.running_on(&id).into_iter().find(|started| started.task == task);
         if let Some(run) = run {
-            fixture.end(&run, CompletionKind::Stopped);
+            fixture.complete(&run, CompletionKind::Stopped);
         }
     }
 }
@@ -115,12 +115,12 @@
     fixture.submit(urgent(1, step(1, 5)));
     for id in 2..=3 {
         let failed = start_of(&fixture.start_all(), 1);
-        fixture.end(&failed, CompletionKind::Failed);
+        fixture.complete(&failed, CompletionKind::Failed);
         // Work of others takes both, and is done: neither is doubtful any more.
         let short = Step { max_per_server: Some(1), estimate: Duration::from_secs(1), ..step(2, 6) };
         fixture.submit(urgent(id, short));
         for started in fixture.start_all().iter().filter(|started| started.task.occurrence.job.0 == id) {
-            fixture.end(started, CompletionKind::Done);
+            fixture.complete(started, CompletionKind::Done);
         }
     }
     fixture.submit(job(4, vec![Step { max_per_server: Some(1), ..step(2, 4) }]));
@@ -145,8 +145,8 @@
     let started = fixture.start_all();
     let (first, second) = (start_of(&started, 1), start_of(&started, 2));
     assert_ne!(first.server, second.server);
-    fixture.end(&second, CompletionKind::Failed);
-    fixture.end(&first, CompletionKind::Failed);
+    fixture.complete(&second, CompletionKind::Failed);
+    fixture.complete(&first, CompletionKind::Failed);
     let failed = fixture.now;
     let waited = until_it_starts(&mut fixture, 1, failed);
     assert!(waited < STILL, "it runs again {waited} after its failure");
@@ -163,13 +163,13 @@
     let mut failed_at = fixture.now;
     for _ in 0..2 {
         let failed = start_of(&fixture.start_all(), 1);
-        fixture.end(&failed, CompletionKind::Failed);
+        fixture.complete(&failed, CompletionKind::Failed);
         failed_at = fixture.now;
         // Work of others takes both, and is done.
         id += 1;
         fixture.submit(urgent(id, Step { max_per_server: Some(1), ..step(2, 6) }));
         for started in fixture.start_all().iter().filter(|started| started.task.occurrence.job.0 == id) {
-            fixture.end(started, CompletionKind::Done);
+            fixture.complete(started, CompletionKind::Done);
         }
     }
     let waited = until_it_starts(&mut fixture, 1, failed_at);
@@ -264,7 +264,7 @@
     let started = fixture.start_all();
     assert_eq!(started.len(), 4);
     for failed in &started {
-        fixture.end(failed, CompletionKind::Failed);
+        fixture.complete(failed, CompletionKind::Failed);
     }
     fixture.scheduler.cancel(jobs::JobId(1), fixture.now);
     fixture.scheduler.cancel(jobs::JobId(2), fixture.now);
@@ -283,8 +283,8 @@
     let mut fixture = Fixture::new(8);
     fixture.submit(job(1, vec![step(1, 1)]));
     let lost = start_of(&fixture.start_all(), 1).server;
-    fixture.vanish(&lost);
-    fixture.elect_anew();
+    fixture.lose_unnoticed(&lost);
+    fixture.elect_next();
     let elected = fixture.now;
     let waited = until_it_starts(&mut fixture, 1, elected);
     assert!(waited <= STILL_AFTER_DISTURBANCE, "it runs again {waited} after the election");
@@ -322,7 +322,7 @@
     }
     let last_try = fixture.start_all();
     assert_eq!(last_try.len(), 1, "the other waits for its trial");
-    fixture.fall_silent(&last_try[0].server);
+    fixture.stop_responding(&last_try[0].server);
     fixture.advance(10);
     fixture
 }
--- a/crates/scheduler/tests/starting.rs
+++ b/crates/scheduler/tests/starting.rs
@@ -50,7 +50,7 @@
 
     fn turn(&mut self, turn: u64) {
         for started in self.ending.remove(&turn).unwrap_or_default() {
-            self.fixture.end(&started, CompletionKind::Done);
+            self.fixture.complete(&started, CompletionKind::Done);
         }
         self.submit(&URGENT, turn);
         self.submit(&ARCHIVE, turn);
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/storing.rs
@@ -38,7 +38,7 @@
     for id in 1..=BUSY_JOBS {
         let at = running.iter().position(|started| started.task.occurrence.job == JobId(id)).expect("60 run");
         let started = running.swap_remove(at);
-        fixture.end(&started, CompletionKind::Done);
+        fixture.complete(&started, CompletionKind::Done);
     }
 }
 
@@ -65,9 +65,9 @@
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("batch", 1, vec![step(2, 1)]));
     let running = fixture.start_all();
-    fixture.end(&running[0], CompletionKind::Done);
+    fixture.complete(&running[0], CompletionKind::Done);
     let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("an end is to be stored");
-    fixture.end(&running[1], CompletionKind::Done);
+    fixture.complete(&running[1], CompletionKind::Done);
     fixture.scheduler.batch_stored(batch, Revision(2000));
     assert!(fixture.scheduler.has_pending_writes());
     let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("the other end is to be stored");
--- a/crates/scheduler/tests/trial.rs
+++ b/crates/scheduler/tests/trial.rs
@@ -57,7 +57,7 @@
 fn the_next_scheduler_goes_on_with_that() {
     let mut fixture = crashed_once();
     fixture.start_all();
-    fixture.elect_anew();
+    fixture.elect_next();
     fixture.submit(job(3, vec![step(1, 1)]));
     assert!(fixture.start_all().is_empty(), "each backend server tries one of them");
     fixture.advance(2100);
@@ -84,7 +84,7 @@
     }
     for job in [10, 11, 12] {
         let ended = fixture.running_on(&fixture.server_of(task(job, 0)).expect("it runs"));
-        fixture.end(ended.last().expect("it runs tasks"), CompletionKind::Done);
+        fixture.complete(ended.last().expect("it runs tasks"), CompletionKind::Done);
     }
     fixture.advance(3000);
     fixture.submit(job_in("urgent", 1, vec![step(1, 1)]));
@@ -116,8 +116,10 @@
     let placed = fixture.start_all();
     fixture.advance(2500);
     let crash = placed.iter().find(|started| started.task == task(1, 0)).expect("it runs").server.clone();
-    fixture
-        .end(&placed.iter().find(|started| started.task == task(2, 0)).expect("it runs").clone(), CompletionKind::Done);
+    fixture.complete(
+        &placed.iter().find(|started| started.task == task(2, 0)).expect("it runs").clone(),
+        CompletionKind::Done,
+    );
     // It had worked for long: this crash makes it no suspect. The next one comes as it begins.
     fixture.crash(&crash);
     fixture.start_all();
@@ -162,10 +164,10 @@
     fixture.submit(job(1, vec![step(1, 1)]));
     let first = fixture.start_all()[0].server.clone();
     // The machine may be at fault: its next life is empty, and would be tried first.
-    fixture.crash_in_place(&first);
+    fixture.crash_at_same_address(&first);
     let second = fixture.start_all()[0].server.clone();
-    assert_ne!(fixture.place_of(&second), fixture.place_of(&first));
-    fixture.crash_in_place(&second);
+    assert_ne!(fixture.address_of(&second), fixture.address_of(&first));
+    fixture.crash_at_same_address(&second);
     assert!(fixture.start_all().is_empty(), "it has crashed at both");
     fixture.advance(3100);
     assert_eq!(fixture.start_all().len(), 1, "there is no other place");
@@ -174,16 +176,16 @@
 #[test]
 fn a_machine_that_crashes_under_everything_costs_no_job() {
     let mut fixture = Fixture::new(4);
-    let bad = fixture.place_of(&server_id(0));
+    let bad = fixture.address_of(&server_id(0));
     for id in 1..=6 {
         fixture.submit(job_in("urgent", id, vec![step(2, 2)]));
     }
     let tasks: usize = (0..20)
         .map(|_| {
             let starts = fixture.start_all();
-            let on_bad = starts.iter().map(|started| started.server.clone()).find(|id| fixture.place_of(id) == bad);
+            let on_bad = starts.iter().map(|started| started.server.clone()).find(|id| fixture.address_of(id) == bad);
             if let Some(id) = on_bad {
-                fixture.crash_in_place(&id);
+                fixture.crash_at_same_address(&id);
             }
             fixture.store_all();
             starts.len()
@@ -264,7 +266,7 @@
     }
     fixture.submit(job_in("urgent", 1, vec![step(8, 1)]));
     for started in &filling {
-        fixture.end(started, CompletionKind::Done);
+        fixture.complete(started, CompletionKind::Done);
     }
     assert_eq!(fixture.start_all().len(), 8);
     for _ in 0..crashes {
@@ -310,7 +312,7 @@
     for _ in 0..2 {
         let server = fixture.server_of(task(1, 0)).expect("it runs");
         for beside in fixture.running_on(&server).iter().filter(|started| started.task != task(1, 0)) {
-            fixture.end(beside, CompletionKind::Done);
+            fixture.complete(beside, CompletionKind::Done);
         }
         fixture.lose(&server);
         fixture.add_server(20);
--- a/crates/scheduler/tests/upkeep.rs
+++ b/crates/scheduler/tests/upkeep.rs
@@ -123,7 +123,7 @@
     let (mut fixture, started) = busy(Step { checkpoints: true, ..step(1, 4) });
     fixture.start_all();
     assert_eq!(fixture.stops.len(), 1);
-    fixture.end_with(&started[0], CompletionKind::Stopped, Some("half"));
+    fixture.complete_with(&started[0], CompletionKind::Stopped, Some("half"));
     let again = fixture.start_all();
     assert_eq!(again[0].server, server_id(1));
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(0)]);
@@ -157,6 +157,6 @@
     assert_eq!(first, [machine_id(0)]);
     hand_over(&mut fixture, &machine_id(0), MaintenanceReply::Begun);
     assert!(due(&mut fixture, vec![machine(0), machine(1)]).is_empty(), "its list may be older than the hand-over");
-    fixture.crash_and_return(&server_id(0));
+    fixture.crash_and_restart(&server_id(0));
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(1)]);
 }
--- a/crates/scheduler/tests/witnesses.rs
+++ b/crates/scheduler/tests/witnesses.rs
@@ -173,12 +173,12 @@
     let place = fixture.start_all().remove(0).server;
     let witnesses: Vec<BackendServerId> = (0..7).map(server_id).filter(|id| *id != place).collect();
     let silent: Vec<BackendServerId> = witnesses[heard..].to_vec();
-    fixture.vanish(&place);
+    fixture.lose_unnoticed(&place);
     for id in &silent {
-        fixture.fall_silent(id);
+        fixture.stop_responding(id);
     }
-    fixture.hold_witnesses(Some(renamed(note, &witnesses)), binding);
-    fixture.elect_anew();
+    fixture.set_stored_witnesses(Some(renamed(note, &witnesses)), binding);
+    fixture.elect_next();
     let from = fixture.now;
     while fixture.start_all().is_empty() {
         fixture.advance(50);
@@ -265,12 +265,12 @@
         }
         world.advance(4000);
         assert!(world.witnesses.is_some(), "there was time to choose them");
-        let begun = world.begun;
+        let begun = world.start_count;
         // Those that run something are the first.
         let mask = (0..reached_by_old).fold(0u8, |mask, i| mask | 1 << i);
-        world.elect_beside(mask, 0, 14_000);
+        world.elect_concurrent(mask, 0, 14_000);
         world.advance(6900);
-        begun_anew.push(world.begun - begun);
+        begun_anew.push(world.start_count - begun);
         world.advance(9000);
     }
     // Three backend servers have room for three of them; two are less than a third of the witnesses.
