--- a/crates/scheduler/tests/dropped_starts.rs
+++ b/crates/scheduler/tests/dropped_starts.rs
@@ -1,8 +1,7 @@
-//! Starts that the host drops: it finds no link to their backend server, or too many orders wait there. Nobody answers them.
-//!
-//! Seen with real processes: three of four jobs had nothing running for 56 s in calm. A start is followed until it is
-//! answered, and one that was dropped never was. Since then the host tells the scheduler that it was refused, and
-//! these tests hold what the scheduler makes of that: nothing stands, and nothing runs twice.
+//! Guards against jobs that stall because the runtime dropped their start: it had no connection to the backend server,
+//! or its queue of orders was full. Nothing replies to a dropped start, so the scheduler followed it forever and three
+//! of four jobs had nothing running for 56 s in calm. The runtime now reports it as refused; the scheduler must then
+//! start the task again, once.
 
 mod common;
 
@@ -11,11 +10,11 @@
 
 const SEEDS: u64 = 20;
 const DROPPED_MS: u64 = 2000;
-/// From the last dropped order until all must be done: the work, its lease if it is lost, and some starts.
+/// Time from the last dropped order until all jobs must be done: their work, a lease if it is lost, and some starts.
 const SETTLE_MS: u64 = 30_000;
 
-/// Jobs come while orders are dropped, after a while in which some get no answer, for as long as `unanswered_ms` tells.
-fn play(seed: u64, unanswered_ms: u64) {
+/// Submits jobs while orders are dropped, after `unanswered_ms` during which some get no reply.
+fn run_jobs_with_dropped_orders(seed: u64, unanswered_ms: u64) {
     let mut world = World::new(8, seed);
     world.stall_check.enabled = true;
     world.advance(500);
@@ -36,11 +35,11 @@
 }
 
 #[test]
-fn what_was_dropped_starts_once_orders_go_out_again() {
-    (1..=SEEDS).for_each(|seed| play(seed, 0));
+fn dropped_starts_are_repeated_once_orders_are_sent_again() {
+    (1..=SEEDS).for_each(|seed| run_jobs_with_dropped_orders(seed, 0));
 }
 
 #[test]
-fn so_does_what_had_got_no_answer_before() {
-    (1..=SEEDS).for_each(|seed| play(seed, 1000));
+fn starts_without_a_reply_that_are_then_dropped_are_repeated_too() {
+    (1..=SEEDS).for_each(|seed| run_jobs_with_dropped_orders(seed, 1000));
 }
--- a/crates/scheduler/tests/fuzz.rs
+++ b/crates/scheduler/tests/fuzz.rs
@@ -1,6 +1,7 @@
-//! Whole scheduling in virtual time under failures, against an oracle that sees what ran.
+//! Fuzzes whole scheduling in virtual time under failures, against an oracle that sees all runs.
 //!
-//! `PROPTEST_CASES` sets how many cases run; the seed is fixed, so that each run gives the same verdict.
+//! `PROPTEST_CASES` sets the number of cases. The seed is fixed unless `FUZZ_SEED` sets another one, so that results
+//! are reproducible.
 
 mod common;
 
@@ -15,8 +16,8 @@
 
 const DEFAULT_CASES: u32 = 120;
 const SERVERS: usize = 8;
-/// Longest time in which everything must end once nothing fails any more: leases of earlier schedulers
-/// (8 s + 6 s), and the work itself, a few times over.
+/// Maximum time until all jobs end once nothing fails any more: leases of earlier schedulers (8 s + 6 s), and the work
+/// itself, several times over.
 const SETTLE_MS: u64 = 200_000;
 
 #[derive(Debug, Clone)]
@@ -24,24 +25,24 @@
     Submit(u8),
     Cancel(u8),
     Crash(u8),
-    LetCrash(u8),
-    Return(u8, u16),
+    CrashOnStart(u8),
+    CrashAndRestart(u8, u16),
     Resize(u8, u8),
     Cut(u8, u16),
     CutRefusing(u8, u16),
-    CutAnswers(u8, u16),
-    Leave(u8),
+    DropReplies(u8, u16),
+    Drain(u8),
     LoseOrders(u16),
     LoseWrites(u16),
     StoreDown(u16),
     FailTasks(u16),
     Evacuate(u8),
-    TakeBack(u8),
+    EndEvacuation(u8),
     Elect,
-    ElectBeside(u8, u8, u16),
+    ElectConcurrent(u8, u8, u16),
     KillAndElect,
     KillAll,
-    SubmitChoosy(u8),
+    SubmitRestricted(u8),
     SubmitFaulty(u8),
 }
 
@@ -50,19 +51,19 @@
         6 => any::<u8>().prop_map(Action::Submit),
         1 => any::<u8>().prop_map(Action::Cancel),
         1 => any::<u8>().prop_map(Action::Crash),
-        1 => any::<u8>().prop_map(Action::LetCrash),
-        3 => (any::<u8>(), 100u16..8000).prop_map(|(i, ms)| Action::Return(i, ms)),
+        1 => any::<u8>().prop_map(Action::CrashOnStart),
+        3 => (any::<u8>(), 100u16..8000).prop_map(|(i, ms)| Action::CrashAndRestart(i, ms)),
         2 => (any::<u8>(), 0u8..9).prop_map(|(i, eighths)| Action::Resize(i, eighths)),
         2 => (any::<u8>(), 100u16..12_000).prop_map(|(i, ms)| Action::Cut(i, ms)),
         1 => (any::<u8>(), 100u16..12_000).prop_map(|(i, ms)| Action::CutRefusing(i, ms)),
-        2 => (any::<u8>(), 100u16..6000).prop_map(|(i, ms)| Action::CutAnswers(i, ms)),
-        1 => any::<u8>().prop_map(Action::Leave),
+        2 => (any::<u8>(), 100u16..6000).prop_map(|(i, ms)| Action::DropReplies(i, ms)),
+        1 => any::<u8>().prop_map(Action::Drain),
         1 => (100u16..4000).prop_map(Action::LoseOrders),
         1 => (100u16..4000).prop_map(Action::LoseWrites),
         1 => (100u16..8000).prop_map(Action::StoreDown),
         1 => (100u16..2000).prop_map(Action::FailTasks),
         1 => any::<u8>().prop_map(Action::Evacuate),
-        1 => any::<u8>().prop_map(Action::TakeBack),
+        1 => any::<u8>().prop_map(Action::EndEvacuation),
         1 => Just(Action::Elect),
         3 => elect_concurrent(),
         1 => Just(Action::KillAndElect),
@@ -70,24 +71,25 @@
     ]
 }
 
-/// The one in office goes on with a few backend servers, with half of them or with most; the one elected reaches nearly all others.
+/// Elects another box beside the current one, which keeps a few backend servers, half or most of them; the elected one
+/// reaches nearly all others.
 fn elect_concurrent() -> impl Strategy<Value = Action> {
     let some = (any::<u8>(), any::<u8>());
     let old = prop_oneof![any::<u8>(), some.prop_map(|(a, b)| a & b), some.prop_map(|(a, b)| a | b)];
     let neither = prop_oneof![3 => Just(0u8), 1 => (any::<u8>(), any::<u8>()).prop_map(|(a, b)| a & b)];
-    (old, neither, 1000u16..14_000).prop_map(|(old, neither, ms)| Action::ElectBeside(old, neither, ms))
+    (old, neither, 1000u16..14_000).prop_map(|(old, neither, ms)| Action::ElectConcurrent(old, neither, ms))
 }
 
-/// The same, and jobs that choose where they run, or that fail through their own fault, which is no disturbance.
-fn calmer_action() -> impl Strategy<Value = Action> {
+/// Adds jobs that restrict where they run, or that fail through their own fault, which is no disturbance.
+fn action_with_restricted_jobs() -> impl Strategy<Value = Action> {
     prop_oneof![
         8 => action(),
-        1 => any::<u8>().prop_map(Action::SubmitChoosy),
+        1 => any::<u8>().prop_map(Action::SubmitRestricted),
         1 => any::<u8>().prop_map(Action::SubmitFaulty),
     ]
 }
 
-fn choosy_steps(shape: u8) -> Vec<Step> {
+fn restricted_steps(shape: u8) -> Vec<Step> {
     let rack = || Some(Arc::from("r1-0"));
     match shape % 4 {
         0 => vec![Step { label: rack(), ..step(3, 1) }],
@@ -116,10 +118,10 @@
     let now = world.now;
     match *action {
         Action::Submit(shape) => submit(world, shape, steps(shape)),
-        Action::SubmitChoosy(shape) => submit(world, shape, choosy_steps(shape)),
+        Action::SubmitRestricted(shape) => submit(world, shape, restricted_steps(shape)),
         Action::SubmitFaulty(shape) => {
             world.faulty_jobs.insert(JobId(world.jobs.len() as u64 + 1));
-            submit(world, shape, if shape % 2 == 0 { steps(shape) } else { choosy_steps(shape) });
+            submit(world, shape, if shape % 2 == 0 { steps(shape) } else { restricted_steps(shape) });
         }
         Action::Cancel(i) => {
             let ids: Vec<JobId> = world.jobs.keys().copied().collect();
@@ -128,10 +130,10 @@
             }
         }
         Action::Crash(i) => world.crash(i.into()),
-        Action::Return(i, ms) => world.crash_and_restart(i.into(), ms.into()),
+        Action::CrashAndRestart(i, ms) => world.crash_and_restart(i.into(), ms.into()),
         Action::Resize(i, eighths) => world.resize(i.into(), eighths.into()),
-        Action::LetCrash(i) => {
-            // A task of the newest job.
+        Action::CrashOnStart(i) => {
+            // Picks a task of the newest job.
             if let Some((id, job)) = world.jobs.iter().next_back() {
                 let occurrence = OccurrenceId { job: *id, number: 0 };
                 let task = TaskId { occurrence, step: 0, index: u32::from(i) % job.steps[0].count };
@@ -140,16 +142,16 @@
         }
         Action::Cut(i, ms) => world.cut(i.into(), ms.into(), false),
         Action::CutRefusing(i, ms) => world.cut(i.into(), ms.into(), true),
-        Action::CutAnswers(i, ms) => world.drop_replies(i.into(), ms.into()),
-        Action::Leave(i) => world.announce_departure(i.into()),
+        Action::DropReplies(i, ms) => world.drop_replies(i.into(), ms.into()),
+        Action::Drain(i) => world.announce_departure(i.into()),
         Action::LoseOrders(ms) => world.lose_orders_until = now + u64::from(ms),
         Action::LoseWrites(ms) => world.lose_writes_until = now + u64::from(ms),
         Action::StoreDown(ms) => world.store_down_until = now + u64::from(ms),
         Action::FailTasks(ms) => world.fail_tasks_until = now + u64::from(ms),
         Action::Evacuate(i) => world.set_evacuated(zone(usize::from(i)), true),
-        Action::TakeBack(i) => world.set_evacuated(zone(usize::from(i)), false),
+        Action::EndEvacuation(i) => world.set_evacuated(zone(usize::from(i)), false),
         Action::Elect => world.elect(),
-        Action::ElectBeside(old, new, ms) => world.elect_concurrent(old, new, ms.into()),
+        Action::ElectConcurrent(old, new, ms) => world.elect_concurrent(old, new, ms.into()),
         Action::KillAndElect => {
             world.kill_leaders();
             world.elect();
@@ -164,15 +166,16 @@
     world.submit(job_in(queue, id, steps));
 }
 
-/// Whether each label that a job asks for is there: the next life of a backend server that has crashed may be in another rack.
+/// Returns whether each label that a job asks for is present: replacements of crashed backend servers may be in another
+/// rack.
 fn can_run(world: &World, id: JobId) -> bool {
-    let there = |label: &Arc<str>| world.servers.values().any(|server| server.info.labels.contains(label));
-    world.jobs[&id].steps.iter().filter_map(|step| step.label.as_ref()).all(there)
+    let is_present = |label: &Arc<str>| world.servers.values().any(|server| server.info.labels.contains(label));
+    world.jobs[&id].steps.iter().filter_map(|step| step.label.as_ref()).all(is_present)
 }
 
-fn play(seed: u64, actions: &[(u16, Action)], watch: bool) {
+fn run_case(seed: u64, actions: &[(u16, Action)], check_stalls: bool) {
     let mut world = World::new(SERVERS, seed);
-    world.stall_check.enabled = watch;
+    world.stall_check.enabled = check_stalls;
     for (gap, action) in actions {
         apply(&mut world, action);
         world.advance(u64::from(*gap));
@@ -196,14 +199,14 @@
             _ => {}
         }
     }
-    assert_eq!(world.unacknowledged(), 0, "ends were never acknowledged");
+    assert_eq!(world.unacknowledged(), 0, "completions were never acknowledged");
 }
 
 fn cases() -> u32 {
     std::env::var("PROPTEST_CASES").ok().and_then(|text| text.parse().ok()).unwrap_or(DEFAULT_CASES)
 }
 
-/// From `FUZZ_SEED`, a whole number. What cannot be read is no seed: another one would be played in its place.
+/// Reads the seed from `FUZZ_SEED`, a whole number; panics if it is invalid rather than run another seed.
 fn rng_seed() -> [u8; 32] {
     let Ok(text) = std::env::var("FUZZ_SEED") else { return [1; 32] };
     let seed: u64 = text.parse().expect("FUZZ_SEED is a whole number");
@@ -214,14 +217,15 @@
     [byte; 32]
 }
 
-/// Plays cases of actions, each so many milliseconds before the next; `watch` tells whether nothing may stand still in them either.
-fn play_cases(actions: impl Strategy<Value = (u16, Action)>, watch: bool) {
+/// Runs cases of actions, each with the delay in milliseconds that follows it; `check_stalls` also checks that no job
+/// is stalled.
+fn run_cases(actions: impl Strategy<Value = (u16, Action)>, check_stalls: bool) {
     let config = Config { cases: cases(), failure_persistence: None, max_shrink_iters: 400, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &rng_seed());
     let mut runner = TestRunner::new_with_rng(config, rng);
     let actions = prop::collection::vec(actions, 1..40);
     let result = runner.run(&(any::<u64>(), actions), |(seed, actions)| {
-        play(seed, &actions, watch);
+        run_case(seed, &actions, check_stalls);
         Ok(())
     });
     if let Err(e) = result {
@@ -230,33 +234,34 @@
 }
 
 #[test]
-fn promises_hold_under_failures() {
-    play_cases((20u16..1500, action()), false);
+fn guarantees_hold_under_failures() {
+    run_cases((20u16..1500, action()), false);
 }
 
 #[test]
-fn nothing_stands_still() {
-    // Where actions follow each other closely, nothing is calm for long enough to ask it.
+fn no_job_stalls_in_calm() {
+    // Leaves gaps that are long enough for the calm in which stalled jobs are checked.
     let gaps = prop_oneof![2 => 20u16..1500, 1 => 4000u16..12_000];
-    play_cases((gaps, calmer_action()), true);
+    run_cases((gaps, action_with_restricted_jobs()), true);
 }
 
-/// A case that was found (seed 3, 1,500 cases): two members of a gang crash whatever starts them.
+/// Guards against a gang shown as failed without a cause: two of its members crash their backend servers on every start
+/// (found with seed 3 and 1,500 cases).
 #[test]
-fn a_gang_with_two_members_at_fault_is_given_up_for_a_cause() {
-    use Action::{CutRefusing, Evacuate, LetCrash, LoseWrites, Return, Submit};
+fn a_gang_with_two_crashing_members_fails_with_a_cause() {
+    use Action::{CrashAndRestart, CrashOnStart, CutRefusing, Evacuate, LoseWrites, Submit};
     let actions = [
         (290, Submit(125)),
         (1480, Submit(128)),
         (460, CutRefusing(8, 3001)),
         (20, LoseWrites(2991)),
         (300, Submit(234)),
-        (1000, Return(179, 4411)),
+        (1000, CrashAndRestart(179, 4411)),
         (580, Submit(39)),
         (290, Submit(5)),
         (510, Evacuate(92)),
-        (460, LetCrash(114)),
-        (20, LetCrash(13)),
+        (460, CrashOnStart(114)),
+        (20, CrashOnStart(13)),
     ];
-    play(2_091_430_892_366_148_164, &actions, false);
+    run_case(2_091_430_892_366_148_164, &actions, false);
 }
--- a/crates/scheduler/tests/trial.rs
+++ b/crates/scheduler/tests/isolated_retry.rs
@@ -1,9 +1,8 @@
-//! Where a task runs again under which a backend server has crashed as it began: by itself, so that the next crash
-//! strikes nothing else and tells for sure what causes it.
+//! Isolated retries: a task under which a backend server crashed at its start runs alone next time, so that another
+//! crash strikes nothing else and identifies its cause.
 //!
-//! Seen: a task that crashes whatever starts it took two to six runs of others down with each of the first six backend
-//! servers. What had lain on one together was packed onto the next together: a job of one task went down with it
-//! twice, two others twice in a row.
+//! Guards against a crashing task that takes runs of others down with each backend server: whatever had run together on
+//! one was packed together onto the next.
 
 mod common;
 
@@ -16,8 +15,8 @@
     TaskId { occurrence: OccurrenceId { job: JobId(job), number: 0 }, step: 0, index }
 }
 
-/// Four backend servers of eight accelerators. Of one of them all tasks have just begun when it crashes: one of job 1, which is at fault,
-/// and three of job 2.
+/// Returns four backend servers of eight accelerators, one of which crashed as its tasks had just started: one of job
+/// 1, which is at fault, and three of job 2.
 fn crashed_once() -> Fixture {
     let mut fixture = Fixture::new(4);
     fixture.submit(job(1, vec![step(1, 1)]));
@@ -28,38 +27,38 @@
     fixture
 }
 
-/// How many other tasks run beside a task.
+/// Returns the number of other tasks on a task's backend server.
 fn beside(fixture: &Fixture, task: TaskId) -> usize {
     let server = fixture.server_of(task).expect("it runs");
     fixture.running_on(&server).len() - 1
 }
 
 #[test]
-fn tasks_under_a_crash_run_again_by_themselves() {
+fn tasks_under_a_crash_run_again_alone() {
     let mut fixture = crashed_once();
     assert_eq!(fixture.start_all().len(), 4);
-    for suspect in [task(1, 0), task(2, 0), task(2, 1), task(2, 2)] {
-        assert_eq!(beside(&fixture, suspect), 0, "{suspect}");
+    for suspected_task in [task(1, 0), task(2, 0), task(2, 1), task(2, 2)] {
+        assert_eq!(beside(&fixture, suspected_task), 0, "{suspected_task}");
     }
 }
 
 #[test]
-fn nothing_is_placed_beside_one_until_it_has_outlived_its_start() {
+fn nothing_is_placed_beside_an_isolated_retry_until_it_has_outlived_its_start() {
     let mut fixture = crashed_once();
     fixture.start_all();
     fixture.submit(job(3, vec![step(1, 1)]));
-    assert!(fixture.start_all().is_empty(), "each backend server tries one of them");
+    assert!(fixture.start_all().is_empty(), "each backend server runs one isolated retry");
     fixture.advance(2100);
     assert_eq!(fixture.start_all().len(), 1, "none has crashed again");
 }
 
 #[test]
-fn the_next_scheduler_goes_on_with_that() {
+fn the_next_scheduler_continues_isolated_retries() {
     let mut fixture = crashed_once();
     fixture.start_all();
     fixture.elect_next();
     fixture.submit(job(3, vec![step(1, 1)]));
-    assert!(fixture.start_all().is_empty(), "each backend server tries one of them");
+    assert!(fixture.start_all().is_empty(), "each backend server runs one isolated retry");
     fixture.advance(2100);
     assert_eq!(fixture.start_all().len(), 1, "none has crashed again");
 }
@@ -76,9 +75,9 @@
 }
 
 #[test]
-fn where_no_backend_server_is_empty_it_goes_to_the_one_with_the_fewest_tasks() {
+fn without_an_empty_backend_server_it_goes_to_the_one_with_the_fewest_tasks() {
     let mut fixture = Fixture::new(3);
-    // They run four, two and three tasks, and one accelerator is left free on each.
+    // They run four, two and three tasks, with one accelerator free on each.
     for (job, tasks) in [(10, 4), (11, 2), (12, 3)] {
         fill(&mut fixture, job, tasks + 1);
     }
@@ -89,7 +88,7 @@
     fixture.advance(3000);
     fixture.submit(job_in("urgent", 1, vec![step(1, 1)]));
     let first = fixture.start_all()[0].server.clone();
-    // Its backend server crashes and does not come back.
+    // Its backend server crashes for good.
     fixture.lose(&first);
     let fewest = ids(3).iter().filter(|id| **id != first).map(|id| fixture.running_on(id).len()).min();
     fixture.start_all();
@@ -97,7 +96,7 @@
 }
 
 #[test]
-fn a_task_that_was_at_work_runs_again_beside_others() {
+fn a_task_that_outlived_its_start_runs_again_beside_others() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job(1, vec![step(2, 1)]));
     let placed = fixture.start_all();
@@ -120,7 +119,7 @@
         &placed.iter().find(|started| started.task == task(2, 0)).expect("it runs").clone(),
         CompletionKind::Done,
     );
-    // It had worked for long: this crash makes it no suspect. The next one comes as it begins.
+    // It had run for long, so this crash makes it no suspected task; the next one, at its start, does.
     fixture.crash(&crash);
     fixture.start_all();
     let crash = fixture.server_of(task(1, 0)).expect("it runs");
@@ -140,7 +139,7 @@
     fixture.submit(job_in("urgent", 2, vec![gang(2, 2)]));
     assert_eq!(fixture.start_all()[0].server, server_id(1));
     fixture.crash(&server_id(1));
-    // There is room beside the other task now, and on the next life, which is empty.
+    // There is capacity beside the other task now, and on the empty replacement.
     fixture.scheduler.server_listed(server_id(0), info(0), fixture.now);
     assert_eq!(fixture.start_all().len(), 2);
     assert_eq!(fixture.running_on(&server_id(0)).len(), 1);
@@ -159,22 +158,22 @@
 }
 
 #[test]
-fn it_keeps_off_the_place_where_a_backend_server_has_crashed_under_it() {
+fn it_avoids_the_address_where_a_backend_server_has_crashed_under_it() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job(1, vec![step(1, 1)]));
     let first = fixture.start_all()[0].server.clone();
-    // The machine may be at fault: its next life is empty, and would be tried first.
+    // The machine may be at fault: its replacement is empty and would be chosen first.
     fixture.crash_at_same_address(&first);
     let second = fixture.start_all()[0].server.clone();
     assert_ne!(fixture.address_of(&second), fixture.address_of(&first));
     fixture.crash_at_same_address(&second);
     assert!(fixture.start_all().is_empty(), "it has crashed at both");
     fixture.advance(3100);
-    assert_eq!(fixture.start_all().len(), 1, "there is no other place");
+    assert_eq!(fixture.start_all().len(), 1, "there is no other address");
 }
 
 #[test]
-fn a_machine_that_crashes_under_everything_costs_no_job() {
+fn a_machine_that_crashes_under_everything_fails_no_job() {
     let mut fixture = Fixture::new(4);
     let bad = fixture.address_of(&server_id(0));
     for id in 1..=6 {
@@ -191,14 +190,14 @@
             starts.len()
         })
         .sum();
-    assert!(tasks > 12, "{tasks}: the machine took some down");
+    assert!(tasks > 12, "{tasks}: the machine crashed under some");
     for id in 1..=6 {
         assert_eq!(fixture.state(id), Some(jobs::JobState::Running), "{id}");
     }
 }
 
 #[test]
-fn of_a_job_whose_tasks_all_crash_backend_servers_one_at_a_time_has_its_last_try() {
+fn if_all_tasks_of_a_job_crash_backend_servers_one_at_a_time_has_its_last_retry() {
     let mut fixture = Fixture::new(8);
     fixture.submit(job(1, vec![step(4, 1)]));
     let mut crashed = Vec::new();
@@ -215,7 +214,8 @@
     assert_eq!(crashed, [1, 4, 1, 0, 0, 0, 0, 0]);
 }
 
-/// Of three backend servers two run a task each; the third has crashed under job 1, the second one to do so, and is not back.
+/// Returns three backend servers of which two run a task each; the third, the second to crash under job 1, has not been
+/// replaced.
 fn crashed_twice() -> Fixture {
     let mut fixture = Fixture::new(3);
     fixture.submit(job_in("urgent", 1, vec![step(1, 1)]));
@@ -223,17 +223,16 @@
     fixture.crash(&first);
     let second = fixture.start_all()[0].server.clone();
     fixture.submit(job(2, vec![Step { max_per_server: Some(1), ..step(2, 1) }]));
-    assert_eq!(fixture.start_all().len(), 2, "nothing goes beside a trial");
+    assert_eq!(fixture.start_all().len(), 2, "nothing is placed beside an isolated retry");
     fixture.lose(&second);
     fixture
 }
 
-/// Seen in a world of three backend servers: five runs were struck by the third crash under a task. How: its last try
-/// began beside them 30 ms before the next life of the backend server that it had crashed last could be used. Cause: a
-/// suspect takes the place with the fewest tasks that there is at the moment, also after two crashes, when it is
-/// likely to be at fault. Proof: with a short wait for an empty backend server the crash strikes nothing else.
+/// Guards against a third crash under a task that strikes runs of others. Its last retry went beside them just before
+/// the replacement of its last backend server could be used; after two crashes the task is probably at fault, so it
+/// waits a short time for an empty backend server.
 #[test]
-fn a_last_try_waits_for_an_empty_backend_server() {
+fn a_last_retry_waits_for_an_empty_backend_server() {
     let mut fixture = crashed_twice();
     assert!(fixture.start_all().is_empty(), "each backend server runs a task");
     fixture.advance(100);
@@ -244,7 +243,7 @@
 }
 
 #[test]
-fn a_last_try_does_not_wait_for_longer_than_a_job_may_stand() {
+fn a_last_retry_waits_no_longer_than_a_job_may_be_stalled() {
     let mut fixture = crashed_twice();
     for _ in 0..29 {
         fixture.start_all();
@@ -253,9 +252,9 @@
     assert!(fixture.server_of(task(1, 0)).is_some());
 }
 
-/// Eight tasks of job 1 have just begun on a backend server as it crashes, with two others left, so that two trials
-/// begin. A task of job 3 has stood for long by then.
-fn trials_beside_a_job_that_stands(crashes: usize) -> Fixture {
+/// Returns the replacement of a backend server that crashed so many times under tasks of job 1 as they started. A task
+/// of job 1 has its isolated retry there; job 3 has been stalled for long.
+fn retries_beside_a_stalled_job(crashes: usize) -> Fixture {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_in("urgent", 9, vec![step(8, 1)]));
     let filling = fixture.start_all();
@@ -272,12 +271,12 @@
     for _ in 0..crashes {
         let server = fixture.server_of(task(1, 0)).expect("it runs");
         fixture.crash(&server);
-        assert!(fixture.start_all().iter().any(|started| started.task == task(1, 0)), "it is on trial");
+        assert!(fixture.start_all().iter().any(|started| started.task == task(1, 0)), "it has its isolated retry");
     }
     fixture
 }
 
-/// What starts of job 3 within so many milliseconds.
+/// Returns the tasks of job 3 that start within so many milliseconds.
 fn started_of_job_3(fixture: &mut Fixture, ms: u64) -> Vec<TaskId> {
     let mut tasks = Vec::new();
     for _ in 0..ms / 100 {
@@ -289,21 +288,21 @@
 }
 
 #[test]
-fn a_job_that_stands_starts_one_task_beside_a_trial_that_goes_well() {
-    let mut fixture = trials_beside_a_job_that_stands(1);
+fn a_stalled_job_starts_one_task_beside_a_retry_without_an_early_crash() {
+    let mut fixture = retries_beside_a_stalled_job(1);
     assert_eq!(started_of_job_3(&mut fixture, 400), [], "a task at fault would crash it by then");
     assert_eq!(started_of_job_3(&mut fixture, 1000), [task(3, 0)], "the others wait");
 }
 
 #[test]
-fn nothing_is_placed_beside_a_last_try_however_long_it_has_stood() {
-    let mut fixture = trials_beside_a_job_that_stands(2);
+fn nothing_is_placed_beside_a_last_retry_however_long_a_job_is_stalled() {
+    let mut fixture = retries_beside_a_stalled_job(2);
     assert_eq!(started_of_job_3(&mut fixture, 1900), []);
 }
 
-/// Job 1 is about to have its last try and stands while the first trial of job 2 goes on, on the only backend server that is left.
+/// Job 1 is stalled before its last retry while the first retry of job 2 runs on the only backend server that is left.
 #[test]
-fn a_last_try_goes_beside_no_other_trial() {
+fn a_last_retry_is_placed_beside_no_other_retry() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("urgent", 1, vec![step(1, 1), step(1, 7)]));
     fixture.start_all();
@@ -318,7 +317,7 @@
         fixture.add_server(20);
         fixture.start_all();
     }
-    assert_eq!(fixture.server_of(task(1, 0)), None, "it keeps off the place of its last crash");
+    assert_eq!(fixture.server_of(task(1, 0)), None, "it avoids the address of its last crash");
     fixture.advance(1000);
     fixture.lose(&server_id(20));
     let other = fixture.server_of(task(2, 0)).expect("it runs");
@@ -327,7 +326,7 @@
     assert_eq!(tasks(fixture.start_all()), [task(2, 0)]);
     for _ in 0..19 {
         fixture.advance(100);
-        assert!(fixture.start_all().is_empty(), "the trial of job 2 goes on");
+        assert!(fixture.start_all().is_empty(), "the retry of job 2 is not over");
     }
     fixture.advance(200);
     assert_eq!(tasks(fixture.start_all()), [task(1, 0)]);
