--- a/crates/scheduler/tests/attempts.rs
+++ b/crates/scheduler/tests/attempts.rs
@@ -7,13 +7,13 @@
 use scheduler::CompletionKind;
 
 #[test]
-fn a_failure_counts_when_another_member_was_seen_to_end_first() {
+fn a_failure_counts_when_another_member_was_listed_as_ended_first() {
     let mut fixture = Fixture::new(2);
     fixture.set_attempts(1);
     fixture.submit(job(1, vec![gang(2, 8)]));
     let placed = fixture.start_all();
     let (first, second) = (&placed[0], &placed[1]);
-    // The other member's end is listed before the failure that caused it.
+    // The other member's completion is listed before the failure that caused it.
     fixture.complete(second, CompletionKind::Broken);
     fixture.complete(first, CompletionKind::Failed);
     fixture.store_all();
@@ -22,17 +22,17 @@
 }
 
 #[test]
-fn a_failure_of_a_run_that_was_given_up_counts() {
+fn a_failure_of_an_abandoned_run_counts() {
     let mut fixture = Fixture::new(2);
     fixture.set_attempts(1);
     fixture.submit(job(1, vec![gang(1, 8)]));
     let placed = fixture.start_all();
-    let gone = &placed[0];
-    fixture.cut_past_lease(&gone.server);
-    assert_eq!(fixture.start_all().len(), 1, "it is placed again once the lease is over");
-    // The first run had failed before its lease was over; its backend server is back and says so.
-    fixture.reconnect(&gone.server);
-    fixture.complete(gone, CompletionKind::Failed);
+    let abandoned = &placed[0];
+    fixture.cut_past_lease(&abandoned.server);
+    assert_eq!(fixture.start_all().len(), 1, "it is placed again once the lease has expired");
+    // The first run failed before its lease expired; its backend server is reachable again and lists that.
+    fixture.reconnect(&abandoned.server);
+    fixture.complete(abandoned, CompletionKind::Failed);
     fixture.store_all();
     assert_eq!(fixture.state(1), Some(JobState::Failed));
 }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn work_that_was_done_before_its_lease_was_over_is_not_done_again() {
+fn a_run_that_was_done_before_its_lease_expired_is_not_repeated() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job(1, vec![gang(1, 8)]));
     let placed = fixture.start_all();
@@ -69,12 +69,12 @@
 }
 
 #[test]
-fn work_that_was_done_counts_also_if_it_was_not_placed_again() {
+fn a_run_that_was_done_counts_also_if_it_was_not_placed_again() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job(1, vec![gang(1, 8)]));
     let placed = fixture.start_all();
     fixture.cut_past_lease(&placed[0].server);
-    assert!(fixture.start_all().is_empty(), "there is no other place");
+    assert!(fixture.start_all().is_empty(), "there is no other backend server");
     fixture.reconnect(&placed[0].server);
     fixture.complete(&placed[0], CompletionKind::Done);
     fixture.store_all();
--- a/crates/scheduler/tests/capacity.rs
+++ b/crates/scheduler/tests/capacity.rs
@@ -1,5 +1,6 @@
-//! Backend servers whose capacity shrinks and grows while they run: one that does not guard it starts whatever it is told to, so nothing may be
-//! started that takes it over what it has left, counting what is being stopped.
+//! Backend servers whose capacity shrinks and grows while they run. One that does not enforce its capacity accepts
+//! every start, so the scheduler must start nothing beyond the remaining capacity, counting runs that are being
+//! stopped.
 
 mod common;
 
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn nothing_starts_on_a_backend_server_that_holds_more_than_it_has_left() {
+fn nothing_starts_on_a_backend_server_that_runs_more_than_its_capacity() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_in("urgent", 1, vec![step(3, 2)]));
     let placed = fixture.start_all();
@@ -32,7 +33,7 @@
 }
 
 #[test]
-fn it_takes_work_again_once_it_has_grown() {
+fn a_backend_server_gets_work_again_once_it_has_grown() {
     let mut fixture = Fixture::new(1);
     resize(&mut fixture, 0, 0);
     fixture.submit(job_in("urgent", 1, vec![step(3, 2)]));
@@ -44,11 +45,11 @@
 }
 
 #[test]
-fn a_run_whose_place_is_not_stored_yet_is_placed_anew() {
+fn a_run_whose_placement_is_not_stored_yet_is_placed_again() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("urgent", 1, vec![step(1, 6)]));
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
-    // The store is out for a while; meanwhile the place has gone.
+    // The store is unavailable for a while, and the placement no longer fits.
     resize(&mut fixture, 0, 4);
     resize(&mut fixture, 1, 4);
     assert!(fixture.start_all().is_empty());
@@ -58,11 +59,11 @@
 }
 
 #[test]
-fn an_order_that_has_not_left_is_withdrawn() {
+fn an_order_that_was_not_sent_is_withdrawn() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_in("urgent", 1, vec![step(1, 6)]));
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
-    let batch = fixture.scheduler.next_write_batch(8).expect("its place is to be stored");
+    let batch = fixture.scheduler.next_write_batch(8).expect("its placement is to be stored");
     fixture.scheduler.batch_stored(batch, Revision(200));
     let orders = fixture.scheduler.take_orders();
     let [Order::Start { server, task, run, .. }] = &orders[..] else { panic!("{orders:?}") };
@@ -71,26 +72,26 @@
     assert!(!fixture.scheduler.may_start(server, *task, *run));
     fixture.scheduler.start_withdrawn(server, *task, *run, fixture.now);
     resize(&mut fixture, 0, 8);
-    assert_eq!(fixture.start_all().len(), 1, "it is placed again where there is room");
+    assert_eq!(fixture.start_all().len(), 1, "it is placed again where there is capacity");
 }
 
 #[test]
-fn room_is_made_for_what_a_shrunken_backend_server_can_hold() {
+fn runs_are_stopped_for_what_a_shrunken_backend_server_can_hold() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job(7, vec![step(2, 4)]));
     assert_eq!(fixture.start_all().len(), 2);
     resize(&mut fixture, 0, 4);
     fixture.submit(job_in("urgent", 1, vec![step(1, 4)]));
     assert!(fixture.start_all().is_empty());
-    assert_eq!(fixture.stops.len(), 2, "both must go before it fits");
+    assert_eq!(fixture.stops.len(), 2, "both must end before it fits");
 }
 
 #[test]
-fn a_stray_of_an_unknown_size_leaves_no_room_until_it_is_gone() {
+fn an_orphaned_run_of_unknown_size_leaves_no_capacity_until_it_has_ended() {
     let mut fixture = Fixture::new(1);
-    // Its job has left the intake, and nobody knows what the run takes.
-    let unknown = RunningTask { task: task(99), run: RunNumber(1), checkpoint: None, percent: 1, latency_ms: None };
-    let listing = Listing { running: vec![unknown], ..Listing::default() };
+    // Its job was archived, so the resources of the run are unknown.
+    let orphaned = RunningTask { task: task(99), run: RunNumber(1), checkpoint: None, percent: 1, latency_ms: None };
+    let listing = Listing { running: vec![orphaned], ..Listing::default() };
     fixture.scheduler.listing(&server_id(0), &listing, fixture.now, fixture.now);
     fixture.submit(job_in("urgent", 1, vec![step(1, 1)]));
     assert!(fixture.start_all().is_empty());
--- /dev/null
+++ b/crates/scheduler/tests/draining.rs
@@ -0,0 +1,147 @@
+//! Draining backend servers, and how their departure is told from a network partition.
+
+mod common;
+
+use common::{Fixture, gang, info, job, server_id, step};
+use jobs::{OccurrenceId, Placement, Progress, RunNumber};
+use model::{Duration, Revision};
+use scheduler::{CallFailure, ServerInfo};
+
+/// Returns two backend servers; a task runs on the first, whose departure is then announced.
+fn draining() -> Fixture {
+    let mut fixture = Fixture::new(1);
+    fixture.submit(job(1, vec![step(1, 4)]));
+    assert_eq!(fixture.start_all().len(), 1);
+    announce_departure(&mut fixture);
+    fixture.add_server(1);
+    assert!(fixture.start_all().is_empty(), "it continues until it leaves");
+    fixture
+}
+
+fn announce_departure(fixture: &mut Fixture) {
+    let now = fixture.now;
+    fixture.scheduler.server_listed(server_id(0), ServerInfo { draining: true, ..info(0) }, now);
+}
+
+fn fail_call(fixture: &mut Fixture, how: CallFailure) {
+    let now = fixture.now;
+    fixture.scheduler.call_failed(&server_id(0), how, now);
+}
+
+fn unlist(fixture: &mut Fixture) {
+    let now = fixture.now;
+    fixture.scheduler.server_unlisted(&server_id(0), now);
+}
+
+fn advance_clock(fixture: &mut Fixture, ms: u64) {
+    fixture.now = fixture.now + Duration::from_millis(ms);
+}
+
+#[test]
+fn runs_of_a_departed_backend_server_start_elsewhere_at_once() {
+    let mut fixture = draining();
+    fail_call(&mut fixture, CallFailure::NoResponse);
+    advance_clock(&mut fixture, 20);
+    unlist(&mut fixture);
+    assert!(fixture.start_all().is_empty(), "its connection closed, which a partition can cause too");
+    advance_clock(&mut fixture, 30);
+    fail_call(&mut fixture, CallFailure::Refused);
+    let again = fixture.start_all();
+    assert_eq!(again.len(), 1);
+    assert_eq!(again[0].server, server_id(1));
+}
+
+#[test]
+fn a_departure_may_be_listed_before_a_call_is_refused() {
+    let mut fixture = draining();
+    unlist(&mut fixture);
+    advance_clock(&mut fixture, 100);
+    fail_call(&mut fixture, CallFailure::Refused);
+    assert_eq!(fixture.start_all().len(), 1);
+}
+
+#[test]
+fn a_partitioned_backend_server_with_refused_connections_is_unlisted_later_and_keeps_its_lease() {
+    let mut fixture = draining();
+    fail_call(&mut fixture, CallFailure::Refused);
+    for _ in 0..30 {
+        advance_clock(&mut fixture, 100);
+        fail_call(&mut fixture, CallFailure::Refused);
+    }
+    unlist(&mut fixture);
+    assert!(fixture.start_all().is_empty());
+}
+
+#[test]
+fn an_unlisted_backend_server_that_is_cut_off_later_keeps_its_lease() {
+    let mut fixture = draining();
+    unlist(&mut fixture);
+    advance_clock(&mut fixture, 500);
+    fail_call(&mut fixture, CallFailure::Refused);
+    assert!(fixture.start_all().is_empty());
+}
+
+#[test]
+fn a_backend_server_without_an_announced_departure_keeps_its_lease() {
+    let mut fixture = Fixture::new(1);
+    fixture.submit(job(1, vec![step(1, 4)]));
+    fixture.start_all();
+    fixture.add_server(1);
+    fail_call(&mut fixture, CallFailure::Refused);
+    unlist(&mut fixture);
+    assert!(fixture.start_all().is_empty());
+}
+
+#[test]
+fn a_new_scheduler_assumes_no_departure_without_an_earlier_response() {
+    let mut fixture = Fixture::new(0);
+    let job = job(1, vec![step(1, 4)]);
+    let mut progress = Progress::new(&job);
+    progress.groups[0][0].run = RunNumber(1);
+    progress.groups[0][0].placed =
+        vec![Placement { index: 0, server: server_id(0), incarnation: None, address: "".into() }];
+    fixture.submit(job.clone());
+    fixture.scheduler.restore(OccurrenceId { job: job.id, number: 0 }, progress, Revision(5));
+    announce_departure(&mut fixture);
+    fixture.add_server(1);
+    // It was cut off with refused connections before the election, and is unlist just after it.
+    fail_call(&mut fixture, CallFailure::Refused);
+    advance_clock(&mut fixture, 50);
+    unlist(&mut fixture);
+    assert!(fixture.start_all().is_empty(), "it may run until its lease expires");
+}
+
+#[test]
+fn a_backend_server_that_was_cut_off_while_this_box_was_suspended_keeps_its_lease() {
+    let mut fixture = draining();
+    // Both the refusal and the change of the list were delayed by the box.
+    advance_clock(&mut fixture, 3500);
+    fail_call(&mut fixture, CallFailure::Refused);
+    unlist(&mut fixture);
+    assert!(fixture.start_all().is_empty());
+}
+
+/// Runs a gang of two that takes 2 s for 1 s, last listed after 0.5 s at a quarter; then one of its backend servers is
+/// about to leave.
+fn departure_in(remaining_ms: u64) -> Fixture {
+    let mut fixture = Fixture::new(2);
+    fixture.submit(job(1, vec![gang(2, 8)]));
+    assert_eq!(fixture.start_all().len(), 2);
+    fixture.percent = 25;
+    fixture.advance(500);
+    advance_clock(&mut fixture, 500);
+    let (now, remaining) = (fixture.now, Some(Duration::from_millis(remaining_ms)));
+    fixture.scheduler.server_listed(server_id(0), ServerInfo { draining: true, remaining, ..info(0) }, now);
+    fixture.start_all();
+    fixture
+}
+
+#[test]
+fn a_run_that_ends_in_time_by_its_listed_progress_is_not_moved() {
+    assert!(departure_in(1200).stops.is_empty());
+}
+
+#[test]
+fn a_run_that_does_not_end_in_time_by_its_listed_progress_is_moved() {
+    assert_eq!(departure_in(800).stops.len(), 2);
+}
--- a/crates/scheduler/tests/losses.rs
+++ b/crates/scheduler/tests/losses.rs
@@ -1,19 +1,19 @@
-//! What is told of runs that are over without a word of how they ended.
+//! Observations of runs that ended without a listed completion.
 
 mod common;
 
 use common::{Fixture, info, job, server_id, step};
 use scheduler::{Observation, ServerInfo};
 
-/// What metrics hear of the losses, in their order.
+/// Returns the observations of losses, in order.
 fn losses(fixture: &mut Fixture) -> Vec<Observation> {
-    let told = fixture.scheduler.take_observations();
-    let loss = |o: &Observation| matches!(o, Observation::ServerEnded { .. } | Observation::RunLost { .. });
-    told.into_iter().filter(loss).collect()
+    let observations = fixture.scheduler.take_observations();
+    let is_loss = |o: &Observation| matches!(o, Observation::ServerEnded { .. } | Observation::RunLost { .. });
+    observations.into_iter().filter(is_loss).collect()
 }
 
 #[test]
-fn a_crash_is_told_apart_from_a_departure_that_was_announced() {
+fn a_crash_is_distinguished_from_an_announced_departure() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job(1, vec![step(1, 8)]));
     let placed = fixture.start_all();
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_run_whose_lease_is_over_is_told_as_lost() {
+fn a_run_whose_lease_expired_is_observed_as_lost() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job(1, vec![step(1, 8)]));
     let placed = fixture.start_all();
--- a/crates/scheduler/tests/upkeep.rs
+++ b/crates/scheduler/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Waves of upkeep: how machines are emptied, and how many are down at once.
+//! Maintenance batches: how machines are emptied, and how many are down at once.
 
 mod common;
 
@@ -11,7 +11,7 @@
     MachineId::from(format!("m{i:02}").as_str())
 }
 
-/// A machine, and on it the backend server of the same number; after its upkeep another one.
+/// Returns a machine with the backend server of the same number; after maintenance it has another one.
 fn machine(i: usize) -> Machine {
     Machine { id: machine_id(i), up: true, server: Some(server_id(i)) }
 }
@@ -20,32 +20,32 @@
     Machine { server: Some(server_id(i + 50)), ..machine(i) }
 }
 
-fn in_upkeep(i: usize) -> Machine {
+fn in_maintenance(i: usize) -> Machine {
     Machine { up: false, server: None, ..machine(i) }
 }
 
-/// As many backend servers as machines, and a wave over all of them.
-fn wave(machines: usize, most_at_once: usize) -> Fixture {
+/// Returns as many backend servers as machines, and a maintenance batch over all of them.
+fn maintenance_batch(machines: usize, most_at_once: usize) -> Fixture {
     let mut fixture = Fixture::new(machines);
-    ask(&mut fixture, machines, most_at_once, MaintenanceProgress::default());
+    request_maintenance(&mut fixture, machines, most_at_once, MaintenanceProgress::default());
     fixture
 }
 
-fn ask(fixture: &mut Fixture, machines: usize, most_at_once: usize, progress: MaintenanceProgress) {
+fn request_maintenance(fixture: &mut Fixture, machines: usize, most_at_once: usize, progress: MaintenanceProgress) {
     let machines = (0..machines).map(machine_id).collect();
     let request = MaintenanceRequest { number: 1, machines, term: Duration::from_secs(20), most_at_once };
     let now = fixture.now;
     fixture.scheduler.maintenance_requested(request, progress, now);
 }
 
-/// The platform lists its machines; gives those that can be handed over.
+/// Delivers the platform's list of machines; returns those that are due for maintenance.
 fn due(fixture: &mut Fixture, machines: Vec<Machine>) -> Vec<MachineId> {
     let now = fixture.now;
     fixture.scheduler.machines_listed(machines, now);
     fixture.scheduler.machines_due_for_maintenance(now).into_iter().map(|(_, id)| id).collect()
 }
 
-fn hand_over(fixture: &mut Fixture, id: &MachineId, reply: MaintenanceReply) {
+fn reply_to_hand_over(fixture: &mut Fixture, id: &MachineId, reply: MaintenanceReply) {
     let now = fixture.now;
     fixture.scheduler.maintenance_replied(1, id, reply, now);
 }
@@ -55,57 +55,61 @@
 }
 
 #[test]
-fn no_more_machines_are_down_than_may_be_and_all_have_their_turn() {
-    let mut fixture = wave(3, 1);
+fn the_limit_of_machines_down_holds_and_all_are_maintained() {
+    let mut fixture = maintenance_batch(3, 1);
     let first = due(&mut fixture, (0..3).map(machine).collect());
     assert_eq!(first, [machine_id(0)]);
-    hand_over(&mut fixture, &first[0], MaintenanceReply::Begun);
-    assert!(due(&mut fixture, (0..3).map(machine).collect()).is_empty(), "the list is older than the upkeep");
-    assert!(due(&mut fixture, vec![in_upkeep(0), machine(1), machine(2)]).is_empty());
+    reply_to_hand_over(&mut fixture, &first[0], MaintenanceReply::Begun);
+    assert!(due(&mut fixture, (0..3).map(machine).collect()).is_empty(), "the list is older than the maintenance");
+    assert!(due(&mut fixture, vec![in_maintenance(0), machine(1), machine(2)]).is_empty());
     assert_eq!(due(&mut fixture, vec![renewed(0), machine(1), machine(2)]), [machine_id(1)]);
-    hand_over(&mut fixture, &machine_id(1), MaintenanceReply::Begun);
+    reply_to_hand_over(&mut fixture, &machine_id(1), MaintenanceReply::Begun);
     assert_eq!(due(&mut fixture, vec![renewed(0), renewed(1), machine(2)]), [machine_id(2)]);
     assert!(!succeeded(&fixture));
-    hand_over(&mut fixture, &machine_id(2), MaintenanceReply::Begun);
-    due(&mut fixture, vec![renewed(0), renewed(1), in_upkeep(2)]);
+    reply_to_hand_over(&mut fixture, &machine_id(2), MaintenanceReply::Begun);
+    due(&mut fixture, vec![renewed(0), renewed(1), in_maintenance(2)]);
     assert!(succeeded(&fixture), "the last has begun");
 }
 
 #[test]
 fn a_machine_that_is_down_for_another_reason_counts() {
-    let mut fixture = wave(3, 1);
-    assert!(due(&mut fixture, vec![in_upkeep(0), machine(1), machine(2)]).is_empty());
+    let mut fixture = maintenance_batch(3, 1);
+    assert!(due(&mut fixture, vec![in_maintenance(0), machine(1), machine(2)]).is_empty());
 }
 
 #[test]
-fn an_upkeep_without_an_answer_counts_as_begun_for_the_limit_and_is_asked_for_again() {
-    let mut fixture = wave(2, 1);
+fn maintenance_without_a_reply_counts_for_the_limit_and_is_requested_again() {
+    let mut fixture = maintenance_batch(2, 1);
     let first = due(&mut fixture, vec![machine(0), machine(1)]);
-    hand_over(&mut fixture, &first[0], MaintenanceReply::Unknown);
-    assert!(due(&mut fixture, vec![in_upkeep(0), machine(1)]).is_empty());
-    assert_eq!(due(&mut fixture, vec![renewed(0), machine(1)]), [machine_id(0)], "the platform says whether it had it");
+    reply_to_hand_over(&mut fixture, &first[0], MaintenanceReply::Unknown);
+    assert!(due(&mut fixture, vec![in_maintenance(0), machine(1)]).is_empty());
+    assert_eq!(
+        due(&mut fixture, vec![renewed(0), machine(1)]),
+        [machine_id(0)],
+        "the platform says whether it was done"
+    );
 }
 
 #[test]
-fn machines_that_are_gone_do_not_hold_a_wave_up() {
-    let mut fixture = wave(2, 2);
+fn removed_machines_do_not_delay_a_batch() {
+    let mut fixture = maintenance_batch(2, 2);
     let first = due(&mut fixture, vec![machine(0), machine(1)]);
     assert_eq!(first.len(), 2);
-    hand_over(&mut fixture, &machine_id(0), MaintenanceReply::Begun);
-    hand_over(&mut fixture, &machine_id(1), MaintenanceReply::Never);
+    reply_to_hand_over(&mut fixture, &machine_id(0), MaintenanceReply::Begun);
+    reply_to_hand_over(&mut fixture, &machine_id(1), MaintenanceReply::Never);
     due(&mut fixture, vec![renewed(0)]);
     assert!(succeeded(&fixture));
 }
 
 #[test]
-fn a_new_scheduler_goes_on_from_what_the_store_remembers() {
+fn a_new_scheduler_continues_from_the_stored_progress() {
     let mut fixture = Fixture::new(2);
     let started = [machine_id(0)].into();
-    ask(&mut fixture, 2, 2, MaintenanceProgress { started, succeeded: false });
+    request_maintenance(&mut fixture, 2, 2, MaintenanceProgress { started, succeeded: false });
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(1)]);
 }
 
-/// Work on the first of two backend servers, which is to have its upkeep.
+/// Runs work on the first of two backend servers, which is to be maintained.
 fn busy(step: Step) -> (Fixture, Vec<Started>) {
     let mut fixture = Fixture::new(1);
     fixture.percent = 100;
@@ -113,7 +117,7 @@
     let started = fixture.start_all();
     fixture.add_server(1);
     fixture.advance(100);
-    ask(&mut fixture, 1, 1, MaintenanceProgress::default());
+    request_maintenance(&mut fixture, 1, 1, MaintenanceProgress::default());
     assert!(due(&mut fixture, vec![machine(0), machine(1)]).is_empty(), "something runs there");
     (fixture, started)
 }
@@ -130,7 +134,7 @@
 }
 
 #[test]
-fn other_work_may_end_by_itself_for_a_while() {
+fn other_work_gets_time_to_end() {
     let (mut fixture, _) = busy(step(1, 4));
     fixture.start_all();
     assert!(fixture.stops.is_empty());
@@ -141,7 +145,7 @@
 }
 
 #[test]
-fn tasks_that_may_not_be_absent_stay_until_others_are_back() {
+fn tasks_that_may_not_be_absent_stay() {
     let absent = Step { long_running: true, max_absent: Some(0), ..step(1, 4) };
     let (mut fixture, _) = busy(absent);
     fixture.advance(9000);
@@ -151,11 +155,11 @@
 }
 
 #[test]
-fn a_machine_is_back_also_when_its_backend_server_has_the_id_that_it_had() {
-    let mut fixture = wave(2, 1);
+fn a_machine_counts_as_maintained_though_its_backend_server_keeps_its_id() {
+    let mut fixture = maintenance_batch(2, 1);
     let first = due(&mut fixture, vec![machine(0), machine(1)]);
     assert_eq!(first, [machine_id(0)]);
-    hand_over(&mut fixture, &machine_id(0), MaintenanceReply::Begun);
+    reply_to_hand_over(&mut fixture, &machine_id(0), MaintenanceReply::Begun);
     assert!(due(&mut fixture, vec![machine(0), machine(1)]).is_empty(), "its list may be older than the hand-over");
     fixture.crash_and_restart(&server_id(0));
     assert_eq!(due(&mut fixture, vec![machine(0), machine(1)]), [machine_id(1)]);
--- a/crates/scheduler/tests/advice.rs
+++ b/crates/scheduler/tests/permits.rs
@@ -1,4 +1,4 @@
-//! Steps that start only where the adviser allows it.
+//! Steps that start only where the permit service allows it.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use model::{BackendServerId, Duration};
 use scheduler::{CompletionKind, Permit, PermitPolicy, PermitRequest, StartReply};
 
-const ADVICE: PermitPolicy = PermitPolicy {
+const PERMITS: PermitPolicy = PermitPolicy {
     base: Duration::from_millis(100),
     each: Duration::from_millis(2),
     valid: Duration::from_millis(2000),
@@ -17,7 +17,7 @@
 
 fn fixture(servers: usize) -> Fixture {
     let mut fixture = Fixture::new(servers);
-    fixture.require_permits(ADVICE);
+    fixture.require_permits(PERMITS);
     fixture
 }
 
@@ -25,24 +25,24 @@
     Arc::from(format!("ticket-{i}"))
 }
 
-/// Plans, and gives the question that comes of it; nothing may start before it is answered.
-fn question(fixture: &mut Fixture) -> PermitRequest {
-    assert!(fixture.start_all().is_empty(), "nothing starts without the adviser's leave");
-    fixture.scheduler.take_permit_request().expect("the adviser is asked")
+/// Plans and returns the resulting permit request; nothing may start before it is answered.
+fn permit_request(fixture: &mut Fixture) -> PermitRequest {
+    assert!(fixture.start_all().is_empty(), "nothing starts without a permit");
+    fixture.scheduler.take_permit_request().expect("a permit is requested")
 }
 
-fn answer(fixture: &mut Fixture, question: &PermitRequest, good: &[usize]) {
-    let allowed: BTreeMap<BackendServerId, Permit> = good.iter().map(|&i| (server_id(i), permit(i))).collect();
+fn grant(fixture: &mut Fixture, request: &PermitRequest, permitted: &[usize]) {
+    let allowed: BTreeMap<BackendServerId, Permit> = permitted.iter().map(|&i| (server_id(i), permit(i))).collect();
     let now = fixture.now;
-    fixture.scheduler.permits_received(question, &allowed, now);
+    fixture.scheduler.permits_received(request, &allowed, now);
 }
 
-/// A task that has started with its ticket on the only backend server.
+/// Returns a task that has started with its permit on the only backend server.
 fn started() -> (Fixture, Started) {
     let mut fixture = fixture(1);
     fixture.submit(job(1, vec![step(1, 8)]));
-    let asked = question(&mut fixture);
-    answer(&mut fixture, &asked, &[0]);
+    let request = permit_request(&mut fixture);
+    grant(&mut fixture, &request, &[0]);
     let started = fixture.start_all().remove(0);
     (fixture, started)
 }
@@ -55,14 +55,14 @@
 }
 
 #[test]
-fn a_step_starts_only_where_it_is_allowed_and_carries_the_ticket() {
+fn a_step_starts_only_where_it_is_allowed_and_carries_the_permit() {
     let mut fixture = fixture(4);
     fixture.submit(job(1, vec![step(2, 4)]));
-    let asked = question(&mut fixture);
-    assert_eq!(asked.step, StepId { occurrence: OccurrenceId { job: JobId(1), number: 0 }, step: 0 });
-    assert_eq!(asked.servers.len(), 4);
-    assert_eq!(asked.takes, Duration::from_millis(108));
-    answer(&mut fixture, &asked, &[2]);
+    let request = permit_request(&mut fixture);
+    assert_eq!(request.step, StepId { occurrence: OccurrenceId { job: JobId(1), number: 0 }, step: 0 });
+    assert_eq!(request.servers.len(), 4);
+    assert_eq!(request.takes, Duration::from_millis(108));
+    grant(&mut fixture, &request, &[2]);
     let started = fixture.start_all();
     assert_eq!(servers(&started), [server_id(2)]);
     assert!(started.iter().all(|s| s.permit == Some(permit(2))));
@@ -70,57 +70,57 @@
 }
 
 #[test]
-fn what_was_refused_is_not_asked_again_and_a_gang_asks_on_until_it_fits() {
+fn refused_backend_servers_are_not_requested_again_and_a_gang_requests_more_until_it_fits() {
     let mut fixture = fixture(40);
     fixture.submit(job(1, vec![gang(2, 8)]));
-    let first = question(&mut fixture);
+    let first = permit_request(&mut fixture);
     assert_eq!(first.servers.len(), 30);
-    answer(&mut fixture, &first, &[0]);
-    let second = question(&mut fixture);
-    assert_eq!(second.servers.len(), 10, "only those that were not asked");
+    grant(&mut fixture, &first, &[0]);
+    let second = permit_request(&mut fixture);
+    assert_eq!(second.servers.len(), 10, "only those that were not requested");
     assert!(second.servers.iter().all(|id| !first.servers.contains(id)));
     let last = (0..40).map(server_id).position(|id| id == second.servers[0]).expect("it is known");
-    answer(&mut fixture, &second, &[last]);
+    grant(&mut fixture, &second, &[last]);
     assert_eq!(servers(&fixture.start_all()), [server_id(0), server_id(last)]);
 }
 
 #[test]
-fn a_ticket_whose_time_is_over_is_asked_for_again() {
+fn an_expired_permit_is_requested_again() {
     let (mut fixture, started) = started();
     fixture.advance(2000);
     fixture.complete(&started, CompletionKind::Stopped);
-    let again = question(&mut fixture);
+    let again = permit_request(&mut fixture);
     assert_eq!(again.servers, [server_id(0)]);
-    answer(&mut fixture, &again, &[0]);
+    grant(&mut fixture, &again, &[0]);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
 #[test]
-fn a_ticket_that_is_refused_is_asked_for_again_and_the_backend_server_not_blamed() {
+fn a_refused_permit_is_requested_again_and_the_backend_server_stays_in_use() {
     let mut fixture = fixture(1);
     fixture.submit(job(1, vec![step(1, 8)]));
-    let asked = question(&mut fixture);
-    answer(&mut fixture, &asked, &[0]);
+    let request = permit_request(&mut fixture);
+    grant(&mut fixture, &request, &[0]);
     let ordered = fixture.ordered_starts().remove(0);
     fixture.reply(&ordered, StartReply::NoTicket);
-    let again = question(&mut fixture);
-    answer(&mut fixture, &again, &[0]);
+    let again = permit_request(&mut fixture);
+    grant(&mut fixture, &again, &[0]);
     assert_eq!(fixture.start_all().len(), 1, "at once: the backend server is not paused");
 }
 
 #[test]
-fn one_question_is_out_at_a_time_and_a_lost_one_is_asked_again() {
+fn one_request_is_in_flight_at_a_time_and_a_lost_one_is_repeated() {
     let mut fixture = fixture(2);
     fixture.submit(job(1, vec![step(1, 1)]));
     fixture.submit(job(2, vec![step(1, 1)]));
-    let first = question(&mut fixture);
+    let first = permit_request(&mut fixture);
     fixture.start_all();
     assert!(fixture.scheduler.take_permit_request().is_none(), "the first is not answered yet");
     fixture.scheduler.permit_request_failed(&first);
-    let again = question(&mut fixture);
+    let again = permit_request(&mut fixture);
     assert_eq!(again, first);
-    answer(&mut fixture, &again, &[0, 1]);
+    grant(&mut fixture, &again, &[0, 1]);
     assert_eq!(fixture.start_all().len(), 1);
-    let second = fixture.scheduler.take_permit_request().expect("the second job needs leave of its own");
+    let second = fixture.scheduler.take_permit_request().expect("the second job needs a permit of its own");
     assert_eq!(second.step.occurrence.job, JobId(2));
 }
--- a/crates/scheduler/tests/plan.rs
+++ b/crates/scheduler/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Where and when work starts, and what makes room for it.
+//! Where and when work starts, and what is stopped for it.
 
 mod common;
 
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn an_urgent_job_takes_the_place_of_the_cheapest_run() {
+fn an_urgent_job_preempts_the_cheapest_run() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("archive", 1, vec![step(1, 8)]));
     fixture.start_all();
@@ -92,14 +92,14 @@
     assert_eq!(ids(&checkpoint), [2]);
     fixture.advance(3000);
     fixture.submit(job_in("urgent", 3, vec![gang(1, 8)]));
-    assert!(fixture.start_all().is_empty(), "the room is not free yet");
-    assert_eq!(stopped(&fixture), [2], "it goes on from its checkpoint; the other would lose 3 s of work");
+    assert!(fixture.start_all().is_empty(), "the capacity is not free yet");
+    assert_eq!(stopped(&fixture), [2], "it resumes from its checkpoint; the other would lose 3 s of work");
     fixture.complete_with(&checkpoint[0], CompletionKind::Stopped, Some("half"));
     assert_eq!(ids(&fixture.start_all()), [3]);
 }
 
 #[test]
-fn a_run_that_was_stopped_goes_on_from_its_checkpoint() {
+fn a_stopped_run_resumes_from_its_checkpoint() {
     let mut fixture = Fixture::new(1);
     fixture.submit(job(1, vec![Step { checkpoints: true, ..step(1, 8) }]));
     let first = fixture.start_all();
@@ -113,10 +113,10 @@
     let mut fixture = Fixture::new(1);
     fixture.submit(job(1, vec![step(1, 1)]));
     fixture.start_all();
-    let mut leaving = info(0);
-    leaving.draining = true;
-    leaving.remaining = Some(model::Duration::from_millis(500));
-    fixture.scheduler.server_listed(server_id(0), leaving, fixture.now);
+    let mut draining_info = info(0);
+    draining_info.draining = true;
+    draining_info.remaining = Some(model::Duration::from_millis(500));
+    fixture.scheduler.server_listed(server_id(0), draining_info, fixture.now);
     fixture.submit(job(2, vec![step(1, 1)]));
     assert!(fixture.start_all().is_empty());
     assert_eq!(stopped(&fixture), [1], "its 2 s of work cannot end in 0.5 s");
@@ -135,18 +135,18 @@
 }
 
 #[test]
-fn work_that_can_wait_leaves_room_for_urgent_jobs() {
+fn deferrable_work_leaves_capacity_for_urgent_jobs() {
     let mut fixture = Fixture::new(4);
     fixture.submit(job_in("archive", 1, vec![step(32, 1)]));
     let placed = fixture.start_all().len();
     assert!((18..32).contains(&placed), "{placed} of 32 accelerators were taken");
     fixture.submit(job_in("urgent", 2, vec![gang(1, 8)]));
-    assert_eq!(ids(&fixture.start_all()), [2], "there is room at once");
+    assert_eq!(ids(&fixture.start_all()), [2], "there is capacity at once");
     assert!(fixture.stops.is_empty());
 }
 
 #[test]
-fn what_lasts_is_started_again_however_it_ended() {
+fn a_long_running_task_is_started_again_however_it_ended() {
     let mut fixture = Fixture::new(1);
     fixture.set_attempts(1);
     fixture.submit(job(1, vec![Step { long_running: true, ..step(1, 1) }]));
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_step_that_failed_keeps_off_doubtful_servers() {
+fn a_step_that_failed_avoids_suspect_servers() {
     let mut fixture = Fixture::new(3);
     fixture.submit(job(1, vec![gang(1, 8)]));
     fixture.submit(job(2, vec![gang(1, 8)]));
@@ -178,14 +178,14 @@
         fixture.complete(started, CompletionKind::Failed);
     }
     let again = fixture.start_all();
-    assert_eq!(again.len(), 1, "both earlier places are doubtful now");
+    assert_eq!(again.len(), 1, "both earlier backend servers are suspect now");
     assert!(first.iter().all(|started| started.server != again[0].server));
     fixture.advance(6500);
-    assert_eq!(fixture.start_all().len(), 1, "doubt does not last for ever");
+    assert_eq!(fixture.start_all().len(), 1, "suspicion expires");
 }
 
 #[test]
-fn a_plan_looks_anew_only_at_what_has_changed() {
+fn a_plan_refreshes_only_what_has_changed() {
     let mut fixture = Fixture::new(4);
     for id in 1..=1000 {
         fixture.submit(job(id, vec![gang(1, 8)]));
@@ -196,11 +196,12 @@
     fixture.complete(&started[0], CompletionKind::Done);
     fixture.start_all();
     fixture.start_all();
-    let looked_at = fixture.scheduler.counts().refreshed - before;
-    assert!(looked_at <= 2, "one job ended and one started, and {looked_at} of 1000 were looked at");
+    let refreshed = fixture.scheduler.counts().refreshed - before;
+    assert!(refreshed <= 2, "one job ended and one started, and {refreshed} of 1000 were refreshed");
 }
 
-/// One backend server that is full of work of 2 s each, which has run for some time; and an urgent job that needs half.
+/// Returns a backend server that is full of work of 2 s each, which has run for some time, and an urgent job that needs
+/// half of it.
 fn urgent_beside_work_that_ran(ms: u64, customer_holds_guarantee: bool) -> Fixture {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_in("archive", 1, vec![step(8, 1)]));
@@ -216,7 +217,7 @@
 }
 
 #[test]
-fn no_more_work_is_thrown_away_for_an_urgent_job_than_its_own_unless_it_is_guaranteed() {
+fn no_more_work_is_discarded_for_an_urgent_job_than_its_own_unless_it_is_guaranteed() {
     assert!(!stopped(&urgent_beside_work_that_ran(500, false)).is_empty(), "half a second's work of four tasks");
     assert!(stopped(&urgent_beside_work_that_ran(10_000, false)).is_empty(), "ten seconds' work of four tasks");
     assert!(!stopped(&urgent_beside_work_that_ran(10_000, true)).is_empty(), "a guarantee is always reclaimed");
--- a/crates/scheduler/tests/answers_in_any_order.rs
+++ b/crates/scheduler/tests/reordered_responses.rs
@@ -1,6 +1,7 @@
-//! Answers of witnesses that come to the scheduler in another order than they were heard.
+//! Responses of witnesses that reach the scheduler out of order.
 //!
-//! Found by reading: what outvotes an earlier scheduler was reckoned from the answer that is told last, not from the latest.
+//! Guards against counting the end of an earlier scheduler's renewals from the response that is delivered last rather
+//! than from the latest one.
 
 mod common;
 
@@ -10,18 +11,18 @@
 
 fn witnesses(ids: &[BackendServerId]) -> WitnessRecord {
     let lives: Vec<String> = ids.iter().map(|id| format!("\"{id}\":1000")).collect();
-    serde_json::from_str(&format!("{{\"lives\":{{{}}}}}", lives.join(","))).expect("it is a note")
+    serde_json::from_str(&format!("{{\"lives\":{{{}}}}}", lives.join(","))).expect("it is a valid record")
 }
 
-/// Two loops of calls take the time before they wait for the scheduler's lock. Whichever comes first, an earlier
-/// scheduler counts a witness until it has answered the new one.
+/// Two call loops read the clock before they wait for the scheduler's lock. Whichever comes first, an earlier scheduler
+/// counts a witness until it has responded to the new one.
 #[test]
-fn the_latest_of_the_answers_that_outvote_an_earlier_scheduler_counts() {
+fn the_latest_of_the_responses_that_outvote_an_earlier_scheduler_counts() {
     let mut fixture = Fixture::new(7);
     fixture.submit(job(1, vec![step(1, 1)]));
-    let place = fixture.start_all().remove(0).server;
-    let ids: Vec<BackendServerId> = (0..7).map(server_id).filter(|id| *id != place).collect();
-    fixture.lose_unnoticed(&place);
+    let server = fixture.start_all().remove(0).server;
+    let ids: Vec<BackendServerId> = (0..7).map(server_id).filter(|id| *id != server).collect();
+    fixture.lose_unnoticed(&server);
     for id in &ids {
         fixture.stop_responding(id);
     }
@@ -41,6 +42,6 @@
     let after = fixture.now.since(late);
     assert!(
         after >= Duration::from_millis(5000),
-        "renewed up to 2 s after {late:?}, for 3 s; begun anew {after} after it"
+        "renewed up to 2 s after {late:?}, for 3 s; restarted {after} after it"
     );
 }
--- a/crates/scheduler/tests/repeated_starts.rs
+++ b/crates/scheduler/tests/repeated_starts.rs
@@ -1,8 +1,8 @@
-//! Starts that are sent again, since the first had no answer, though it had gone through.
+//! Starts that are sent again because the first got no reply although it took effect.
 //!
-//! Seen once, on a hunted day of cuts in one direction: the first start went through, its run was done within the cut, and the repeated start was refused as
-//! old. That was taken for "does not run and never will", and the task was started again beside its own end. Any refusal of a repeated start tells of the
-//! repetition only.
+//! Guards against a task that runs twice after a partition in one direction: its first start took effect and its run
+//! ended as done during the partition, and the repeated start was refused as old, which the scheduler took for a run
+//! that never starts. A refusal of a repeated start says nothing about the first one.
 
 mod common;
 
@@ -10,7 +10,7 @@
 use jobs::JobState;
 use scheduler::{CompletionKind, Order, StartReply};
 
-/// A start without an answer, which has begun on its backend server all the same, has been sent again.
+/// Returns a start that got no reply, took effect all the same, and was sent again.
 fn repeated() -> (Fixture, Started) {
     let mut fixture = Fixture::new(4);
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
@@ -21,35 +21,35 @@
     (fixture, again)
 }
 
-/// The backend server lists the run's end, and nothing is started again.
+/// Checks that nothing is started again once the backend server lists the completion.
 fn check_done(mut fixture: Fixture, start: &Started) {
-    assert!(fixture.ordered_starts().is_empty(), "it is started again before it is known what became of it");
+    assert!(fixture.ordered_starts().is_empty(), "it is started again before its outcome is known");
     fixture.complete(start, CompletionKind::Done);
     assert!(fixture.ordered_starts().is_empty());
     assert_eq!(fixture.state(1), Some(JobState::Succeeded));
 }
 
 #[test]
-fn one_that_finds_its_run_over_leaves_the_verdict_to_the_listing() {
+fn a_repeated_start_of_an_ended_run_leaves_the_outcome_to_the_listing() {
     let (mut fixture, again) = repeated();
     fixture.reply(&again, StartReply::Over);
     check_done(fixture, &again);
 }
 
 #[test]
-fn one_that_is_refused_for_another_reason_does_so_too_and_the_run_is_stopped() {
+fn a_repeated_start_refused_for_another_reason_does_so_too_and_stops_the_run() {
     for reply in [StartReply::NoRoom, StartReply::Refused, StartReply::Late] {
         let (mut fixture, again) = repeated();
         fixture.reply(&again, reply);
         fixture.repeated_starts();
         let stops = fixture.stops.iter().filter(|order| matches!(order, Order::Stop { .. })).count();
-        assert_eq!(stops, 1, "{reply:?}: the first may go through yet");
+        assert_eq!(stops, 1, "{reply:?}: the first may still take effect");
         check_done(fixture, &again);
     }
 }
 
 #[test]
-fn a_run_that_is_over_without_an_end_is_lost_and_starts_again() {
+fn an_ended_run_without_a_completion_is_lost_and_starts_again() {
     let (mut fixture, again) = repeated();
     fixture.reply(&again, StartReply::Over);
     fixture.advance(10);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_that_was_sent_once_and_is_refused_starts_elsewhere_at_once() {
+fn a_start_that_was_sent_once_and_refused_is_placed_elsewhere_at_once() {
     let mut fixture = Fixture::new(4);
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     let first = fixture.ordered_starts().remove(0);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_refusal_that_comes_after_the_run_was_listed_stops_nothing() {
+fn a_refusal_after_the_run_was_listed_stops_nothing() {
     let mut fixture = Fixture::new(4);
     fixture.submit(job_in("urgent", 1, vec![gang(2, 8)]));
     let starts = fixture.start_all();
--- a/crates/scheduler/tests/returned.rs
+++ b/crates/scheduler/tests/restarted_servers.rs
@@ -1,9 +1,8 @@
-//! Backend servers that come back under their ids after a crash.
+//! Backend servers that restart under their ids after a crash.
 //!
-//! Seen: runs that were done, and whose ends were acknowledged, were started again, 381 times on a day on which 17 of 48 backend servers crashed
-//! five times; on a larger deployment a first step was done and the second did not begin. The next life of a backend server counts its ends from 1
-//! again, and these counts were kept by its id: an end below the highest that the earlier life had listed was not looked at and was acknowledged unseen,
-//! and its run was taken for lost. Each of these tests ended so on the code as it was.
+//! Guards against done runs that are started again, and following steps that never start. A new incarnation numbers its
+//! completions from 1 again while the highest serial number received was kept by id: lower completions were
+//! acknowledged without being processed, and their runs counted as lost.
 
 mod common;
 
@@ -12,8 +11,8 @@
 use model::BackendServerId;
 use scheduler::{CompletionKind, ServerInfo};
 
-/// A backend server that has listed six ends, all of them acknowledged, and has come back after a crash.
-fn returned() -> (Fixture, BackendServerId) {
+/// Returns a backend server that listed six completions, all acknowledged, and restarted after a crash.
+fn restarted() -> (Fixture, BackendServerId) {
     let mut fixture = Fixture::new(1);
     let server = fixture.newest();
     fixture.submit(job_in("urgent", 1, vec![step(6, 1)]));
@@ -27,9 +26,9 @@
 }
 
 #[test]
-fn what_is_done_in_the_next_life_is_not_run_again() {
-    let (mut fixture, server) = returned();
-    assert_eq!(fixture.scheduler.acknowledged_serial(&server), 0, "it has listed no end");
+fn a_run_done_in_the_next_incarnation_is_not_repeated() {
+    let (mut fixture, server) = restarted();
+    assert_eq!(fixture.scheduler.acknowledged_serial(&server), 0, "it has listed no completion");
     fixture.submit(job_in("urgent", 2, vec![step(1, 1)]));
     let started = fixture.start_all();
     fixture.advance(1000);
@@ -41,8 +40,8 @@
 }
 
 #[test]
-fn the_next_step_begins_once_its_first_is_done_in_the_next_life() {
-    let (mut fixture, _) = returned();
+fn the_next_step_starts_once_the_first_is_done_in_the_next_incarnation() {
+    let (mut fixture, _) = restarted();
     let second = Step { after: vec![0], ..step(2, 1) };
     fixture.submit(job_in("urgent", 2, vec![step(2, 1), second]));
     let first = fixture.start_all();
@@ -56,7 +55,7 @@
 
 const JOB: u64 = 7;
 
-/// A task that takes a whole backend server, on one that comes back under its id after each crash.
+/// Returns a task that takes a whole backend server, on one that restarts under its id after each crash.
 fn with_one_task() -> (Fixture, BackendServerId) {
     let mut fixture = Fixture::new(1);
     fixture.submit(job_in("urgent", JOB, vec![step(1, 8)]));
@@ -67,7 +66,7 @@
 fn crashes_are_charged_though_the_id_stays() {
     let (mut fixture, server) = with_one_task();
     let crashes = (0..10).take_while(|_| {
-        // It keeps off the place for a while.
+        // The task avoids the backend server for a while.
         fixture.advance(3500);
         let started = fixture.start_all();
         fixture.crash_and_restart(&server);
@@ -78,7 +77,7 @@
 }
 
 #[test]
-fn so_is_one_that_is_known_only_after_the_lease() {
+fn a_crash_detected_after_the_lease_expired_is_charged_though_the_id_stays() {
     let (mut fixture, server) = with_one_task();
     for _ in 0..3 {
         fixture.advance(3500);
@@ -92,7 +91,7 @@
 }
 
 #[test]
-fn a_lease_that_is_over_is_no_crash_where_the_same_life_answers_again() {
+fn an_expired_lease_is_no_crash_if_the_same_incarnation_responds_again() {
     let (mut fixture, server) = with_one_task();
     for _ in 0..6 {
         assert_eq!(fixture.start_all().len(), 1);
@@ -103,9 +102,9 @@
     assert_eq!(fixture.state(JOB), Some(JobState::Running));
 }
 
-/// It runs in the life that answers, or nowhere: the stored place tells which life it meant.
+/// The stored placement names its incarnation, so the run is there or has ended.
 #[test]
-fn what_an_earlier_scheduler_placed_in_another_life_starts_again_at_once() {
+fn a_run_placed_in_an_earlier_incarnation_by_an_earlier_scheduler_starts_again_at_once() {
     let (mut fixture, server) = with_one_task();
     assert_eq!(fixture.start_all().len(), 1);
     fixture.restart_unnoticed(&server);
@@ -119,30 +118,30 @@
         fixture.advance(3100);
         fixture.start_all();
     }
-    assert_eq!(fixture.state(JOB), Some(JobState::Failed), "five crashes, each told by the stored place alone");
+    assert_eq!(fixture.state(JOB), Some(JobState::Failed), "five crashes, each detected by the stored placement alone");
 }
 
 #[test]
-fn nothing_is_placed_where_another_life_is_listed_than_the_one_that_answers() {
+fn nothing_is_placed_where_the_listed_incarnation_is_not_the_responding_one() {
     let (mut fixture, server) = with_one_task();
-    let earlier = ServerInfo { incarnation: fixture.incarnation(&server), ..info(0) };
-    fixture.scheduler.server_listed(server.clone(), earlier.clone(), fixture.now);
+    let earlier_info = ServerInfo { incarnation: fixture.incarnation(&server), ..info(0) };
+    fixture.scheduler.server_listed(server.clone(), earlier_info.clone(), fixture.now);
     fixture.crash_and_restart(&server);
-    assert!(fixture.start_all().is_empty(), "what is listed may have other room");
-    let next = ServerInfo { incarnation: fixture.incarnation(&server), ..earlier };
+    assert!(fixture.start_all().is_empty(), "the listed one may have another capacity");
+    let next = ServerInfo { incarnation: fixture.incarnation(&server), ..earlier_info };
     fixture.scheduler.server_listed(server, next, fixture.now);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
 #[test]
-fn a_life_that_had_said_that_it_leaves_has_not_crashed_when_the_next_one_answers() {
+fn a_draining_incarnation_has_not_crashed_when_the_next_one_responds() {
     let (mut fixture, server) = with_one_task();
     for _ in 0..6 {
         let here = ServerInfo { incarnation: fixture.incarnation(&server), ..info(0) };
         fixture.scheduler.server_listed(server.clone(), here.clone(), fixture.now);
         assert_eq!(fixture.start_all().len(), 1);
-        let leaving = ServerInfo { draining: true, ..here };
-        fixture.scheduler.server_listed(server.clone(), leaving, fixture.now);
+        let draining = ServerInfo { draining: true, ..here };
+        fixture.scheduler.server_listed(server.clone(), draining, fixture.now);
         fixture.crash_and_restart(&server);
     }
     assert_eq!(fixture.state(JOB), Some(JobState::Running));
--- a/crates/scheduler/tests/speed.rs
+++ b/crates/scheduler/tests/speed.rs
@@ -1,4 +1,4 @@
-//! Fast and slow backend servers: learned from what runs there, and used by work that is urgent.
+//! Fast and slow backend servers: their speeds are estimated from their runs and used to place urgent work.
 
 mod common;
 
@@ -9,12 +9,12 @@
 use model::{BackendServerId, Duration};
 use scheduler::{CompletionKind, Listing, RunningTask, SpeedReport};
 
-/// Declared by every step of these tests, in seconds.
+/// Duration declared by every step of these tests, in seconds.
 const DECLARED_S: f64 = 2.0;
-/// How often backend servers tell of what they run, in milliseconds.
-const TOLD_EVERY_MS: u64 = 200;
+/// Interval of listings, in milliseconds.
+const LISTING_INTERVAL_MS: u64 = 200;
 
-/// Backend servers that work at speeds of their own: a factor on the time that a run takes.
+/// Backend servers with speed factors; a factor multiplies the duration of a run.
 struct Fleet {
     fixture: Fixture,
     factors: BTreeMap<BackendServerId, f64>,
@@ -28,34 +28,35 @@
         Fleet { fixture, factors, next_job: 1 }
     }
 
-    /// Runs a step to its end; the declared time is off by `off`. Returns where its tasks ran.
+    /// Runs a step to its end; the declared duration is off by the factor `off`. Returns the backend servers of its
+    /// tasks.
     fn run(&mut self, queue: &str, step: Step, off: f64) -> Vec<BackendServerId> {
         let is_gang = step.gang;
         self.fixture.submit(job_in(queue, self.next_job, vec![step]));
         self.next_job += 1;
-        let mut going = self.fixture.start_all();
-        let places = going.iter().map(|start| start.server.clone()).collect();
-        let begun = self.fixture.now;
-        while !going.is_empty() {
-            self.fixture.now = self.fixture.now + Duration::from_millis(TOLD_EVERY_MS);
-            let at_s = self.fixture.now.since(begun).secs_f64();
+        let mut open_runs = self.fixture.start_all();
+        let servers = open_runs.iter().map(|start| start.server.clone()).collect();
+        let started_at = self.fixture.now;
+        while !open_runs.is_empty() {
+            self.fixture.now = self.fixture.now + Duration::from_millis(LISTING_INTERVAL_MS);
+            let at_s = self.fixture.now.since(started_at).secs_f64();
             let factors = self.factors.clone();
             let percent = |id: &BackendServerId| (at_s / (DECLARED_S * off * factors[id]) * 100.0).min(100.0) as u32;
-            self.tell(&going, percent);
+            self.deliver_listings(&open_runs, percent);
             let done = |start: &Started| percent(&start.server) == 100;
-            let all_done = going.iter().all(done);
-            let (over, rest) = going.into_iter().partition(|start| if is_gang { all_done } else { done(start) });
-            going = rest;
-            for start in over {
+            let all_done = open_runs.iter().all(done);
+            let (ended, rest) = open_runs.into_iter().partition(|start| if is_gang { all_done } else { done(start) });
+            open_runs = rest;
+            for start in ended {
                 self.fixture.complete(&start, CompletionKind::Done);
             }
         }
         self.fixture.store_all();
-        places
+        servers
     }
 
-    /// All tell what they run, and how far that has come.
-    fn tell(&mut self, going: &[Started], percent: impl Fn(&BackendServerId) -> u32) {
+    /// Delivers the listings of all backend servers with their runs and progress.
+    fn deliver_listings(&mut self, open_runs: &[Started], percent: impl Fn(&BackendServerId) -> u32) {
         let now = self.fixture.now;
         for id in self.factors.keys() {
             let row = |start: &Started| RunningTask {
@@ -65,7 +66,7 @@
                 percent: percent(id),
                 latency_ms: None,
             };
-            let running = going.iter().filter(|start| start.server == *id).map(row).collect();
+            let running = open_runs.iter().filter(|start| start.server == *id).map(row).collect();
             let listing = Listing { running, ..Listing::default() };
             self.fixture.scheduler.listing(id, &listing, now, now);
         }
@@ -75,42 +76,42 @@
         self.fixture.scheduler.speed(&server_id(i), self.fixture.now).expect("it is known")
     }
 
-    /// The slowest of these backend servers.
-    fn slowest(&self, places: &[BackendServerId]) -> f64 {
-        places.iter().map(|id| self.factors[id]).fold(0.0, f64::max)
+    /// Returns the factor of the slowest of these backend servers.
+    fn slowest(&self, servers: &[BackendServerId]) -> f64 {
+        servers.iter().map(|id| self.factors[id]).fold(0.0, f64::max)
     }
 }
 
-/// A third of the fleet takes 2.4 times as long as the rest.
+/// Returns the factors of a fleet of which a third takes 2.4 times as long as the rest.
 fn a_third_slow(servers: usize) -> Vec<f64> {
     (0..servers).map(|i| if i % 3 == 1 { 1.7 } else { 0.7 }).collect()
 }
 
-/// Some work on all at once, with declared times that are off by half either way.
-fn teach(fleet: &mut Fleet, rounds: usize) {
+/// Runs some work on all at once, with declared durations that are too high and too low.
+fn train(fleet: &mut Fleet, rounds: usize) {
     let width = fleet.factors.len() as u32;
     for round in 0..rounds {
-        let places = fleet.run("urgent", step(width, 8), [0.6, 1.0, 1.6][round % 3]);
-        assert_eq!(places.len(), fleet.factors.len());
+        let servers = fleet.run("urgent", step(width, 8), [0.6, 1.0, 1.6][round % 3]);
+        assert_eq!(servers.len(), fleet.factors.len());
     }
 }
 
 #[test]
-fn a_third_of_the_fleet_is_slow_and_urgent_gangs_keep_off_it() {
+fn urgent_gangs_avoid_a_slow_third_of_the_fleet() {
     let mut fleet = Fleet::new(&a_third_slow(12));
-    teach(&mut fleet, 2);
+    train(&mut fleet, 2);
     let summary = fleet.fixture.scheduler.speeds(fleet.fixture.now);
     assert!(summary.in_use && summary.known == 12 && summary.spread > 2.0, "{summary:?}");
     assert!(summary.slowest[0].factor > 1.3 && summary.slowest[0].age_ms.is_some(), "{summary:?}");
     for _ in 0..5 {
-        let places = fleet.run("urgent", gang(6, 8), 1.0);
-        assert!(fleet.slowest(&places) < 1.0, "{places:?}");
+        let servers = fleet.run("urgent", gang(6, 8), 1.0);
+        assert!(fleet.slowest(&servers) < 1.0, "{servers:?}");
     }
 }
 
 /// A gang ends as one: only the progress of its members tells them apart.
 #[test]
-fn members_of_gangs_tell_by_their_progress() {
+fn members_of_gangs_are_measured_by_their_progress() {
     let mut fleet = Fleet::new(&a_third_slow(12));
     for _ in 0..4 {
         fleet.run("urgent", gang(12, 8), 1.3);
@@ -121,19 +122,19 @@
     }
 }
 
-/// Wider than the fast ones: it starts at once, with as few of the slow ones as can be.
+/// A gang wider than the fast part starts at once, with as few slow backend servers as possible.
 #[test]
-fn a_gang_that_just_fits_takes_slow_ones_too() {
+fn a_gang_that_just_fits_uses_slow_servers_too() {
     let mut fleet = Fleet::new(&a_third_slow(12));
-    teach(&mut fleet, 2);
-    let places = fleet.run("urgent", gang(12, 8), 1.0);
-    assert_eq!(places.len(), 12);
+    train(&mut fleet, 2);
+    let servers = fleet.run("urgent", gang(12, 8), 1.0);
+    assert_eq!(servers.len(), 12);
 }
 
 #[test]
 fn equal_speeds_change_nothing_however_far_declared_times_are_off() {
     let mut fleet = Fleet::new(&[1.0; 12]);
-    teach(&mut fleet, 9);
+    train(&mut fleet, 9);
     for i in 0..12 {
         let factor = fleet.report(i).factor;
         assert!((0.87..1.15).contains(&factor), "{i}: {factor}");
@@ -141,36 +142,36 @@
 }
 
 #[test]
-fn speeds_that_swap_are_followed_within_twenty_ends() {
+fn swapped_speeds_are_estimated_within_twenty_completions() {
     let mut fleet = Fleet::new(&a_third_slow(12));
-    teach(&mut fleet, 20);
+    train(&mut fleet, 20);
     for factor in fleet.factors.values_mut() {
         *factor = if *factor > 1.0 { 0.7 } else { 1.7 };
     }
-    teach(&mut fleet, 20);
+    train(&mut fleet, 20);
     for i in 0..12 {
         let factor = fleet.report(i).factor;
         assert!(if i % 3 == 1 { factor < 0.9 } else { factor > 1.0 }, "{i}: {factor}");
     }
 }
 
-/// A few runs take seven times as long wherever they are.
+/// A few runs take seven times as long, wherever they are.
 #[test]
-fn one_run_in_many_that_takes_long_condemns_no_backend_server() {
+fn a_single_long_run_makes_no_backend_server_slow() {
     let mut fleet = Fleet::new(&[1.0; 12]);
-    teach(&mut fleet, 3);
+    train(&mut fleet, 3);
     fleet.factors.insert(server_id(4), 7.0);
-    teach(&mut fleet, 1);
+    train(&mut fleet, 1);
     fleet.factors.insert(server_id(4), 1.0);
     assert!(fleet.report(4).factor < 1.5, "{}", fleet.report(4).factor);
-    teach(&mut fleet, 4);
+    train(&mut fleet, 4);
     assert!(fleet.report(4).factor < 1.2, "{}", fleet.report(4).factor);
 }
 
 #[test]
-fn one_that_fails_all_at_once_does_not_look_fast() {
+fn a_backend_server_that_fails_all_runs_at_once_does_not_look_fast() {
     let mut fleet = Fleet::new(&[1.0; 4]);
-    teach(&mut fleet, 3);
+    train(&mut fleet, 3);
     for _ in 0..3 {
         fleet.fixture.submit(job_in("batch", fleet.next_job, vec![step(4, 8)]));
         fleet.next_job += 1;
@@ -183,29 +184,29 @@
     assert!(fleet.report(0).factor > 0.85, "{}", fleet.report(0).factor);
 }
 
-/// The next life may be of another kind, on another machine.
+/// The next incarnation may be on another machine with another speed.
 #[test]
-fn the_next_life_begins_anew() {
+fn the_estimate_of_the_next_incarnation_starts_anew() {
     let mut fleet = Fleet::new(&a_third_slow(12));
-    teach(&mut fleet, 4);
+    train(&mut fleet, 4);
     assert!(fleet.report(1).factor > 1.3);
     fleet.fixture.crash_and_restart(&server_id(1));
     assert_eq!(fleet.report(1).runs, 0);
 }
 
-/// A new scheduler finds runs that are on their way and does not know when each began: taken for begun at its election, those that are further would look
-/// fast.
+/// A new scheduler restores running tasks without their start times. Were they counted from its election, those with
+/// more progress would look fast.
 #[test]
-fn runs_of_an_earlier_scheduler_are_measured_from_when_they_are_heard() {
+fn runs_of_an_earlier_scheduler_are_measured_from_their_first_listing() {
     let mut fleet = Fleet::new(&[1.0; 12]);
     fleet.fixture.submit(job_in("urgent", 1, vec![step(12, 8)]));
-    let going = fleet.fixture.start_all();
+    let open_runs = fleet.fixture.start_all();
     fleet.fixture.percent = 0;
     fleet.fixture.elect_next();
-    let even = |id: &BackendServerId| (0..12).step_by(2).any(|i| server_id(i) == *id);
-    for told in [0, 40] {
+    let is_even = |id: &BackendServerId| (0..12).step_by(2).any(|i| server_id(i) == *id);
+    for base_percent in [0, 40] {
         fleet.fixture.now = fleet.fixture.now + Duration::from_millis(800);
-        fleet.tell(&going, |id| told + if even(id) { 15 } else { 45 });
+        fleet.deliver_listings(&open_runs, |id| base_percent + if is_even(id) { 15 } else { 45 });
     }
     for i in 0..12 {
         let report = fleet.report(i);
--- a/crates/scheduler/tests/standing.rs
+++ b/crates/scheduler/tests/stalled_count.rs
@@ -1,11 +1,11 @@
-//! Jobs of which nothing runs are counted, so that operators see that something is held up.
+//! The metric of stalled jobs, which shows operators that something is delayed.
 
 mod common;
 
 use common::{Fixture, job_in, step};
 
-/// So long nothing has to run before it is told, and then until the next look.
-const TOLD_AFTER_MS: u64 = 3100;
+/// Time for which nothing runs until a job is counted as stalled, and until the next check.
+const COUNTED_AFTER_MS: u64 = 3100;
 
 fn lost_job() -> Fixture {
     let mut fixture = Fixture::new(2);
@@ -16,7 +16,7 @@
     fixture
 }
 
-fn pass(fixture: &mut Fixture, ms: u64) {
+fn advance_with_plans(fixture: &mut Fixture, ms: u64) {
     for _ in 0..ms / 100 {
         fixture.advance(100);
         fixture.start_all();
@@ -24,28 +24,28 @@
 }
 
 #[test]
-fn a_job_whose_backend_server_is_lost_stands_until_its_lease_is_over() {
+fn a_job_whose_backend_server_is_lost_is_stalled_until_its_lease_expires() {
     let mut fixture = lost_job();
     assert_eq!(fixture.scheduler.counts().standing, 0);
-    pass(&mut fixture, TOLD_AFTER_MS);
+    advance_with_plans(&mut fixture, COUNTED_AFTER_MS);
     assert_eq!(fixture.scheduler.counts().standing, 1);
-    pass(&mut fixture, 5000);
+    advance_with_plans(&mut fixture, 5000);
     assert_eq!(fixture.scheduler.counts().standing, 0, "it runs elsewhere");
 }
 
 #[test]
-fn a_job_that_runs_does_not_stand() {
+fn a_running_job_is_not_stalled() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
-    pass(&mut fixture, 2 * TOLD_AFTER_MS);
+    advance_with_plans(&mut fixture, 2 * COUNTED_AFTER_MS);
     assert_eq!(fixture.scheduler.counts().standing, 0);
 }
 
-/// It has no place: each backend server is smaller than what it asks for.
+/// Each backend server is smaller than what the job asks for.
 #[test]
-fn a_job_without_a_place_stands() {
+fn a_job_that_fits_nowhere_is_stalled() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("urgent", 1, vec![step(1, 9)]));
-    pass(&mut fixture, TOLD_AFTER_MS);
+    advance_with_plans(&mut fixture, COUNTED_AFTER_MS);
     assert_eq!(fixture.scheduler.counts().standing, 1);
 }
--- a/crates/scheduler/tests/starting.rs
+++ b/crates/scheduler/tests/start_latency.rs
@@ -1,4 +1,4 @@
-//! How long a run waits from its place in a plan until it is ordered, on a fleet of the largest size.
+//! Time from the placement of a run until its order, on a fleet of the largest size.
 
 mod common;
 
@@ -8,21 +8,22 @@
 use model::Revision;
 use scheduler::{CompletionKind, Observation, Order, StartReply, WriteBatch};
 
-/// Backend servers, as on the users' largest site.
+/// Number of backend servers, as on the largest site of the platform.
 const SERVERS: usize = 1100;
-/// One turn of the scheduler's plan, writer and links, in milliseconds: a write has its answer within one.
+/// Length of one turn of the scheduler's planner, writer and connections, in milliseconds; a write gets its reply
+/// within one.
 const TURN_MS: u64 = 10;
 const TURNS: u64 = 800;
-/// Entries of one write, as the store allows.
-const MOST_ENTRIES: usize = 15;
-/// Every so many turns a job comes of so many tasks that take so long, in turns: 20 urgent ones a second and 5 others,
-/// some 700 starts and as many ends a second, and 60 % of the accelerators in use.
-const URGENT: Kind = Kind { queue: "urgent", every: 5, tasks: 8, takes: 250 };
-const ARCHIVE: Kind = Kind { queue: "archive", every: 20, tasks: 110, takes: 600 };
-/// Runs are to be ordered within this, but for one of a hundred, in milliseconds.
-const MOST_MS: u64 = 250;
+/// Maximum number of writes in a batch, as the store allows.
+const MAX_BATCH_WRITES: usize = 15;
+/// A job of `tasks` tasks that take `takes` turns is submitted `every` so many turns: 20 urgent jobs a second and 5
+/// others, some 700 starts and as many completions a second, and 60 % of the accelerators in use.
+const URGENT: Load = Load { queue: "urgent", every: 5, tasks: 8, takes: 250 };
+const ARCHIVE: Load = Load { queue: "archive", every: 20, tasks: 110, takes: 600 };
+/// 99th percentile within which runs are to be ordered, in milliseconds.
+const MAX_P99_MS: u64 = 250;
 
-struct Kind {
+struct Load {
     queue: &'static str,
     every: u64,
     tasks: u32,
@@ -33,18 +34,18 @@
     fixture: Fixture,
     /// Runs by the turn in which they end.
     ending: BTreeMap<u64, Vec<Started>>,
-    /// The write that is under way.
+    /// Write in flight.
     writing: Option<WriteBatch>,
     waits_ms: Vec<u64>,
     next_id: u64,
 }
 
 impl Fleet {
-    fn submit(&mut self, kind: &Kind, turn: u64) {
-        if turn.is_multiple_of(kind.every) {
-            // Spread over all names, as callers' jobs are.
+    fn submit(&mut self, load: &Load, turn: u64) {
+        if turn.is_multiple_of(load.every) {
+            // Spreads the jobs over all ids, as those of callers are.
             self.next_id = self.next_id.wrapping_add(0x9e37_79b9_7f4a_7c15);
-            self.fixture.submit(job_in(kind.queue, self.next_id, vec![step(kind.tasks, 1)]));
+            self.fixture.submit(job_in(load.queue, self.next_id, vec![step(load.tasks, 1)]));
         }
     }
 
@@ -59,7 +60,7 @@
         if let Some(batch) = self.writing.take() {
             scheduler.batch_stored(batch, Revision(1000 + turn));
         }
-        self.writing = scheduler.next_write_batch(MOST_ENTRIES);
+        self.writing = scheduler.next_write_batch(MAX_BATCH_WRITES);
         self.answer_orders(turn);
     }
 
@@ -68,7 +69,7 @@
         for order in self.fixture.scheduler.take_orders() {
             let Order::Start { server, task, run, checkpoint, permit, .. } = order else { continue };
             self.fixture.scheduler.start_replied(&server, task, run, StartReply::Started, now);
-            // Ends of one job are spread over a second.
+            // Completions of one job are spread over a second.
             let takes = if task.occurrence.job.0 % 2 == 0 { ARCHIVE.takes } else { URGENT.takes };
             let ends = turn + takes + u64::from(task.index) % 100;
             self.ending.entry(ends).or_default().push(Started { server, task, run, checkpoint, permit });
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn starts_are_not_behind_on_1100_backend_servers() {
+fn starts_are_ordered_in_time_on_1100_backend_servers() {
     let mut fleet = Fleet {
         fixture: Fixture::new(SERVERS),
         ending: BTreeMap::new(),
@@ -92,13 +93,13 @@
     };
     for turn in 0..TURNS {
         fleet.turn(turn);
-        let begun = fleet.fixture.now.millis();
+        let now_ms = fleet.fixture.now.millis();
         let next = 1000 + (turn + 1) * TURN_MS;
-        fleet.fixture.now = model::Moment::from_millis(next.max(begun));
+        fleet.fixture.now = model::Moment::from_millis(next.max(now_ms));
     }
     fleet.waits_ms.sort_unstable();
     let waits = &fleet.waits_ms;
     let p99 = waits[waits.len() * 99 / 100];
     assert!(waits.len() > 2000, "only {} runs started", waits.len());
-    assert!(p99 <= MOST_MS, "of {} runs, one of a hundred waited {p99} ms or more", waits.len());
+    assert!(p99 <= MAX_P99_MS, "of {} runs, one of a hundred waited {p99} ms or more", waits.len());
 }
--- a/crates/scheduler/tests/storing.rs
+++ b/crates/scheduler/tests/write_batches.rs
@@ -1,4 +1,4 @@
-//! What is stored first, where more changes than one write can carry.
+//! Order of writes where more changes than fit into one batch.
 
 mod common;
 
@@ -7,13 +7,13 @@
 use model::Revision;
 use scheduler::{CompletionKind, Order, StartReply};
 
-/// Entries of one write, as the store allows.
-const MOST_ENTRIES: usize = 15;
-/// Jobs that change with every write, and their tasks: more than twice what one write carries.
+/// Maximum number of writes in a batch, as the store allows.
+const MAX_BATCH_WRITES: usize = 15;
+/// Jobs that change with every batch, and their tasks: more than one batch can hold.
 const BUSY_JOBS: u64 = 20;
 const TASKS: u32 = 60;
 
-/// How many writes it takes until a job is started whose name comes last, while those before it never stand still.
+/// Returns how many batches it takes until the job with the highest id starts, while those before it keep changing.
 fn writes_until_a_new_job_starts() -> usize {
     let mut fixture = Fixture::new(300);
     for id in 1..=BUSY_JOBS {
@@ -24,8 +24,8 @@
     fixture.submit(job_in("batch", u64::MAX, vec![step(1, 1)]));
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     for write in 1..20 {
-        end_one_of_each(&mut fixture, &mut running);
-        let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("much has changed");
+        complete_one_of_each(&mut fixture, &mut running);
+        let batch = fixture.scheduler.next_write_batch(MAX_BATCH_WRITES).expect("much has changed");
         fixture.scheduler.batch_stored(batch, Revision(1000 + write));
         if starts(&mut fixture).contains(&JobId(u64::MAX)) {
             return write as usize;
@@ -34,7 +34,7 @@
     usize::MAX
 }
 
-fn end_one_of_each(fixture: &mut Fixture, running: &mut Vec<Started>) {
+fn complete_one_of_each(fixture: &mut Fixture, running: &mut Vec<Started>) {
     for id in 1..=BUSY_JOBS {
         let at = running.iter().position(|started| started.task.occurrence.job == JobId(id)).expect("60 run");
         let started = running.swap_remove(at);
@@ -42,7 +42,7 @@
     }
 }
 
-/// Jobs of which something was ordered to start.
+/// Returns the jobs of which something was ordered to start.
 fn starts(fixture: &mut Fixture) -> Vec<JobId> {
     let mut ids = Vec::new();
     for order in fixture.scheduler.take_orders() {
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn jobs_that_change_all_the_time_hold_up_no_other() {
+fn jobs_that_keep_changing_delay_no_other() {
     let writes = writes_until_a_new_job_starts();
     assert!(writes <= 4, "one round of all that has changed takes 4 writes, and the start came with write {writes}");
 }
@@ -66,19 +66,19 @@
     fixture.submit(job_in("batch", 1, vec![step(2, 1)]));
     let running = fixture.start_all();
     fixture.complete(&running[0], CompletionKind::Done);
-    let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("an end is to be stored");
+    let batch = fixture.scheduler.next_write_batch(MAX_BATCH_WRITES).expect("a completion is to be stored");
     fixture.complete(&running[1], CompletionKind::Done);
     fixture.scheduler.batch_stored(batch, Revision(2000));
     assert!(fixture.scheduler.has_pending_writes());
-    let batch = fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("the other end is to be stored");
+    let batch = fixture.scheduler.next_write_batch(MAX_BATCH_WRITES).expect("the other completion is to be stored");
     assert_eq!(batch.writes[0].replaces, Revision(2000));
     assert!(batch.writes[0].progress.done());
     assert_eq!(running[1].run, RunNumber(1));
 }
 
-/// A write that gets no answer holds up its own jobs alone.
+/// A write without a reply delays only its own jobs.
 #[test]
-fn writes_under_way_are_of_different_jobs() {
+fn writes_in_flight_are_of_different_jobs() {
     let mut fixture = Fixture::new(8);
     for id in 1..=6 {
         fixture.submit(job_in("urgent", id, vec![step(1, 8)]));
@@ -86,50 +86,50 @@
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     let first = fixture.scheduler.next_write_batch(2).expect("six wait");
     let second = fixture.scheduler.next_write_batch(2).expect("four wait");
-    let jobs = |batch: &scheduler::WriteBatch| batch.writes.iter().map(|entry| entry.occurrence).collect::<Vec<_>>();
+    let jobs = |batch: &scheduler::WriteBatch| batch.writes.iter().map(|write| write.occurrence).collect::<Vec<_>>();
     assert!(jobs(&first).iter().all(|id| !jobs(&second).contains(id)));
-    // The answer to the second comes; the first is still waited for.
+    // The reply to the second arrives; the first is still outstanding.
     fixture.scheduler.batch_stored(second, model::Revision(7));
     let third = fixture.scheduler.next_write_batch(9).expect("two wait");
     assert_eq!(third.writes.len(), 2);
-    assert!(fixture.scheduler.next_write_batch(9).is_none(), "all are under way or stored");
+    assert!(fixture.scheduler.next_write_batch(9).is_none(), "all are in flight or stored");
     fixture.scheduler.batch_failed(&first);
     let again = fixture.scheduler.next_write_batch(9).expect("the first was lost");
     assert_eq!(jobs(&again), jobs(&first));
 }
 
-/// What changes while its write is under way is written once more, after it.
+/// A change during a write is written once more, after it.
 #[test]
-fn a_change_during_a_write_waits_for_its_answer() {
+fn a_change_during_a_write_waits_for_its_reply() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job_in("urgent", 1, vec![step(1, 8)]));
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
     let placed = fixture.scheduler.next_write_batch(9).expect("it was placed");
     fixture.scheduler.cancel(jobs::JobId(1), fixture.now);
-    assert!(fixture.scheduler.next_write_batch(9).is_none(), "its write is under way");
+    assert!(fixture.scheduler.next_write_batch(9).is_none(), "its write is in flight");
     fixture.scheduler.batch_stored(placed, model::Revision(7));
     let stopped = fixture.scheduler.next_write_batch(9).expect("it has changed since");
     assert_eq!(stopped.writes[0].replaces, model::Revision(7));
 }
 
-/// How many of so many placed jobs wait for a write that gets no answer, while others go on beside it.
-fn held_up_by_a_lost_write(jobs: u64) -> usize {
+/// Returns how many of so many placed jobs wait for a write without a reply while others are written.
+fn delayed_by_a_lost_write(jobs: u64) -> usize {
     let mut fixture = Fixture::new(jobs as usize);
     for id in 1..=jobs {
         fixture.submit(job_in("urgent", id, vec![step(1, 8)]));
     }
     fixture.scheduler.plan(fixture.now, fixture.now.millis());
-    fixture.scheduler.next_write_batch(MOST_ENTRIES).expect("all wait");
-    while let Some(batch) = fixture.scheduler.next_write_batch(MOST_ENTRIES) {
+    fixture.scheduler.next_write_batch(MAX_BATCH_WRITES).expect("all wait");
+    while let Some(batch) = fixture.scheduler.next_write_batch(MAX_BATCH_WRITES) {
         fixture.scheduler.batch_stored(batch, Revision(1000));
     }
     jobs as usize - starts(&mut fixture).len()
 }
 
-/// With one write at a time, all jobs waited for it: twice as many in a fleet of twice the size.
+/// With one write at a time, all jobs would wait for it: twice as many in a fleet of twice the size.
 #[test]
-fn a_lost_write_holds_up_as_many_jobs_in_a_fleet_of_twice_the_size() {
+fn a_lost_write_delays_as_many_jobs_in_a_fleet_of_twice_the_size() {
     for jobs in [60, 120, 240] {
-        assert_eq!(held_up_by_a_lost_write(jobs), MOST_ENTRIES, "of {jobs}");
+        assert_eq!(delayed_by_a_lost_write(jobs), MAX_BATCH_WRITES, "of {jobs}");
     }
 }
