--- a/crates/scheduler/tests/common/crashes.rs
+++ b/crates/scheduler/tests/common/crashes.rs
@@ -48,7 +48,7 @@
         self.add_server();
     }
 
-    /// Checks at a start that at most two follow after three backend servers have crashed under the task.
+    /// Checks that a task starts at most twice more after three backend servers have crashed under it.
     pub(crate) fn check_crashes(&mut self, task: TaskId) {
         let seen = self.seen.entry(task).or_default();
         if seen.crashes >= 3 {
--- a/crates/scheduler/tests/common/restarts.rs
+++ b/crates/scheduler/tests/common/restarts.rs
@@ -17,7 +17,7 @@
 
 impl World {
     /// Crashes a backend server, which restarts under its id after a while, sometimes with another capacity. A
-    /// scheduler whose calls all fall in between may notice the new incarnation only.
+    /// scheduler without a call in the meantime notices only the new incarnation.
     pub(crate) fn crash_and_restart(&mut self, i: usize, ms: u64) {
         let Some(id) = self.servers.keys().nth(i % self.servers.len()).cloned() else { return };
         if self.servers[&id].leaves_at.is_some() {
--- a/crates/scheduler/tests/common/stalled.rs
+++ b/crates/scheduler/tests/common/stalled.rs
@@ -72,8 +72,8 @@
 
     fn surroundings(&self) -> Surroundings {
         let server = |server: &FakeServer| {
-            let leaves = server.leaves_at.is_some();
-            (server.id.clone(), server.incarnation, server.info.capacity, leaves, server.listed)
+            let is_draining = server.leaves_at.is_some();
+            (server.id.clone(), server.incarnation, server.info.capacity, is_draining, server.listed)
         };
         Surroundings {
             servers: self.servers.values().map(server).collect(),
@@ -194,8 +194,8 @@
         let taken =
             self.servers.values().map(|s| (s.id.clone(), s.info.capacity.accelerators, self.taken_on(s).accelerators));
         format!(
-            "job {id} stalled since {since}, at {} with task {step}.{index} that could run; last disturbed at {}; stored: {}; the \
-             scheduler (fence, state): {leader_state:?}, {counts:?}; accelerators and taken ones: {:?}",
+            "job {id} stalled since {since}, at {} with task {step}.{index} that could run; last disturbed at {}; \
+             stored: {}; the scheduler (fence, state): {leader_state:?}, {counts:?}; accelerators and taken ones: {:?}",
             self.now,
             self.stall_check.disturbed_at,
             placed.unwrap_or_else(|| "nothing".to_owned()),
@@ -204,7 +204,7 @@
     }
 }
 
-/// FreeCapacity capacity of one backend server.
+/// Free capacity of one backend server.
 #[derive(Debug)]
 struct FreeCapacity {
     rack: Arc<str>,
--- a/crates/scheduler/tests/common/witnesses.rs
+++ b/crates/scheduler/tests/common/witnesses.rs
@@ -13,7 +13,7 @@
 /// Lease of an election: time after the store's last reply for which a scheduler counts as confirmed.
 const ELECTION_LEASE_MS: u64 = 1000;
 
-/// What a scheduler does not reach, and until when.
+/// Backend servers and store that a scheduler does not reach, and until when, in milliseconds.
 #[derive(Debug, Default)]
 pub(crate) struct CutOff {
     pub(crate) from: BTreeSet<BackendServerId>,
@@ -23,8 +23,8 @@
 }
 
 impl World {
-    /// Elects another box while the current one lives, cut off from the store: the two reach different backend servers,
-    /// and some are reached by neither.
+    /// Elects another box while the current one is alive, cut off from the store: the two reach different backend
+    /// servers, and some are reached by neither.
     pub(crate) fn elect_concurrent(&mut self, reached_by_old: u8, reached_by_neither: u8, ms: u64) {
         if self.now < self.store_down_until {
             return;
--- a/crates/scheduler/tests/common/world.rs
+++ b/crates/scheduler/tests/common/world.rs
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Elects another box. Earlier ones, unless killed, are not informed; one that lives was confirmed up to now, and
-    /// renews only while the witnesses confirm it, within the limit for an unconfirmed scheduler.
+    /// Elects another box. Earlier ones, unless killed, are not informed; one that is alive was confirmed up to now,
+    /// and renews only while the witnesses confirm it, within the limit for an unconfirmed scheduler.
     pub(crate) fn elect(&mut self) {
         if self.now < self.store_down_until {
             return;
--- a/crates/scheduler/tests/crashing_tasks.rs
+++ b/crates/scheduler/tests/crashing_tasks.rs
@@ -1,8 +1,8 @@
 //! Tasks that crash every backend server on which they start.
 //!
-//! Guards against a single task that brings down one backend server after another, and the work beside it: it was
-//! started again as soon as a replacement responded. A crashed backend server lists no completion, so the runs expired
-//! with their lease, and only completions listed as failed used up attempts. The limit holds for gangs, for
+//! Guards against a single task that brings down one backend server after another, 25 in 80 s, and the work beside it:
+//! it was started again as soon as a replacement responded. A crashed backend server lists no completion, so the runs
+//! expired with their lease, and only completions listed as failed used up attempts. The limit holds for gangs, for
 //! long-running tasks, and across elections.
 
 mod common;
--- a/crates/scheduler/tests/draining.rs
+++ b/crates/scheduler/tests/draining.rs
@@ -1,4 +1,4 @@
-//! Draining backend servers, and how their departure is told from a network partition.
+//! Draining backend servers, and how a departure is distinguished from a network partition.
 
 mod common;
 
@@ -104,7 +104,7 @@
     fixture.scheduler.restore(OccurrenceId { job: job.id, number: 0 }, progress, Revision(5));
     announce_departure(&mut fixture);
     fixture.add_server(1);
-    // It was cut off with refused connections before the election, and is unlist just after it.
+    // It was cut off with refused connections before the election, and is unlisted just after it.
     fail_call(&mut fixture, CallFailure::Refused);
     advance_clock(&mut fixture, 50);
     unlist(&mut fixture);
--- a/crates/scheduler/tests/elections.rs
+++ b/crates/scheduler/tests/elections.rs
@@ -119,8 +119,8 @@
 const RUNS_AGAIN_WITHIN: Duration = Duration::from_secs(7);
 
 /// Guards against jobs with nothing running until 15 s after an election, with most capacity free. A backend server was
-/// lost while a scheduler worked that could tell when its leases expire. The next one, elected some seconds later,
-/// could not, and waited from its own election for all renewals that an earlier scheduler can make without the store.
+/// lost while a scheduler worked that had recorded when its leases expire. The next one, elected some seconds later,
+/// had not, and waited from its own election for all renewals that an earlier scheduler can make without the store.
 #[test]
 fn leases_of_a_backend_server_lost_before_an_election_are_not_waited_for_again() {
     let mut fixture = without_witnesses(2);
--- a/crates/scheduler/tests/fuzz.rs
+++ b/crates/scheduler/tests/fuzz.rs
@@ -71,8 +71,8 @@
     ]
 }
 
-/// Elects another box beside the current one, which keeps a few backend servers, half or most of them; the elected one
-/// reaches nearly all others.
+/// Draws an election beside the current leader, which still reaches a few backend servers, half or most of them; the
+/// elected one reaches nearly all others.
 fn elect_concurrent() -> impl Strategy<Value = Action> {
     let some = (any::<u8>(), any::<u8>());
     let old = prop_oneof![any::<u8>(), some.prop_map(|(a, b)| a & b), some.prop_map(|(a, b)| a | b)];
@@ -80,7 +80,8 @@
     (old, neither, 1000u16..14_000).prop_map(|(old, neither, ms)| Action::ElectConcurrent(old, neither, ms))
 }
 
-/// Adds jobs that restrict where they run, or that fail through their own fault, which is no disturbance.
+/// Draws an action, or a job that restricts where it runs, or one that fails through its own fault, which is no
+/// disturbance.
 fn action_with_restricted_jobs() -> impl Strategy<Value = Action> {
     prop_oneof![
         8 => action(),
@@ -240,7 +241,7 @@
 
 #[test]
 fn no_job_stalls_in_calm() {
-    // Leaves gaps that are long enough for the calm in which stalled jobs are checked.
+    // Includes gaps that are long enough for the calm in which stalled jobs are checked.
     let gaps = prop_oneof![2 => 20u16..1500, 1 => 4000u16..12_000];
     run_cases((gaps, action_with_restricted_jobs()), true);
 }
--- a/crates/scheduler/tests/headroom.rs
+++ b/crates/scheduler/tests/headroom.rs
@@ -163,7 +163,7 @@
         fixture.advance(100);
     };
     fixture.advance(100);
-    assert!(fixture.start_all().is_empty(), "the reply is outstanding");
+    assert!(fixture.start_all().is_empty(), "the reply has not arrived");
     fixture.reply(&refused, StartReply::NoRoom);
     let mut started = fixture.start_all();
     while started.is_empty() {
--- a/crates/scheduler/tests/isolated_retry.rs
+++ b/crates/scheduler/tests/isolated_retry.rs
@@ -22,7 +22,7 @@
     fixture.submit(job(1, vec![step(1, 1)]));
     fixture.submit(job(2, vec![step(3, 1)]));
     let placed = fixture.start_all();
-    assert!(placed.iter().all(|started| started.server == placed[0].server), "work that can wait fills one first");
+    assert!(placed.iter().all(|started| started.server == placed[0].server), "deferrable work fills one first");
     fixture.crash(&placed[0].server);
     fixture
 }
@@ -326,7 +326,7 @@
     assert_eq!(tasks(fixture.start_all()), [task(2, 0)]);
     for _ in 0..19 {
         fixture.advance(100);
-        assert!(fixture.start_all().is_empty(), "the retry of job 2 is not over");
+        assert!(fixture.start_all().is_empty(), "the retry of job 2 has not ended");
     }
     fixture.advance(200);
     assert_eq!(tasks(fixture.start_all()), [task(1, 0)]);
--- a/crates/scheduler/tests/maintenance.rs
+++ b/crates/scheduler/tests/maintenance.rs
@@ -68,7 +68,7 @@
     assert!(!succeeded(&fixture));
     reply_to_hand_over(&mut fixture, &machine_id(2), MaintenanceReply::Begun);
     due(&mut fixture, vec![renewed(0), renewed(1), in_maintenance(2)]);
-    assert!(succeeded(&fixture), "the last has begun");
+    assert!(succeeded(&fixture), "maintenance of the last has started");
 }
 
 #[test]
--- a/crates/scheduler/tests/permits.rs
+++ b/crates/scheduler/tests/permits.rs
@@ -79,7 +79,7 @@
     let second = permit_request(&mut fixture);
     assert_eq!(second.servers.len(), 10, "only those that were not requested");
     assert!(second.servers.iter().all(|id| !first.servers.contains(id)));
-    let last = (0..40).map(server_id).position(|id| id == second.servers[0]).expect("it is known");
+    let last = (0..40).map(server_id).position(|id| id == second.servers[0]).expect("its number is below 40");
     grant(&mut fixture, &second, &[last]);
     assert_eq!(servers(&fixture.start_all()), [server_id(0), server_id(last)]);
 }
--- a/crates/scheduler/tests/plan.rs
+++ b/crates/scheduler/tests/plan.rs
@@ -54,8 +54,10 @@
     }
     let placed = fixture.start_all();
     assert_eq!(ids(&placed), [3]);
-    let racks: std::collections::BTreeSet<usize> =
-        placed.iter().map(|s| (0..8).position(|i| server_id(i) == s.server).expect("known") / 4).collect();
+    let racks: std::collections::BTreeSet<usize> = placed
+        .iter()
+        .map(|s| (0..8).position(|i| server_id(i) == s.server).expect("its number is below 8") / 4)
+        .collect();
     assert_eq!(racks.len(), 1);
 }
 
--- a/crates/scheduler/tests/speed.rs
+++ b/crates/scheduler/tests/speed.rs
@@ -73,7 +73,7 @@
     }
 
     fn report(&self, i: usize) -> SpeedReport {
-        self.fixture.scheduler.speed(&server_id(i), self.fixture.now).expect("it is known")
+        self.fixture.scheduler.speed(&server_id(i), self.fixture.now).expect("it is tracked")
     }
 
     /// Returns the factor of the slowest of these backend servers.
--- a/crates/scheduler/tests/stalled_jobs.rs
+++ b/crates/scheduler/tests/stalled_jobs.rs
@@ -129,7 +129,7 @@
 /// Guards against a step that waits on idle backend servers because each is suspect. A step with a failure avoids
 /// suspect backend servers, and each is suspect for 6 s after any failure on it; where all are, the step had none left.
 #[test]
-fn a_step_that_failed_runs_though_something_failed_on_every_backend_server() {
+fn a_failed_step_runs_though_every_backend_server_is_suspect() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job(1, vec![step(1, 5)]));
     fixture.submit(job(2, vec![step(1, 5)]));
@@ -212,7 +212,7 @@
 /// of each start, one after the other, gave the unresponsive backend server a new lease, and every lease has to expire
 /// before a run starts elsewhere.
 #[test]
-fn a_backend_server_that_does_not_answer_gets_no_start() {
+fn an_unresponsive_backend_server_gets_no_start() {
     let mut fixture = Fixture::new(2);
     fixture.submit(job(1, vec![step(2, 1)]));
     let ordered = fixture.ordered_starts();
@@ -243,7 +243,7 @@
 }
 
 /// Guards against a new job that waits on idle backend servers because all are quarantined. A backend server on which
-/// two jobs failed with nothing done between accepted nothing for 8 s, however few others were left.
+/// two jobs failed with nothing done in between accepted nothing for 8 s, even where no others were left.
 #[test]
 fn a_new_job_starts_though_every_backend_server_is_quarantined() {
     let mut fixture = Fixture::new(2);
@@ -262,9 +262,9 @@
     assert!(waited < STALL_LIMIT, "it starts after {waited}");
 }
 
-/// Guards against a long wait after a backend server and then its scheduler are lost for good. The next scheduler could
-/// not tell that the run had ended and waited for every lease that the earlier one can have granted: 8 s of renewals
-/// without the store, and a lease of 6 s.
+/// Guards against a wait of 14 s beside idle backend servers after a backend server and then its scheduler are lost for
+/// good. The next scheduler could not determine that the run had ended and waited for every lease that the earlier one
+/// can have granted: 8 s of renewals without the store, and a lease of 6 s.
 #[test]
 fn a_run_lost_with_its_scheduler_runs_again_in_time() {
     let mut fixture = Fixture::new(8);
--- a/crates/scheduler/tests/throttle.rs
+++ b/crates/scheduler/tests/throttle.rs
@@ -28,7 +28,7 @@
 }
 
 /// Delivers listings every 0.7 s that show these tail latencies; returns the best-effort task's throttle in percent
-/// percents each.
+/// after each.
 fn throttle_after_listings(
     fixture: &mut Fixture,
     serving: &Started,
--- a/crates/scheduler/tests/witnesses.rs
+++ b/crates/scheduler/tests/witnesses.rs
@@ -2,8 +2,8 @@
 //! that its successor need not wait for all renewals that it may make.
 //!
 //! Guards against a run that restarts only 14.5 s after an election because it was lost together with its scheduler:
-//! the next one could not tell whether the earlier one lived, cut off with the backend server that it did not reach
-//! itself.
+//! the next one could not determine whether the earlier one was alive, cut off with the backend server that it did not
+//! reach itself.
 
 mod common;
 
@@ -16,7 +16,7 @@
 const ELECTED: Moment = Moment::from_millis(10_000);
 /// Maximum time for which a job may be stalled after a disturbance (platform rules).
 const STALL_LIMIT_AFTER_DISTURBANCE: Duration = Duration::from_millis(7000);
-/// Wait of a scheduler without records: 8 s of renewals, and a lease of 6 s on the slowest clock.
+/// Wait of a scheduler without stored records: 8 s of renewals, and a lease of 6 s on the slowest clock.
 const FULL_WAIT: Duration = Duration::from_millis(14_000);
 
 fn after(ms: u64) -> Moment {
@@ -158,13 +158,13 @@
     };
     assert!(next(1).next_witness_write(after(4000)).is_none(), "five of six may respond to another scheduler");
     assert!(next(2).next_witness_write(after(4000)).is_some());
-    assert!(next(1).next_witness_write(after(8001)).is_some(), "none goes on for longer");
+    assert!(next(1).next_witness_write(after(8001)).is_some(), "none renews for longer");
     let mut next_scheduler = next(1);
     next_scheduler.earlier_terms_ended(after(1000));
     assert!(next_scheduler.next_witness_write(after(4000)).is_some());
 }
 
-/// Returns how long a run on an unreachable backend server wait_until_rerun to run again if so many of six witnesses respond to
+/// Returns how long a run on an unreachable backend server waits to run again if so many of six witnesses respond to
 /// the new scheduler; `binding` says whether earlier schedulers renew by witnesses only.
 fn wait_until_rerun(responded: usize, record: &WitnessRecord, binding: bool) -> Duration {
     let mut fixture = Fixture::new(7);
--- a/crates/scheduler/tests/write_batches.rs
+++ b/crates/scheduler/tests/write_batches.rs
@@ -1,4 +1,4 @@
-//! Order of writes where more changes than fit into one batch.
+//! Order of writes if more has changed than fits into one batch.
 
 mod common;
 
