--- a/crates/martend/tests/returned.rs
+++ b/crates/martend/tests/returned.rs
@@ -10,7 +10,7 @@
 /// Longer than a listing waits for an end.
 const LONGER: Work = Work { tasks: 4, accelerators: 1, work_ms: 1200, gang: false };
 
-/// Seen and caused as `scheduler/tests/returned.rs` tells; here the ends are lost on the way: they are acknowledged by the call that waits for them.
+/// Seen and caused as `scheduler/tests/restarted_servers.rs` tells; here the ends are lost on the way: they are acknowledged by the call that waits for them.
 #[test]
 fn ends_of_the_next_life_are_not_acknowledged_unseen() {
     smol::block_on(async {
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,5 +1,6 @@
 //! Drives a scheduler directly, with backend servers and a store that never fail unless a test makes them. Each call
 //! runs to completion, so tests control the order of events.
+// LONG: one fixture, whose helpers share its private state.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 mod capacity;
