--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -13,22 +13,22 @@
 };
 use outside::{Clock, SystemClock};
 use runtime::{
-    Beside, RunningBox,
-    border::{Adviser, Machines},
+    OptionalServices, RunningBox,
+    platform::{Machines, PermitService},
 };
 use smol::net::TcpListener;
 use users_platform::{
-    advice::UsersAdviser,
-    decode::UsersDecoder,
+    decode::PlatformDecoder,
     front::{Front, Readiness},
-    machines::UsersMachines,
+    machines::HttpMachines,
+    permits::HttpPermitService,
     servers::Servers,
     store::Store,
 };
 
-use self::operators::OperatorsPages;
+use self::operators::OperatorApi;
 
-pub use settings::{DeploymentSettings, RawDeployment, is_chosen, read};
+pub use settings::{DeploymentSettings, RawDeployment, has_deployment_settings, read};
 
 /// A box that leaves goes on taking connections for so long: the balancer asks every second, and takes a box
 /// out after two misses (users' protocol page).
@@ -55,18 +55,18 @@
         settings.runtime.clone(),
         peers,
         Store::new(Client::new(Purpose::Store), settings.store_address),
-        Arc::new(Servers::with_order_connections(settings.runtime.carrying.order_connections)),
-        Arc::new(UsersDecoder),
-        beside(&settings),
+        Arc::new(Servers::with_order_connections(settings.runtime.capacity.order_connections)),
+        Arc::new(PlatformDecoder),
+        optional_services(&settings),
         Arc::clone(&clock),
     ));
     let front = Front { requests: Arc::clone(&this_box.requests), view: Arc::clone(&this_box.view), clock };
     let (taking, stop) = smol::channel::bounded::<()>(1);
     let limits = ServerLimits { connections: MOST_CONNECTIONS, ..ServerLimits::default() };
     let serving = smol::spawn(serve_until(callers, Arc::new(front), Purpose::Callers, limits, stop));
-    let _beside = [
+    let _handlers = [
         smol::spawn(serve(readiness, Arc::new(Readiness { view: Arc::clone(&this_box.view) }))),
-        smol::spawn(serve(metrics, Arc::new(OperatorsPages { this_box: Arc::clone(&this_box) }))),
+        smol::spawn(serve(metrics, Arc::new(OperatorApi { this_box: Arc::clone(&this_box) }))),
     ];
     while let Some(signal) = signals.next().await {
         match signal {
@@ -80,10 +80,13 @@
 }
 
 /// The platform's adviser and machines, if the settings name them.
-fn beside(settings: &DeploymentSettings) -> Beside {
-    let adviser = |addr| Arc::new(UsersAdviser::new(Client::default(), addr)) as Arc<dyn Adviser>;
-    let machines = |addr| Arc::new(UsersMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
-    Beside { adviser: settings.adviser_address.map(adviser), machines: settings.machines_address.map(machines) }
+fn optional_services(settings: &DeploymentSettings) -> OptionalServices {
+    let permit_service = |addr| Arc::new(HttpPermitService::new(Client::default(), addr)) as Arc<dyn PermitService>;
+    let machines = |addr| Arc::new(HttpMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
+    OptionalServices {
+        permit_service: settings.adviser_address.map(permit_service),
+        machines: settings.machines_address.map(machines),
+    }
 }
 
 /// Takes no new work, lets what is under way end, and gives up the election at once.
--- a/crates/martend/src/deployment/settings.rs
+++ b/crates/martend/src/deployment/settings.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use model::{AvailabilityZoneId, BoxId, CheckError, Duration, JsonPath};
-use runtime::carrying::Carrying;
+use runtime::box_capacity::BoxCapacity;
 use scheduler::{Timing, Tuning};
 use serde::{Deserialize, Serialize};
 
@@ -124,7 +124,7 @@
                 cpu_share: raw.cpu_share,
                 link_mbps: raw.link_mbps,
                 memory_mb: raw.memory_mb,
-                carrying: Carrying::of(raw.cpu_share, raw.memory_mb, raw.descriptors),
+                capacity: BoxCapacity::new(raw.cpu_share, raw.memory_mb, raw.descriptors),
                 election_ttl,
                 watch_wait: WATCH_WAIT,
                 store_silence: STORE_SILENCE,
@@ -201,7 +201,7 @@
 }
 
 /// Whether a settings file is one for a box on the users' platform.
-pub fn is_chosen(path: &str) -> bool {
+pub fn has_deployment_settings(path: &str) -> bool {
     let text = std::fs::read(path).unwrap_or_default();
     serde_json::from_slice::<serde_json::Value>(&text).is_ok_and(|value| value.get("deployment").is_some())
 }
--- a/crates/martend/tests/other_writers.rs
+++ b/crates/martend/tests/other_writers.rs
@@ -20,7 +20,7 @@
 /// A task runs on the first of two backend servers.
 async fn running() -> World {
     let mut world = World::start(1, 2).await;
-    world.platform.cut_server(1).await;
+    world.platform.disconnect_server(1).await;
     world.submit(JOB, LASTING).await;
     until("the task runs", || async { world.platform.oracle.running_tasks(JOB) == 1 }).await;
     world.platform.restore_server(1).await.expect("its address is free");
@@ -31,14 +31,14 @@
 async fn check_undisturbed(world: &World, what: &str) {
     for again in [false, true] {
         if again {
-            world.platform.set_watches_deaf(true);
+            world.platform.suppress_watch_events(true);
             world.platform.write("elsewhere", b"{}");
             world.platform.forget_history();
-            world.platform.set_watches_deaf(false);
+            world.platform.suppress_watch_events(false);
         }
         smol::Timer::after(Duration::from_millis(SEEN_MS)).await;
-        assert_eq!(world.platform.oracle.broken(), Vec::<String>::new(), "{what}");
-        assert_eq!(world.platform.oracle.begun(), 1, "{what}");
+        assert_eq!(world.platform.oracle.violations(), Vec::<String>::new(), "{what}");
+        assert_eq!(world.platform.oracle.start_count(), 1, "{what}");
         assert_eq!(world.platform.oracle.running_tasks(JOB), 1, "{what}");
     }
 }
--- a/crates/martend/tests/own_election.rs
+++ b/crates/martend/tests/own_election.rs
@@ -16,9 +16,9 @@
 use model::{Duration, Revision};
 use net::{BoxFuture, http::Client};
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, SystemClock, Transaction, Watched};
-use runtime::{Beside, RunningBox};
+use runtime::{OptionalServices, RunningBox};
 use smol::net::TcpListener;
-use users_platform::{decode::UsersDecoder, servers::Servers, store::Store};
+use users_platform::{decode::PlatformDecoder, servers::Servers, store::Store};
 use users_platform_standin::{BoxAddrs, Setup, Work, free_addrs};
 
 const BOX: &str = "box-s";
@@ -37,8 +37,8 @@
         self.0.get(key)
     }
 
-    fn peek(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
-        self.0.peek(key, limit)
+    fn get_stale(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
+        self.0.get_stale(key, limit)
     }
 
     fn page(&self, prefix: String, after: Option<String>) -> BoxFuture<'_, Result<Page, StoreError>> {
@@ -60,16 +60,16 @@
         })
     }
 
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
-        self.0.grant(ttl)
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
+        self.0.grant_lease(ttl)
     }
 
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
-        self.0.keep(lease)
+    fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
+        self.0.keep_alive(lease)
     }
 
-    fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
-        self.0.end(lease)
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
+        self.0.revoke_lease(lease)
     }
 }
 
@@ -79,9 +79,9 @@
         .expect("the temporary directory can be written");
     let settings = read(&path.to_string_lossy()).expect("the settings can be used").runtime;
     let listener = TcpListener::bind(settings.peers_address).await.expect("its address is free");
-    let (servers, decoder) = (Arc::new(Servers::default()), Arc::new(UsersDecoder));
+    let (servers, decoder) = (Arc::new(Servers::default()), Arc::new(PlatformDecoder));
     let clock = Arc::new(SystemClock::default());
-    RunningBox::start(settings, listener, store, servers, decoder, Beside::default(), clock)
+    RunningBox::start(settings, listener, store, servers, decoder, OptionalServices::default(), clock)
 }
 
 fn earlier_are_known(world: &World) -> bool {
@@ -104,9 +104,9 @@
         let store = LateStore(Store::new(Client::default(), world.platform.store_addr));
         let next = start_in_this_process(&world, &addrs, store).await;
         smol::Timer::after(StdDuration::from_secs(1)).await;
-        let place = oracle.runs_where(job).expect("it runs");
+        let place = oracle.running_on(job).expect("it runs");
         let lost = (0..4).find(|&i| world.platform.server(i).1 == place).expect("it is there");
-        world.platform.lose_server(lost).await;
+        world.platform.crash_server_for_good(lost).await;
         drop(world.boxes.remove(0));
         until("the next one schedules", || async { next.status().schedules_with_fence.is_some() }).await;
         let elected = Instant::now();
--- a/crates/martend/tests/renounced.rs
+++ b/crates/martend/tests/renounced.rs
@@ -18,9 +18,9 @@
 use model::{Duration, Revision};
 use net::{BoxFuture, grpc::Channel as GrpcChannel, http::Client};
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, SystemClock, Transaction, Watched};
-use runtime::{Beside, RunningBox};
+use runtime::{OptionalServices, RunningBox};
 use smol::{channel, net::TcpListener};
-use users_platform::{decode::UsersDecoder, servers::Servers, store::Store};
+use users_platform::{decode::PlatformDecoder, servers::Servers, store::Store};
 use users_platform_standin::{BoxAddrs, Setup, free_addrs};
 use wire::relay::{TermEndedReply, TermEndedRequest, relay_client::RelayClient};
 
@@ -44,8 +44,8 @@
         self.store.get(key)
     }
 
-    fn peek(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
-        self.store.peek(key, limit)
+    fn get_stale(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
+        self.store.get_stale(key, limit)
     }
 
     fn page(&self, prefix: String, after: Option<String>) -> BoxFuture<'_, Result<Page, StoreError>> {
@@ -72,16 +72,16 @@
         })
     }
 
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
-        self.store.grant(ttl)
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
+        self.store.grant_lease(ttl)
     }
 
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
-        self.store.keep(lease)
+    fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
+        self.store.keep_alive(lease)
     }
 
-    fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
-        self.store.end(lease)
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
+        self.store.revoke_lease(lease)
     }
 }
 
@@ -90,9 +90,9 @@
     std::fs::write(&path, world.platform.settings(BOX, addrs, &[])).expect("the temporary directory can be written");
     let settings = read(&path.to_string_lossy()).expect("the settings can be used").runtime;
     let listener = TcpListener::bind(settings.peers_address).await.expect("its address is free");
-    let (servers, decoder) = (Arc::new(Servers::default()), Arc::new(UsersDecoder));
+    let (servers, decoder) = (Arc::new(Servers::default()), Arc::new(PlatformDecoder));
     let clock = Arc::new(SystemClock::default());
-    RunningBox::start(settings, listener, store, servers, decoder, Beside::default(), clock)
+    RunningBox::start(settings, listener, store, servers, decoder, OptionalServices::default(), clock)
 }
 
 /// Asks a box as a later scheduler does.
--- a/crates/martend/tests/soak/faults.rs
+++ b/crates/martend/tests/soak/faults.rs
@@ -160,7 +160,7 @@
         Fault::Evacuate(zone) => {
             world.platform.lock().await.evacuate(zone);
             smol::Timer::after(lasts).await;
-            world.platform.lock().await.take_back(zone);
+            world.platform.lock().await.end_evacuation(zone);
         }
     }
 }
@@ -170,7 +170,7 @@
     loop {
         smol::Timer::after(CRASHES_WITHIN).await;
         let crashing = world.ledger.all().into_iter().filter(|(_, entry)| crashes_servers(&entry.work));
-        for server in crashing.filter_map(|(id, _)| world.oracle.runs_where(id)) {
+        for server in crashing.filter_map(|(id, _)| world.oracle.running_on(id)) {
             let mut platform = world.platform.lock().await;
             if let Some(i) = (0..SERVERS).find(|&i| platform.server(i).1 == server) {
                 world.note(&format!("{server} crashes under a task"));
@@ -197,7 +197,7 @@
     if let Err(what) = left_in_order(&world.boxes[i], told).await
         && !world.may_be_late(i, told.at)
     {
-        world.oracle.found(what);
+        world.oracle.report_violation(what);
     }
     world.boxes[i].lock().await.start(&world.dir);
 }
@@ -221,11 +221,11 @@
 
 /// Watches hear nothing for a second at most, and then what has changed meanwhile is gone.
 async fn forget_history(world: &World, lasts: Duration) {
-    world.platform.lock().await.set_watches_deaf(true);
+    world.platform.lock().await.suppress_watch_events(true);
     smol::Timer::after(lasts.min(Duration::from_secs(1))).await;
     let platform = world.platform.lock().await;
     platform.forget_history();
-    platform.set_watches_deaf(false);
+    platform.suppress_watch_events(false);
 }
 
 async fn set(world: &World, link: Link, mode: Mode) {
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -21,12 +21,12 @@
 use net::{BoxFuture, NetError, http::Client};
 use outside::{Clock, SystemClock};
 use runtime::{
-    Beside, RunningBox,
-    border::{BackendServers, Hold, HoldReply, Machines, PaceOrder, Start, StopReply, Target},
+    OptionalServices, RunningBox,
+    platform::{BackendServers, Heartbeat, HeartbeatReply, Machines, Start, StopReply, Target, ThrottleOrder},
 };
-use scheduler::{Machine, MachineId, StartReply, UpkeepReply};
+use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
-use users_platform::{decode::UsersDecoder, machines::UsersMachines, servers::Servers, store::Store};
+use users_platform::{decode::PlatformDecoder, machines::HttpMachines, servers::Servers, store::Store};
 use users_platform_standin::{Padding, Setup, Work, free_addrs};
 
 const WORK: Work = Work { tasks: 1, accelerators: 1, work_ms: 20_000, gang: false };
@@ -60,11 +60,11 @@
 }
 
 impl BackendServers for Gated {
-    fn hold(&self, target: Target, hold: Hold) -> BoxFuture<'_, Result<HoldReply, NetError>> {
-        if hold.lease.is_some() && self.gate.is_closed() {
+    fn heartbeat(&self, target: Target, heartbeat: Heartbeat) -> BoxFuture<'_, Result<HeartbeatReply, NetError>> {
+        if heartbeat.lease.is_some() && self.gate.is_closed() {
             self.renewed.fetch_add(1, Ordering::SeqCst);
         }
-        self.servers.hold(target, hold)
+        self.servers.heartbeat(target, heartbeat)
     }
 
     fn start(&self, target: Target, start: Start) -> BoxFuture<'_, StartReply> {
@@ -86,18 +86,18 @@
         self.servers.stop(target, fence, task, run)
     }
 
-    fn pace(&self, target: Target, order: PaceOrder) -> BoxFuture<'_, Result<bool, NetError>> {
-        self.servers.pace(target, order)
+    fn throttle(&self, target: Target, order: ThrottleOrder) -> BoxFuture<'_, Result<bool, NetError>> {
+        self.servers.throttle(target, order)
     }
 
-    fn forget(&self, target: &Target) {
-        self.servers.forget(target);
+    fn remove(&self, target: &Target) {
+        self.servers.remove(target);
     }
 }
 
 /// Machines whose list comes once the gate opens.
 struct GatedMachines {
-    machines: UsersMachines,
+    machines: HttpMachines,
     gate: channel::Receiver<()>,
     listed: AtomicUsize,
     begun: AtomicUsize,
@@ -112,9 +112,15 @@
         })
     }
 
-    fn begin_upkeep(&self, machine: MachineId, wave: u64, holder: BoxId, fence: Fence) -> BoxFuture<'_, UpkeepReply> {
+    fn begin_maintenance(
+        &self,
+        machine: MachineId,
+        wave: u64,
+        holder: BoxId,
+        fence: Fence,
+    ) -> BoxFuture<'_, MaintenanceReply> {
         self.begun.fetch_add(1, Ordering::SeqCst);
-        self.machines.begin_upkeep(machine, wave, holder, fence)
+        self.machines.begin_maintenance(machine, wave, holder, fence)
     }
 }
 
@@ -122,7 +128,7 @@
 async fn with_open_jobs() -> World {
     let setup = Setup { servers: 1, key: KEY.to_owned(), ..Setup::default() };
     let mut world = World::start_on(1, &setup).await;
-    world.platform.cut_server(0).await;
+    world.platform.disconnect_server(0).await;
     for id in [1, 2].map(JobId) {
         let answer = world.caller.submit_padded(world.boxes[0].addrs[0], id, WORK, Padding::default()).await;
         assert_eq!(answer.expect("it is answered").status, StatusCode::OK);
@@ -134,7 +140,7 @@
 async fn start_in_this_process(
     world: &World,
     servers: Arc<dyn BackendServers>,
-    beside: Beside,
+    beside: OptionalServices,
     clock: Arc<JumpingClock>,
 ) -> RunningBox {
     let addrs = free_addrs();
@@ -144,7 +150,7 @@
     let settings = read(&path.to_string_lossy()).expect("the settings can be used");
     let listener = TcpListener::bind(settings.runtime.peers_address).await.expect("its address is free");
     let store = Store::new(Client::default(), settings.store_address);
-    RunningBox::start(settings.runtime, listener, store, servers, Arc::new(UsersDecoder), beside, clock)
+    RunningBox::start(settings.runtime, listener, store, servers, Arc::new(PlatformDecoder), beside, clock)
 }
 
 #[test]
@@ -159,7 +165,8 @@
             renewed: AtomicUsize::new(0),
         });
         let clock = Arc::new(JumpingClock::default());
-        let a_box = start_in_this_process(&world, servers.clone(), Beside::default(), Arc::clone(&clock)).await;
+        let a_box =
+            start_in_this_process(&world, servers.clone(), OptionalServices::default(), Arc::clone(&clock)).await;
         world.platform.restore_server(0).await.expect("its address is free");
         let sent = || servers.starts.load(Ordering::SeqCst);
         until("the first start is under way", || async { sent() == 1 }).await;
@@ -180,16 +187,16 @@
     smol::block_on(async {
         let mut world = World::start(1, 1).await;
         world.boxes.clear();
-        world.platform.ask_for_upkeep(1, 1);
+        world.platform.request_maintenance(1, 1);
         let (open, gate) = channel::bounded::<()>(1);
         let machines = Arc::new(GatedMachines {
-            machines: UsersMachines::new(Client::default(), world.platform.machines_addr),
+            machines: HttpMachines::new(Client::default(), world.platform.machines_addr),
             gate,
             listed: AtomicUsize::new(0),
             begun: AtomicUsize::new(0),
         });
         let clock = Arc::new(JumpingClock::default());
-        let beside = Beside { machines: Some(machines.clone()), ..Beside::default() };
+        let beside = OptionalServices { machines: Some(machines.clone()), ..OptionalServices::default() };
         let a_box = start_in_this_process(&world, Arc::new(Servers::default()), beside, Arc::clone(&clock)).await;
         until("the machines are asked for", || async { machines.listed.load(Ordering::SeqCst) == 1 }).await;
         world.platform.set_store_down(true);
--- a/crates/runtime/src/directory.rs
+++ b/crates/runtime/src/directory.rs
@@ -1,8 +1,8 @@
-//! Keeps the scheduler's backend servers as the platform lists them.
+//! Follows the platform's list of backend servers and passes it on to the scheduler.
 //!
-//! The list may name several lives at one address: a crashed one is listed for some heartbeats more, and what it has
-//! written may come late, after the next life is at work. So the list tells only whom to call; who answers there tells
-//! which life it is ([`crate::link_worker`]).
+//! The list may name several incarnations at one address: a crashed one stays listed for some heartbeats, and its last
+//! entry may arrive after the next incarnation has started. So the list decides only which addresses are called; the
+//! response shows which incarnation is there ([`crate::link_worker`]).
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,76 +14,76 @@
 
 use crate::{
     active::Active,
-    border::{DecodeError, ListedServer},
-    follow::{Seen, WatchPace, follow},
-    parts::Parts,
+    context::Context,
+    follow::{PrefixUpdate, WatchTiming, follow},
+    platform::{DecodeError, ListedServer},
 };
 
-/// How backend servers are watched. Each writes its entry every second or two, so that without a rest a watch would bring one change at a
-/// time. The rest is short beside the time that a drain is told ahead.
-const WATCH: WatchPace = WatchPace { wait: Duration::from_secs(2), rest: Duration::from_millis(100) };
+/// Timing of the watch. Each backend server writes its entry every second or two, so without a pause each watch would
+/// return a single change. The pause is short compared with the notice that is given before a drain.
+const WATCH: WatchTiming = WatchTiming { wait: Duration::from_secs(2), cooldown: Duration::from_millis(100) };
 
-/// The backend servers that are listed, as they were last told of.
+/// The listed backend servers with their latest entries.
 ///
-/// Each tells of itself every second or two, mostly without news: 2,000 entries a second at 3,000 backend servers, which the
-/// scheduler need not hear of.
+/// Each writes its entry every second or two, mostly unchanged. At 3,000 backend servers that is 2,000 entries a
+/// second, which are filtered out here before they reach the scheduler.
 type Listed = HashMap<BackendServerId, ListedServer>;
 
-/// Follows the platform's list of backend servers.
-pub(crate) async fn follow_servers(parts: Parts, active: Arc<Active>) {
-    let prefix = parts.decoder.servers_prefix();
+/// Follows the platform's list of backend servers until it is dropped.
+pub(crate) async fn follow_servers(cx: Context, active: Arc<Active>) {
+    let prefix = cx.decoder.servers_prefix();
     let mut listed = Listed::new();
-    let on = |seen: Seen| match seen {
-        Seen::All(items) => take_all(&parts, &active, &mut listed, &items),
-        Seen::Changes(changes) => {
+    let on_update = |update: PrefixUpdate| match update {
+        PrefixUpdate::All(items) => apply_all(&cx, &active, &mut listed, &items),
+        PrefixUpdate::Changes(changes) => {
             for change in &changes {
                 match change {
                     Change::Put(item) => {
-                        if take(&parts, &active, &mut listed, item) {
-                            tell_new(&parts, &listed, item);
+                        if apply_entry(&cx, &active, &mut listed, item) {
+                            log_listed(&cx, &listed, item);
                         }
                     }
-                    Change::Removed { key } => remove(&parts, &active, &mut listed, key),
+                    Change::Removed { key } => remove(&cx, &active, &mut listed, key),
                 }
             }
         }
     };
-    follow(&*parts.store, &parts.view, &prefix, None, WATCH, on).await;
+    follow(&*cx.store, &cx.view, &prefix, None, WATCH, on_update).await;
 }
 
-fn take_all(parts: &Parts, active: &Arc<Active>, listed: &mut Listed, items: &[Item]) {
-    let there: HashSet<BackendServerId> =
-        items.iter().filter_map(|item| parts.decoder.server_of_key(&item.key)).collect();
-    // What runs is heard of first.
+fn apply_all(cx: &Context, active: &Arc<Active>, listed: &mut Listed, items: &[Item]) {
+    let current: HashSet<BackendServerId> =
+        items.iter().filter_map(|item| cx.decoder.server_of_key(&item.key)).collect();
+    // Backend servers with runs come first.
     let busy = |item: &&Item| {
-        let id = parts.decoder.server_of_key(&item.key);
+        let id = cx.decoder.server_of_key(&item.key);
         id.is_some_and(|id| active.lock().is_busy(&id))
     };
     let (first, mut rest): (Vec<&Item>, Vec<&Item>) = items.iter().partition(busy);
-    if !active.links.has_room_for(items.len()) {
-        // Whole racks, of which a gang may ask for one.
-        rest.sort_by_cached_key(|item| parts.decoder.server(item).map(|server| server.info.rack).ok());
+    if !active.links.has_capacity_for(items.len()) {
+        // Whole racks, since a gang may need a rack.
+        rest.sort_by_cached_key(|item| cx.decoder.server(item).map(|server| server.info.rack).ok());
         log::warn!("event=carries_a_part fence={} listed={}", active.fence, items.len());
     }
     for item in first.into_iter().chain(rest) {
-        take(parts, active, listed, item);
+        apply_entry(cx, active, listed, item);
     }
-    let gone: Vec<BackendServerId> = listed.keys().filter(|id| !there.contains(id)).cloned().collect();
-    for id in gone {
+    let removed: Vec<BackendServerId> = listed.keys().filter(|id| !current.contains(id)).cloned().collect();
+    for id in removed {
         listed.remove(&id);
-        unlist(parts, active, &id);
+        unlist(cx, active, &id);
     }
 }
 
-/// Returns whether the entry names a backend server that was not listed before.
-fn take(parts: &Parts, active: &Arc<Active>, listed: &mut Listed, item: &Item) -> bool {
-    match read(parts, listed, item) {
+/// Applies an entry. Returns whether it names a backend server that was not listed before.
+fn apply_entry(cx: &Context, active: &Arc<Active>, listed: &mut Listed, item: &Item) -> bool {
+    match decode_entry(cx, listed, item) {
         Ok(server) => {
             let id = server.target.id.clone();
             if listed.get(&id) == Some(&server) && (active.links.is_open(&id) || !may_open(active, &id)) {
                 return false;
             }
-            take_server(parts, active, server.clone());
+            apply_server(cx, active, server.clone());
             listed.insert(id, server).is_none()
         }
         Err(e) => {
@@ -93,29 +93,29 @@
     }
 }
 
-fn tell_new(parts: &Parts, listed: &Listed, item: &Item) {
-    let server = parts.decoder.server_of_key(&item.key).and_then(|id| listed.get(&id));
+fn log_listed(cx: &Context, listed: &Listed, item: &Item) {
+    let server = cx.decoder.server_of_key(&item.key).and_then(|id| listed.get(&id));
     if let Some(ListedServer { target, .. }) = server {
         let incarnation = target.incarnation.map(|incarnation| incarnation.to_string()).unwrap_or_default();
         log::info!("server={} event=listed incarnation={incarnation}", target.id);
     }
 }
 
-/// Reads an entry, unless it comes from another writer: that one names no backend server, and above all none that
-/// would have taken the place of another one at its address.
-fn read(parts: &Parts, listed: &Listed, item: &Item) -> Result<ListedServer, DecodeError> {
-    let server = parts.decoder.server(item)?;
+/// Decodes an entry. Rejects entries of other writers, which name no configured service: they are no backend servers,
+/// and above all must not replace another one at its address.
+fn decode_entry(cx: &Context, listed: &Listed, item: &Item) -> Result<ListedServer, DecodeError> {
+    let server = cx.decoder.server(item)?;
     let service = &server.info.service;
-    let known = listed.get(&server.target.id).is_some_and(|known| known.info.service == *service);
-    let configured = || parts.view.configuration().is_some_and(|known| known.services.contains(service));
-    if known || configured() {
+    let is_known = listed.get(&server.target.id).is_some_and(|entry| entry.info.service == *service);
+    let is_configured = || cx.view.configuration().is_some_and(|current| current.services.contains(service));
+    if is_known || is_configured() {
         return Ok(server);
     }
     Err(DecodeError { key: item.key.clone(), why: format!("no configuration names the service {service}") })
 }
 
-fn take_server(parts: &Parts, active: &Arc<Active>, server: ListedServer) {
-    let now = parts.view.clock().now();
+fn apply_server(cx: &Context, active: &Arc<Active>, server: ListedServer) {
+    let now = cx.view.clock().now();
     let ListedServer { target, info } = server;
     active.update(|scheduler| scheduler.server_listed(target.id.clone(), info, now));
     if may_open(active, &target.id) {
@@ -123,20 +123,20 @@
     }
 }
 
-/// Whether a backend server may have a link: what it runs must be renewed, however many the box carries.
+/// Whether a backend server may have a link. Those with runs need one for renewals, whatever the capacity of the box.
 fn may_open(active: &Active, id: &BackendServerId) -> bool {
-    active.links.has_room() || active.lock().is_busy(id)
+    active.links.has_capacity() || active.lock().is_busy(id)
 }
 
-fn remove(parts: &Parts, active: &Arc<Active>, listed: &mut Listed, key: &str) {
-    if let Some(id) = parts.decoder.server_of_key(key) {
+fn remove(cx: &Context, active: &Arc<Active>, listed: &mut Listed, key: &str) {
+    if let Some(id) = cx.decoder.server_of_key(key) {
         listed.remove(&id);
-        unlist(parts, active, &id);
+        unlist(cx, active, &id);
     }
 }
 
-fn unlist(parts: &Parts, active: &Arc<Active>, id: &BackendServerId) {
+fn unlist(cx: &Context, active: &Arc<Active>, id: &BackendServerId) {
     log::info!("server={id} event=unlisted");
-    let now = parts.view.clock().now();
+    let now = cx.view.clock().now();
     active.update(|scheduler| scheduler.server_unlisted(id, now));
 }
--- a/crates/runtime/src/follow.rs
+++ b/crates/runtime/src/follow.rs
@@ -1,28 +1,28 @@
-//! Follows a prefix of the store: reads it, watches it, and reads it again when history is lost.
+//! Follows a prefix of the store: reads it, watches it, and reads it again when the watch has lost history.
 
 use model::{Duration, Revision};
 use outside::{Change, CoordinationStore, Item, StoreError, Watched};
 
 use crate::{
-    pages,
+    paged_reads,
+    timers::{Backoff, pause},
     view::View,
-    wait::{Backoff, pause},
 };
 
-/// What is seen of a prefix.
-pub(crate) enum Seen {
-    /// All that there is.
+/// An update of a prefix.
+pub(crate) enum PrefixUpdate {
+    /// The complete current content.
     All(Vec<Item>),
-    /// What has changed, in order.
+    /// The changes since the last update, in order.
     Changes(Vec<Change>),
 }
 
-impl Seen {
-    /// The items that are there or were written, in order; without what was removed.
+impl PrefixUpdate {
+    /// Returns the items that exist or were written, in order, without removals.
     pub(crate) fn written(self) -> Vec<Item> {
         let changes = match self {
-            Seen::All(items) => return items,
-            Seen::Changes(changes) => changes,
+            PrefixUpdate::All(items) => return items,
+            PrefixUpdate::Changes(changes) => changes,
         };
         let written = |change| match change {
             Change::Put(item) => Some(item),
@@ -32,65 +32,66 @@
     }
 }
 
-/// How a prefix is watched.
+/// Timing of the watch of a prefix.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct WatchPace {
-    /// A watch waits at most this long for a change.
+pub(crate) struct WatchTiming {
+    /// Longest wait of a watch for a change.
     pub(crate) wait: Duration,
-    /// From one answer to the next watch: what changes meanwhile comes in one answer, which costs one call.
-    pub(crate) rest: Duration,
+    /// Pause between a response and the next watch. Changes made meanwhile are returned together, in one call.
+    pub(crate) cooldown: Duration,
 }
 
-impl WatchPace {
-    /// Every change is told at once.
-    pub(crate) fn at_once(wait: Duration) -> WatchPace {
-        WatchPace { wait, rest: Duration::ZERO }
+impl WatchTiming {
+    /// Returns the timing that reports each change at once.
+    pub(crate) fn immediate(wait: Duration) -> WatchTiming {
+        WatchTiming { wait, cooldown: Duration::ZERO }
     }
 }
 
-/// Tells `on` everything about a prefix, until it is dropped. Nothing is read at first if `from` tells up to where the
-/// prefix is known.
+/// Follows a prefix until it is dropped, and passes all updates to `on`. The prefix is not read at first if `from`
+/// gives the revision up to which it is known.
 pub(crate) async fn follow(
     store: &dyn CoordinationStore,
     view: &View,
     prefix: &str,
     from: Option<Revision>,
-    pace: WatchPace,
-    mut on: impl FnMut(Seen),
+    timing: WatchTiming,
+    mut on_update: impl FnMut(PrefixUpdate),
 ) {
-    let mut follower = Follower { from, backoff: Backoff::new() };
+    let mut watcher = PrefixWatcher { from, backoff: Backoff::new() };
     loop {
-        follower.step(store, view, prefix, pace, &mut on).await;
+        watcher.step(store, view, prefix, timing, &mut on_update).await;
     }
 }
 
-/// Up to where a prefix is known.
-pub(crate) struct Follower {
-    /// `None` if it has to be read.
+/// A watcher of a prefix, with the revision up to which the prefix is known.
+pub(crate) struct PrefixWatcher {
+    /// Revision to watch from; `None` if the prefix has to be read.
     pub(crate) from: Option<Revision>,
     pub(crate) backoff: Backoff,
 }
 
-impl Follower {
-    /// Reads the prefix, or watches it once, and tells `on` what is news. Returns whether the store has answered; if not, there was a pause.
+impl PrefixWatcher {
+    /// Reads the prefix, or watches it once, and passes updates to `on`. Returns whether the store has responded; if
+    /// not, the call has paused.
     pub(crate) async fn step(
         &mut self,
         store: &dyn CoordinationStore,
         view: &View,
         prefix: &str,
-        WatchPace { wait, rest }: WatchPace,
-        on: &mut impl FnMut(Seen),
+        WatchTiming { wait, cooldown }: WatchTiming,
+        on_update: &mut impl FnMut(PrefixUpdate),
     ) -> bool {
         let result = match self.from {
-            None => Ok(Some(read(store, view, prefix, on).await)),
-            Some(at) => view.unless_back(watch(store, prefix, at, wait, on)).await,
+            None => Ok(Some(read(store, view, prefix, on_update).await)),
+            Some(at) => view.abandon_on_reconnect(watch(store, prefix, at, wait, on_update)).await,
         };
         match result {
             Ok(at) => {
-                view.store_answered();
+                view.record_store_response();
                 self.backoff.reset();
                 self.from = at;
-                pause(rest).await;
+                pause(cooldown).await;
                 true
             }
             Err(e) => {
@@ -102,9 +103,14 @@
     }
 }
 
-async fn read(store: &dyn CoordinationStore, view: &View, prefix: &str, on: &mut impl FnMut(Seen)) -> Revision {
-    let snapshot = pages::read_all(store, view, prefix).await;
-    on(Seen::All(snapshot.items));
+async fn read(
+    store: &dyn CoordinationStore,
+    view: &View,
+    prefix: &str,
+    on_update: &mut impl FnMut(PrefixUpdate),
+) -> Revision {
+    let snapshot = paged_reads::read_all(store, view, prefix).await;
+    on_update(PrefixUpdate::All(snapshot.items));
     snapshot.at
 }
 
@@ -113,16 +119,16 @@
     prefix: &str,
     at: Revision,
     wait: Duration,
-    on: &mut impl FnMut(Seen),
+    on_update: &mut impl FnMut(PrefixUpdate),
 ) -> Result<Option<Revision>, StoreError> {
     match store.watch(prefix.to_owned(), at, wait).await? {
         Watched::Changes { changes, at } => {
             if !changes.is_empty() {
-                on(Seen::Changes(changes));
+                on_update(PrefixUpdate::Changes(changes));
             }
             Ok(Some(at))
         }
-        Watched::Forgotten => {
+        Watched::Compacted => {
             log::info!("event=history_lost prefix={prefix} at={at}");
             Ok(None)
         }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,47 +1,46 @@
-//! What a box does on a platform that keeps its state: it takes callers' requests, follows the
-//! configuration, and schedules while it is elected.
+//! Runs a box: takes callers' requests, follows the configuration, and schedules while the box is elected.
 //!
-//! Every box can take every request, since a job is accepted once the store holds it. The elected
-//! scheduler finds new jobs in the store. All I/O to the outside goes through the traits of
-//! [`border`], so that this crate knows no platform's protocol.
+//! Every box accepts every request, because a job counts as accepted once the store holds it; the elected scheduler
+//! finds new jobs in the store. All calls to external systems go through the traits of [`platform`] and of the crate
+//! `outside`, so this crate depends on no platform's protocol.
 
 mod active;
 pub mod addresses;
-mod advice;
-pub mod answer_time;
-pub mod border;
+pub mod box_capacity;
 mod box_list;
-pub mod carrying;
 mod cleaner;
 mod configuration;
 mod configuration_watch;
+mod context;
 mod directory;
 mod election;
-mod evacuated;
 mod evacuation;
+mod evacuation_revisions;
 mod follow;
-mod intake;
 mod keys;
 mod leader;
 mod link_worker;
 mod links;
-mod measure;
+mod maintenance;
 mod outcome;
-mod pages;
-mod parts;
+mod paged_reads;
+mod permits;
+pub mod platform;
 mod predecessors;
 mod probe;
 mod relay;
 pub mod relay_boxes;
+mod relay_messages;
 mod relay_service;
-mod relay_words;
 mod requests;
 mod running_box;
 mod settings;
-mod unreached;
-mod upkeep;
+mod submissions;
+mod telemetry;
+pub mod timeout_estimator;
+mod timers;
+mod unreachable;
 mod view;
-mod wait;
 mod witnesses;
 mod writer;
 
@@ -50,7 +49,7 @@
     evacuation::EvacuationOutcome,
     outcome::{CancelOutcome, StateOutcome, SubmitOutcome},
     requests::Requests,
-    running_box::{Beside, RunningBox, Status},
+    running_box::{OptionalServices, RunningBox, Status},
     settings::Settings,
     view::View,
 };
--- a/crates/runtime/src/relay_service.rs
+++ b/crates/runtime/src/relay_service.rs
@@ -1,4 +1,4 @@
-//! Answers to other boxes' calls.
+//! Server side of the calls between boxes.
 
 use std::sync::Arc;
 
@@ -10,18 +10,18 @@
 use crate::{
     Configuration,
     active::ActiveSlot,
-    outcome::{StateOutcome, Taken},
+    outcome::{StateOutcome, StoredRequest},
     requests::Requests,
     view::View,
 };
 
-/// A box vouches for its configuration if its own watch of the store has been answered within this: the longest wait
-/// of that watch, and a slow store's answer.
-const CONFIRMED_WITHIN: Duration = Duration::from_millis(3000);
-/// Who waits for a configuration is told within this that the store is not reached any more.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// Maximum age of the latest confirmation by the store for a box to confirm its configuration to others: the longest
+/// wait of its watch, plus the response time of a slow store.
+const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(3000);
+/// Interval at which a pending request for a configuration checks that the store is still reachable.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Answers other boxes.
+/// Handler of calls from other boxes.
 #[derive(Clone)]
 pub(crate) struct RelayService {
     pub(crate) requests: Arc<Requests>,
@@ -36,7 +36,7 @@
         let req = req.into_inner();
         let job: Job = serde_json::from_slice(&req.job).map_err(|e| Status::invalid_argument(e.to_string()))?;
         let outcome: submit_reply::Outcome =
-            self.requests.submit_here(&job, Duration::from_millis(req.limit_ms)).await.into();
+            self.requests.submit_to_store(&job, Duration::from_millis(req.limit_ms)).await.into();
         Ok(Response::new(relay::SubmitReply { outcome: outcome.into() }))
     }
 
@@ -44,7 +44,7 @@
         let req = req.into_inner();
         let (id, customer) = (parse(&req.job)?, customer(&req.customer)?);
         let limit = Duration::from_millis(req.limit_ms);
-        let outcome: cancel_reply::Outcome = self.requests.cancel_here(id, customer.as_ref(), limit).await.into();
+        let outcome: cancel_reply::Outcome = self.requests.cancel_in_store(id, customer.as_ref(), limit).await.into();
         Ok(Response::new(relay::CancelReply { outcome: outcome.into() }))
     }
 
@@ -72,7 +72,7 @@
     ) -> Result<Response<relay::ConfigurationReply>, Status> {
         let req = req.into_inner();
         let wait = Duration::from_millis(req.wait_ms);
-        if wait > Duration::ZERO && !self.view.is_configuration_confirmed(CONFIRMED_WITHIN) {
+        if wait > Duration::ZERO && !self.view.is_configuration_confirmed(MAX_CONFIRMATION_AGE) {
             return Err(Status::unavailable("this box does not follow the configuration in the store"));
         }
         let newer = self.newer_configuration(req.above, wait).await?;
@@ -87,12 +87,12 @@
         let req = req.into_inner();
         let taken = match req.what {
             Some(What::Job(job)) => {
-                Taken::Job(serde_json::from_slice(&job).map_err(|e| Status::invalid_argument(e.to_string()))?)
+                StoredRequest::Job(serde_json::from_slice(&job).map_err(|e| Status::invalid_argument(e.to_string()))?)
             }
-            Some(What::Cancelled(id)) => Taken::Cancelled(parse(&id)?),
+            Some(What::Cancelled(id)) => StoredRequest::Cancelled(parse(&id)?),
             None => return Err(Status::invalid_argument("what: allowed are job and cancelled")),
         };
-        self.requests.take(&taken, Revision(req.revision));
+        self.requests.apply_stored(&taken, Revision(req.revision));
         Ok(Response::new(relay::TakenReply {}))
     }
 
@@ -105,29 +105,29 @@
             return Err(Status::not_found(format!("this is the box {}", self.box_id)));
         }
         let fence = Fence(req.fence);
-        // Who asks was elected later.
+        // The caller was elected later.
         if let Some(active) = self.active.get().filter(|active| active.fence == fence)
-            && active.depose()
+            && active.lose_leadership()
         {
             log::info!("event=deposed fence={fence} why=asked_by_successor");
         }
-        let since = self.view.renounce_term(fence);
+        let since = self.view.step_down(fence);
         let reply = relay::TermEndedReply { ended: since.is_some(), since_ms: since.map_or(0, |since| since.millis()) };
         Ok(Response::new(reply))
     }
 }
 
 impl RelayService {
-    /// A configuration above a version, if there comes one within `wait` while the store is reached.
+    /// Waits for a configuration above a version, for at most `wait`. Returns an error once the store is unreachable.
     async fn newer_configuration(&self, above: u64, wait: Duration) -> Result<Option<Arc<Configuration>>, Status> {
         let until = self.view.clock().now() + wait;
         loop {
-            if !self.view.reaches_store() {
+            if !self.view.is_store_reachable() {
                 return Err(Status::unavailable("this box does not reach the store"));
             }
-            let left = until.since(self.view.clock().now());
-            let newer = self.view.configuration_above(above, left.min(LOOK_EVERY)).await;
-            if newer.is_some() || left == Duration::ZERO {
+            let remaining = until.since(self.view.clock().now());
+            let newer = self.view.configuration_above(above, remaining.min(CHECK_INTERVAL)).await;
+            if newer.is_some() || remaining == Duration::ZERO {
                 return Ok(newer);
             }
         }
@@ -138,7 +138,7 @@
     text.parse().map_err(|e: T::Err| Status::invalid_argument(e.to_string()))
 }
 
-/// An empty text names no customer.
+/// Parses a customer; an empty text stands for none.
 fn customer(text: &str) -> Result<Option<CustomerId>, Status> {
     if text.is_empty() { Ok(None) } else { parse(text).map(Some) }
 }
--- a/crates/runtime/src/measure.rs
+++ b/crates/runtime/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics of a box: what jobs wait and take, and how calls to the outside go.
+//! Metrics of a box: waiting and completion times of jobs, and calls to external systems.
 
 use std::time::Instant;
 
@@ -8,13 +8,13 @@
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, Transaction, Watched};
 use scheduler::Observation;
 
-use crate::wait::pause;
+use crate::timers::pause;
 
-/// How often the box that schedules tells its traffic.
-const TELL_TRAFFIC_EVERY: Duration = Duration::from_secs(10);
+/// Interval at which the scheduling box logs its traffic.
+const TRAFFIC_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Counts what the scheduler has seen.
-pub(crate) fn observe(observations: Vec<Observation>) {
+/// Records the observations of the scheduler as metrics.
+pub(crate) fn record_observations(observations: Vec<Observation>) {
     for observation in observations {
         match observation {
             Observation::Started { customer, queue, after } => {
@@ -33,17 +33,17 @@
             Observation::Stopped { why } => {
                 metrics::counter!("martenscale_runs_stopped_total", "why" => why).increment(1);
             }
-            Observation::ServerGone { announced } => {
+            Observation::ServerEnded { announced } => {
                 let announced = announced.to_string();
                 metrics::counter!("martenscale_servers_gone_total", "announced" => announced).increment(1);
             }
-            Observation::CrashedUnder { early } => {
+            Observation::CrashedUnderTask { early } => {
                 metrics::counter!("martenscale_crashes_under_tasks_total", "early" => early.to_string()).increment(1);
             }
-            Observation::GivenUp { why } => {
+            Observation::TaskAbandoned { why } => {
                 metrics::counter!("martenscale_tasks_given_up_total", "why" => why).increment(1);
             }
-            Observation::EndKnown => {
+            Observation::CompletionRedelivered => {
                 metrics::counter!("martenscale_ends_known_total").increment(1);
             }
             Observation::RunLost { why } => {
@@ -58,38 +58,38 @@
     [("customer", customer), ("queue", queue.to_string())]
 }
 
-/// Records what a new scheduler had to read before it could schedule.
-pub(crate) fn restored(took: Duration, pages: usize, bytes: usize) {
-    metrics::histogram!("martenscale_restore_seconds").record(took.secs_f64());
+/// Records the size and the duration of the restore of a new scheduler.
+pub(crate) fn record_restore(duration: Duration, pages: usize, bytes: usize) {
+    metrics::histogram!("martenscale_restore_seconds").record(duration.secs_f64());
     metrics::counter!("martenscale_restore_pages_total").increment(pages as u64);
     metrics::counter!("martenscale_restore_bytes_total").increment(bytes as u64);
 }
 
 /// Counts the outcome of a caller's request.
-pub(crate) fn request(kind: &'static str, outcome: &impl std::fmt::Debug) {
+pub(crate) fn count_request(kind: &'static str, outcome: &impl std::fmt::Debug) {
     let outcome = format!("{outcome:?}");
     metrics::counter!("martenscale_requests_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
 /// Counts the outcome of a call to a backend server.
-pub(crate) fn server_call(kind: &'static str, outcome: &'static str) {
+pub(crate) fn count_server_call(kind: &'static str, outcome: &'static str) {
     metrics::counter!("martenscale_server_calls_total", "kind" => kind, "outcome" => outcome).increment(1);
 }
 
-/// Counts a call of which only matters whether it was answered.
-pub(crate) fn server_answer<T, E>(kind: &'static str, reply: &Result<T, E>) {
-    server_call(kind, if reply.is_ok() { "answered" } else { "lost" });
+/// Counts a call by whether there was a response.
+pub(crate) fn count_server_reply<T, E>(kind: &'static str, reply: &Result<T, E>) {
+    count_server_call(kind, if reply.is_ok() { "answered" } else { "lost" });
 }
 
-/// Tells what the box that schedules has sent and received, for as long as it does.
-pub(crate) async fn tell_traffic(fence: Fence) {
+/// Logs the traffic of the scheduling box, until it is dropped.
+pub(crate) async fn log_traffic(fence: Fence) {
     loop {
         log::info!("event=traffic fence={fence} {AllTraffic}");
-        pause(TELL_TRAFFIC_EVERY).await;
+        pause(TRAFFIC_LOG_INTERVAL).await;
     }
 }
 
-/// Publishes what this process has sent and received.
+/// Publishes the traffic of this process as metrics.
 pub(crate) fn count_traffic() {
     for purpose in Purpose::ALL {
         let traffic = purpose.traffic();
@@ -103,7 +103,7 @@
 pub(crate) struct MeasuredStore<S>(pub(crate) S);
 
 async fn measured<T>(kind: &'static str, call: impl Future<Output = Result<T, StoreError>>) -> Result<T, StoreError> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let result = call.await;
     let outcome = match &result {
         Ok(_) => "answered",
@@ -112,7 +112,7 @@
     };
     metrics::counter!("martenscale_store_calls_total", "kind" => kind, "outcome" => outcome).increment(1);
     if kind != "watch" {
-        metrics::histogram!("martenscale_store_call_seconds", "kind" => kind).record(begun.elapsed().as_secs_f64());
+        metrics::histogram!("martenscale_store_call_seconds", "kind" => kind).record(started.elapsed().as_secs_f64());
     }
     result
 }
@@ -122,8 +122,8 @@
         Box::pin(measured("get", self.0.get(key)))
     }
 
-    fn peek(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
-        Box::pin(measured("peek", self.0.peek(key, limit)))
+    fn get_stale(&self, key: String, limit: Duration) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
+        Box::pin(measured("peek", self.0.get_stale(key, limit)))
     }
 
     fn page(&self, prefix: String, after: Option<String>) -> BoxFuture<'_, Result<Page, StoreError>> {
@@ -138,15 +138,15 @@
         Box::pin(measured("commit", self.0.commit(transaction, limit)))
     }
 
-    fn grant(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
-        Box::pin(measured("grant", self.0.grant(ttl)))
+    fn grant_lease(&self, ttl: Duration) -> BoxFuture<'_, Result<LeaseId, StoreError>> {
+        Box::pin(measured("grant", self.0.grant_lease(ttl)))
     }
 
-    fn keep(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
-        Box::pin(measured("keep", self.0.keep(lease)))
+    fn keep_alive(&self, lease: LeaseId) -> BoxFuture<'_, Result<bool, StoreError>> {
+        Box::pin(measured("keep", self.0.keep_alive(lease)))
     }
 
-    fn end(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
-        Box::pin(measured("end", self.0.end(lease)))
+    fn revoke_lease(&self, lease: LeaseId) -> BoxFuture<'_, Result<(), StoreError>> {
+        Box::pin(measured("end", self.0.revoke_lease(lease)))
     }
 }
--- a/crates/scheduler/src/check.rs
+++ b/crates/scheduler/src/check.rs
@@ -1,38 +1,43 @@
-//! Checks that what is kept from event to event is what working it out anew gives. For tests, which ask after each step.
+//! Consistency checks for tests: state that is updated incrementally must equal the same state computed anew.
 
 use model::Moment;
 
-use crate::{Scheduler, rooms::Rooms};
+use crate::{Scheduler, fleet_capacity::FleetCapacity};
 
 impl Scheduler {
-    /// Tells of a difference, which is a fault of the scheduler.
+    /// Checks the state after an event. Returns a description of the first difference, which is a fault of the
+    /// scheduler.
     pub fn check_kept(&mut self, now: Moment) -> Result<(), String> {
-        self.check_rooms(now)?;
-        self.check_trials()?;
+        self.check_capacity(now)?;
+        self.check_isolated_retries()?;
         self.check_acknowledged()
     }
 
-    fn check_trials(&self) -> Result<(), String> {
-        match self.servers.keys().find(|id| self.trials.get(*id).copied() != self.trial_on(id)) {
-            Some(id) => Err(format!("{id}: kept trial: {:?}, anew: {:?}", self.trials.get(id), self.trial_on(id))),
+    fn check_isolated_retries(&self) -> Result<(), String> {
+        match self.servers.keys().find(|id| self.isolated_retries.get(*id).copied() != self.isolated_retry_on(id)) {
+            Some(id) => Err(format!(
+                "{id}: isolated retry: kept {:?}, recomputed {:?}",
+                self.isolated_retries.get(id),
+                self.isolated_retry_on(id)
+            )),
             None => Ok(()),
         }
     }
 
-    fn check_rooms(&mut self, now: Moment) -> Result<(), String> {
-        self.refresh_rooms(now);
-        let mut anew = Rooms::default();
+    fn check_capacity(&mut self, now: Moment) -> Result<(), String> {
+        self.refresh_capacity(now);
+        let mut recomputed = FleetCapacity::default();
         for id in self.servers.keys() {
-            anew.set(id, self.room(id, now));
+            recomputed.set(id, self.server_capacity(id, now));
         }
-        self.rooms.check_same(&anew)
+        self.fleet.check_same(&recomputed)
     }
 
-    /// Every end that waits is one that the store does not hold yet, or stands behind one.
+    /// Checks that each completion that waits is not stored yet, or is behind one that is not.
     fn check_acknowledged(&mut self) -> Result<(), String> {
         for id in self.servers.keys().cloned().collect::<Vec<_>>() {
             if self.acknowledge_stored(&id) {
-                return Err(format!("{id}: an end is stored and was not acknowledged"));
+                return Err(format!("{id}: a completion is stored and was not released for acknowledgement"));
             }
         }
         Ok(())
--- a/crates/scheduler/src/contact.rs
+++ b/crates/scheduler/src/contact.rs
@@ -1,76 +1,78 @@
-//! Backend servers come and go, are sent leases, and fall silent.
+//! Contact with backend servers: listed and unlisted, leases granted, calls failed.
 
 use model::{BackendServerId, Duration, Moment};
 
 use crate::{
     Scheduler,
-    live::StopReason,
-    observe::Observation,
+    observations::Observation,
+    run_state::StopReason,
     server::{Server, ServerInfo},
 };
 
-/// How a backend server left a call without an answer.
+/// How a call to a backend server failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unanswered {
-    /// Nothing listens at its address any more, or the network says so.
+pub enum CallFailure {
+    /// The connection was refused, by the address or by the network.
     Refused,
-    /// Anything else.
-    Silent,
+    /// No response, for any other reason.
+    NoResponse,
 }
 
 impl Scheduler {
-    /// The platform lists a backend server, or its account of itself has changed.
+    /// Handles a backend server that the platform lists, new or with a changed description.
     pub fn server_listed(&mut self, id: BackendServerId, info: ServerInfo, now: Moment) {
-        let earlier = self.earlier_leases_over(&id);
+        let earlier_expiry = self.earlier_lease_expiry(&id);
         let draining = info.draining;
-        self.evacuations.note_zone(&info.availability_zone);
-        let evacuated = self.evacuations.holds(&info.availability_zone);
-        self.servers.entry(id.clone()).or_insert_with(|| Server::new(None, earlier));
+        self.evacuations.record_zone(&info.availability_zone);
+        let evacuated = self.evacuations.is_evacuated(&info.availability_zone);
+        self.servers.entry(id.clone()).or_insert_with(|| Server::new(None, earlier_expiry));
         let server = self.server_mut(&id).expect("it was just added");
         let was_draining = server.info.as_ref().is_some_and(|old| old.draining);
-        server.take_info(info);
+        server.update_info(info);
         server.evacuated = evacuated;
-        self.plan_wanted = true;
-        self.give_up_unordered(&id, now);
+        self.plan_requested = true;
+        self.stop_unordered_if_shrunk(&id, now);
         if draining && !was_draining {
             log::info!("server={id} event=draining fence={}", self.fence);
-            self.leave_in_time(&id, now);
+            self.stop_before_departure(&id, now);
         }
     }
 
-    /// What was placed on a backend server that has shrunk below it, and was not ordered, is placed anew.
-    fn give_up_unordered(&mut self, id: &BackendServerId, now: Moment) {
+    /// Stops runs that were placed on a backend server and not ordered yet, if its capacity has shrunk below what is
+    /// placed there. They are then placed anew.
+    fn stop_unordered_if_shrunk(&mut self, id: &BackendServerId, now: Moment) {
         if self.servers.get(id).is_some_and(Server::is_over_capacity) {
-            self.stop_unordered(id, StopReason::ServerShrunk, now);
+            self.stop_unsent(id, StopReason::ServerShrunk, now);
         }
     }
 
-    /// The platform no longer lists a backend server. It may run on: unless it has left, its runs are over only when
-    /// its leases are.
+    /// Handles a backend server that the platform no longer lists. Unless it has shut down, it may keep running: its
+    /// runs have ended only when its leases have expired.
     pub fn server_unlisted(&mut self, id: &BackendServerId, now: Moment) {
         if let Some(server) = self.server_mut(id) {
             server.listed = false;
-            server.silence.unlisted = Some(now);
+            server.contact.unlisted_at = Some(now);
         }
-        self.look_whether_left(id, now);
+        self.check_departure(id, now);
     }
 
-    /// A backend server's life is over: another life answers in its place, under another id.
-    pub fn server_gone(&mut self, id: &BackendServerId, now: Moment) {
+    /// Ends a backend server: its process has ended, or another incarnation responds at its address under another id.
+    pub fn server_ended(&mut self, id: &BackendServerId, now: Moment) {
         self.charge_lapsed(id, now);
         if self.servers.contains_key(id) {
-            self.end_life(id, now);
+            self.end_incarnation(id, now);
             self.remove_server(id);
         }
     }
 
-    /// What ran in a life of a backend server is over with it; it was a crash, unless it had been announced.
-    pub(crate) fn end_life(&mut self, id: &BackendServerId, now: Moment) {
+    /// Ends what ran in an incarnation of a backend server. Unless its departure was announced, this counts as a
+    /// crash.
+    pub(crate) fn end_incarnation(&mut self, id: &BackendServerId, now: Moment) {
         let Some(server) = self.servers.get(id) else { return };
-        let announced = server.announced();
-        let silent = server.silence.since.map_or(0, |since| now.since(since).millis());
-        log::info!("server={id} event=gone runs={} announced={announced} silent_ms={silent}", server.members.len());
-        self.observations.push(Observation::ServerGone { announced });
+        let announced = server.has_announced_departure();
+        let silent_ms = server.contact.failing_since.map_or(0, |since| now.since(since).millis());
+        log::info!("server={id} event=gone runs={} announced={announced} silent_ms={silent_ms}", server.members.len());
+        self.observations.push(Observation::ServerEnded { announced });
         if !announced {
             self.charge_crash(id, now);
         }
@@ -78,96 +80,98 @@
     }
 
     pub(crate) fn remove_server(&mut self, id: &BackendServerId) {
-        self.touch(id);
-        self.forget_speed(id);
+        self.mark_stale(id);
+        self.reset_speed(id);
         self.servers.remove(id);
-        self.trials.remove(id);
-        self.unreached.settle(id);
+        self.isolated_retries.remove(id);
+        self.unreachable.remove_pending(id);
     }
 
-    /// A backend server that has refused a start gets none for a while.
-    pub(crate) fn leave_alone(&mut self, id: &BackendServerId, now: Moment) {
+    /// Pauses starts on a backend server that has refused one.
+    pub(crate) fn pause_starts(&mut self, id: &BackendServerId, now: Moment) {
         let until = now + self.timing.refused_pause;
         if let Some(server) = self.server_mut(id) {
-            server.not_before = until;
+            server.no_starts_before = until;
         }
     }
 
-    /// A renewal is about to be sent; from here on its lease counts, whatever comes of the call.
+    /// Records a renewal that is about to be sent. Its lease counts from here on, whatever the outcome of the call.
     pub fn lease_sent(&mut self, id: &BackendServerId, lease: Duration, now: Moment) {
-        let over = self.timing.lease_over(now);
+        let expiry = self.timing.lease_expiry(now);
         if let Some(server) = self.servers.get_mut(id) {
-            server.lease_over = server.lease_over.max(over);
-            server.renewed_to = server.renewed_to.max(Some(now + lease));
+            server.lease_expiry = server.lease_expiry.max(expiry);
+            server.lease_granted_until = server.lease_granted_until.max(Some(now + lease));
         }
     }
 
-    /// The lease that a start is to carry, which is about to be sent: what is left of the latest renewal, as long as
-    /// that is half of a lease. A whole one each time would prolong what has to be waited for if the backend server is
-    /// lost with the start under way. `most` is what it may carry.
-    pub fn start_lease(&mut self, id: &BackendServerId, most: Duration, now: Moment) -> Duration {
-        let renewed_to = self.servers.get(id).and_then(|server| server.renewed_to);
-        let left = renewed_to.map_or(Duration::ZERO, |to| to.since(now));
-        if left >= self.timing.lease.scaled(0.5) {
-            return left;
+    /// Returns the lease for a start that is about to be sent, of at most `max_lease`: the rest of the latest renewal
+    /// if that is at least half of a lease, else a new one. A full lease with each start would prolong the wait if
+    /// the backend server is lost with the start in flight.
+    pub fn lease_for_start(&mut self, id: &BackendServerId, max_lease: Duration, now: Moment) -> Duration {
+        let lease_granted_until = self.servers.get(id).and_then(|server| server.lease_granted_until);
+        let remaining = lease_granted_until.map_or(Duration::ZERO, |to| to.since(now));
+        if remaining >= self.timing.lease.scaled(0.5) {
+            return remaining;
         }
-        self.lease_sent(id, most, now);
-        most
+        self.lease_sent(id, max_lease, now);
+        max_lease
     }
 
-    /// A backend server left a call without an answer.
-    pub fn unanswered(&mut self, id: &BackendServerId, how: Unanswered, now: Moment) {
+    /// Handles a call to a backend server that got no response.
+    pub fn call_failed(&mut self, id: &BackendServerId, failure: CallFailure, now: Moment) {
         let Some(server) = self.server_mut(id) else { return };
-        server.unanswered += 1;
-        server.silence.refused |= how == Unanswered::Refused;
+        server.failed_calls += 1;
+        server.contact.refused |= failure == CallFailure::Refused;
         let busy = !server.members.is_empty();
-        if server.unanswered == 1 {
-            server.silence.since = Some(now);
-            log::warn!("server={id} event=unreachable lease_over_at={}", server.lease_over.millis());
-            self.note_changed_on(id);
+        if server.failed_calls == 1 {
+            server.contact.failing_since = Some(now);
+            log::warn!("server={id} event=unreachable lease_over_at={}", server.lease_expiry.millis());
+            self.mark_changed_on(id);
         }
         if busy {
-            self.unreached.wait_for(id);
+            self.unreachable.add_pending(id);
         }
-        self.look_whether_left(id, now);
+        self.check_departure(id, now);
     }
 
-    /// Whether a backend server answers has changed: so may have whether anything runs of what is placed there.
-    pub(crate) fn note_changed_on(&mut self, id: &BackendServerId) {
+    /// Marks the occurrences placed on a backend server as changed, since whether it responds has changed and thus
+    /// whether anything of them runs.
+    pub(crate) fn mark_changed_on(&mut self, id: &BackendServerId) {
         let occurrences = self.groups_on(id).into_iter().map(|name| name.occurrence);
         self.changed.extend(occurrences);
     }
 
-    /// A backend server that has left takes all that ran on it along, so that no lease has to be waited for.
-    fn look_whether_left(&mut self, id: &BackendServerId, now: Moment) {
-        if self.servers.get(id).is_some_and(Server::has_left) {
+    /// Ends a backend server that has shut down. Its runs ended with it, so that no lease has to be waited for.
+    fn check_departure(&mut self, id: &BackendServerId, now: Moment) {
+        if self.servers.get(id).is_some_and(Server::has_departed) {
             log::info!("server={id} event=left");
-            self.server_gone(id, now);
+            self.server_ended(id, now);
         }
     }
 
     /// Whether a backend server is listed, or may still run something.
-    pub fn knows(&self, id: &BackendServerId) -> bool {
+    pub fn tracks_server(&self, id: &BackendServerId) -> bool {
         self.servers.contains_key(id)
     }
 
-    /// Whether a backend server has shown what it runs, in the life that it leads as far as is known.
-    pub fn has_heard(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(|server| server.stocked)
+    /// Whether a backend server has reported what it runs, in its latest known incarnation.
+    pub fn has_reported(&self, id: &BackendServerId) -> bool {
+        self.servers.get(id).is_some_and(|server| server.has_reported)
     }
 
-    /// Highest end that may be acknowledged to a backend server.
-    pub fn acknowledged(&self, id: &BackendServerId) -> u64 {
-        self.servers.get(id).map_or(0, |server| server.acknowledged)
+    /// Returns the highest serial number of a completion that may be acknowledged to a backend server; 0 if there is
+    /// none.
+    pub fn acknowledged_serial(&self, id: &BackendServerId) -> u64 {
+        self.servers.get(id).map_or(0, |server| server.acknowledged_serial)
     }
 
-    /// Whether ends of a backend server wait to be stored.
-    pub fn has_pending_ends(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(|server| !server.pending_ends.is_empty())
+    /// Whether completions of a backend server wait to be stored.
+    pub fn has_pending_completions(&self, id: &BackendServerId) -> bool {
+        self.servers.get(id).is_some_and(|server| !server.pending_completions.is_empty())
     }
 
     /// Whether anything runs, or may run, on a backend server.
     pub fn is_busy(&self, id: &BackendServerId) -> bool {
-        self.servers.get(id).is_some_and(|server| !server.members.is_empty() || !server.strays.is_empty())
+        self.servers.get(id).is_some_and(|server| !server.members.is_empty() || !server.orphaned_runs.is_empty())
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,74 +1,75 @@
-//! The active scheduler of a deployment, without I/O.
+//! Scheduler of a deployment, without I/O.
 //!
-//! One box at a time is elected; it holds a [`Scheduler`]. The host feeds it what backend servers list,
-//! what the store has taken and what callers want, and carries out what it asks for. Three rules keep
-//! its promises, whoever is elected next:
+//! One box at a time is elected and runs a [`Scheduler`]. The runtime passes it the listings of backend servers, the
+//! results of writes to the store and the requests of callers, and carries out the orders and writes that it returns.
+//! Three rules hold across elections:
 //!
-//! - *store, then order*: a start is sent only after the store holds where it goes ([`Scheduler::next_batch`]);
-//! - *store, then acknowledge, then tell*: an end is acknowledged and shown only after the store holds it;
-//! - *one place at a time*: a task is placed again only when its earlier run is known to be over: listed as
-//!   ended, absent from a listing that must show it, or past every lease that it can have been given.
+//! - *store before ordering*: a start is sent only after its placement is stored ([`Scheduler::next_write_batch`]);
+//! - *store before acknowledging or reporting*: a completion is acknowledged and reported to callers only after the
+//!   store holds it;
+//! - *one placement at a time*: a task is placed again only when its earlier run is known to have ended: it is listed
+//!   as completed, absent from a listing that must show it, or past every lease that it can have been given.
 
-mod advice;
 mod archive;
 mod batch;
 mod candidate;
 mod check;
-mod choose;
+mod completions;
 mod contact;
 mod crashes;
-mod ends;
+mod draining;
 mod evacuation;
-mod forget;
+mod fleet_capacity;
 mod guarantee;
 mod headroom;
 mod health;
-mod leaving;
+mod incarnations;
 mod listing;
-mod live;
-mod lives;
-mod observe;
+mod maintenance;
+mod maintenance_batch;
+mod observations;
 mod orders;
 mod outcomes;
-mod pace;
+mod pending_writes;
+mod permits;
+mod placement;
 mod plan;
 mod policy;
 mod preempt;
 mod ready;
 mod restore;
-mod room;
-mod rooms;
+mod retention;
+mod run_state;
 mod runs;
 mod scheduler;
 mod server;
+mod server_capacity;
 mod speed;
-mod standing;
+mod stalled;
 mod starts;
 mod stops;
+mod throttle;
 mod timing;
 mod tuning;
-mod unreached;
-mod unstored;
-mod upkeep;
-mod wave;
+mod unreachable;
 mod witnesses;
 
 pub use crate::{
-    advice::{Question, Ticket},
     archive::Archival,
-    batch::{Batch, Entry},
-    contact::Unanswered,
-    ends::{End, EndKind, Listing, RunningTask},
-    evacuation::{EvacuatedBy, EvacuationRefused, EvacuationStatus},
-    observe::Observation,
+    batch::{ProgressWrite, WriteBatch},
+    completions::{Completion, CompletionKind, Listing, RunningTask},
+    contact::CallFailure,
+    evacuation::{EvacuatedBy, EvacuationError, EvacuationStatus},
+    maintenance_batch::{Machine, MachineId, MaintenanceProgress, MaintenanceReply, MaintenanceRequest},
+    observations::Observation,
     orders::{Order, StartReply},
-    policy::{Advice, CustomerPolicy, Policy, QueuePolicy, ServiceId},
+    permits::{Permit, PermitRequest},
+    policy::{CustomerPolicy, PermitPolicy, Policy, QueuePolicy, ServiceId},
     scheduler::{Counts, Scheduler},
-    server::{Place, ServerInfo},
+    server::{ServerAddress, ServerInfo},
     speed::{SpeedReport, SpeedSummary},
     timing::Timing,
     tuning::Tuning,
-    unreached::{UnreachedNote, UnreachedWrite},
-    wave::{Machine, MachineId, UpkeepReply, WaveProgress, WaveRequest},
-    witnesses::{WitnessNote, WitnessWrite},
+    unreachable::{UnreachableRecord, UnreachableWrite},
+    witnesses::{WitnessRecord, WitnessWrite},
 };
--- a/crates/scheduler/src/listing.rs
+++ b/crates/scheduler/src/listing.rs
@@ -1,4 +1,4 @@
-//! Listings of backend servers: runs confirmed, strays stopped, losses found.
+//! Listings of backend servers: confirms runs, stops orphaned ones and detects lost ones.
 
 use std::collections::BTreeMap;
 
@@ -7,67 +7,67 @@
 
 use crate::{
     Scheduler,
-    ends::{Listing, RunningTask},
-    live::{Member, Phase, StopReason},
-    observe::Observation,
+    completions::{Listing, RunningTask},
+    observations::Observation,
     orders::Order,
-    server::Stray,
+    run_state::{Member, Phase, StopReason},
+    server::OrphanedRun,
 };
 
 impl Scheduler {
-    /// A backend server has told what it runs and what ended, on a call sent at `sent`.
+    /// Processes the listing of a backend server, returned by a call sent at `sent`.
     ///
-    /// Listings of one backend server must be told in the order in which their calls were sent.
+    /// Listings of one backend server must be passed in the order in which their calls were sent.
     pub fn listing(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         if !self.servers.contains_key(id) {
             return;
         }
         match listing.incarnation {
-            Some(incarnation) => self.hear_life(id, incarnation, now),
+            Some(incarnation) => self.observe_incarnation(id, incarnation, now),
             None => drop(self.lapsed.remove(id)),
         }
         let Some(server) = self.servers.get(id) else { return };
-        if !server.reached() {
-            self.touch(id);
-            self.note_changed_on(id);
+        if !server.is_reachable() {
+            self.mark_stale(id);
+            self.mark_changed_on(id);
         }
         let Some(server) = self.servers.get_mut(id) else { return };
-        if server.unanswered > 0 {
-            log::info!("server={id} event=reachable_again after_calls={}", server.unanswered);
-            self.plan_wanted = true;
+        if server.failed_calls > 0 {
+            log::info!("server={id} event=reachable_again after_calls={}", server.failed_calls);
+            self.plan_requested = true;
         }
-        if !server.stocked {
-            self.plan_wanted = true;
-            // From here on it obeys no earlier scheduler, which can have renewed its lease up to now.
-            server.stocked = true;
-            server.lease_over = self.timing.lease_over(now);
+        if !server.has_reported {
+            self.plan_requested = true;
+            // From here on it refuses earlier schedulers, which can have renewed its lease up to now.
+            server.has_reported = true;
+            server.lease_expiry = self.timing.lease_expiry(now);
         }
-        self.unreached.settle(id);
-        server.unanswered = 0;
-        server.silence.heard = Some(now);
-        server.silence.since = None;
-        server.silence.refused = false;
-        self.hear_witness(id, listing.incarnation, sent, now);
-        self.plan_wanted |= !listing.ended.is_empty();
-        for end in &listing.ended {
-            self.take_end(id, end, now);
+        self.unreachable.remove_pending(id);
+        server.failed_calls = 0;
+        server.contact.last_response = Some(now);
+        server.contact.failing_since = None;
+        server.contact.refused = false;
+        self.record_witness_answer(id, listing.incarnation, sent, now);
+        self.plan_requested |= !listing.completions.is_empty();
+        for completion in &listing.completions {
+            self.receive_completion(id, completion, now);
         }
-        self.take_strays(id, listing, now);
+        self.stop_orphaned_runs(id, listing, now);
         for running in &listing.running {
-            self.confirm(id, running, now);
+            self.confirm_run(id, running, now);
         }
-        if !listing.more_ends {
-            self.find_lost(id, listing, sent, now);
+        if !listing.more_completions {
+            self.remove_lost_runs(id, listing, sent, now);
         }
-        self.follow_trials(id);
-        self.pace_best_effort(id, now);
-        if !listing.ended.is_empty() {
+        self.update_isolated_retries(id);
+        self.throttle_best_effort(id, now);
+        if !listing.completions.is_empty() {
             self.acknowledge_stored(id);
         }
     }
 
-    /// A run is where it was placed.
-    fn confirm(&mut self, id: &BackendServerId, running: &RunningTask, now: Moment) {
+    /// Confirms that a run is where it was placed.
+    fn confirm_run(&mut self, id: &BackendServerId, running: &RunningTask, now: Moment) {
         let Some(name) = self.group_of(running.task) else { return };
         if self.progress_of(name).run != running.run {
             return;
@@ -76,67 +76,67 @@
         member.percent = running.percent;
         member.percent_at = now;
         member.latency_ms = running.latency_ms;
-        if running.saved.is_some() {
-            member.saved = running.saved.clone();
+        if running.checkpoint.is_some() {
+            member.checkpoint = running.checkpoint.clone();
         }
         match member.phase {
             Phase::Restored | Phase::Sent { .. } => {
                 member.phase = Phase::Running;
-                member.settled.get_or_insert(now);
-                self.note_begun(name, id);
+                member.confirmed_at.get_or_insert(now);
+                self.record_run_started(name, id);
             }
             Phase::Planned | Phase::Running => {}
         }
         self.measure_progress(name, id, running, now);
     }
 
-    /// Runs that no one wants here: stopped, and their room counted until they are gone.
-    fn take_strays(&mut self, id: &BackendServerId, listing: &Listing, now: Moment) {
-        let unwanted: Vec<(TaskId, RunNumber)> = listing
+    /// Stops orphaned runs. Their capacity counts as taken until they are no longer listed.
+    fn stop_orphaned_runs(&mut self, id: &BackendServerId, listing: &Listing, now: Moment) {
+        let orphaned: Vec<(TaskId, RunNumber)> = listing
             .running
             .iter()
-            .filter(|running| !self.is_wanted(id, running))
+            .filter(|running| !self.is_expected(id, running))
             .map(|running| (running.task, running.run))
             .collect();
         let retry = self.timing.stop_retry;
-        let server = self.servers.get_mut(id).expect("the caller has looked");
-        if unwanted.is_empty() && server.strays.is_empty() {
+        let server = self.servers.get_mut(id).expect("the caller checked that the server is tracked");
+        if orphaned.is_empty() && server.orphaned_runs.is_empty() {
             return;
         }
-        let whole = server.info.as_ref().map(|info| info.capacity).unwrap_or_default();
-        let mut before = std::mem::take(&mut server.strays);
-        let mut strays = BTreeMap::new();
-        for (task, run) in unwanted {
-            // One of a job that is not known any more may take everything.
-            let need = self.group_of(task).map_or(whole, |name| self.step(name).counted_need());
-            let stray = match before.remove(&task) {
-                Some(stray) if stray.run == run && stray.stop_sent + retry > now => stray,
+        let full_capacity = server.info.as_ref().map(|info| info.capacity).unwrap_or_default();
+        let mut before = std::mem::take(&mut server.orphaned_runs);
+        let mut orphaned_runs = BTreeMap::new();
+        for (task, run) in orphaned {
+            // A run of a job that is no longer tracked may take the whole capacity.
+            let resources = self.group_of(task).map_or(full_capacity, |name| self.step(name).counted_resources());
+            let orphaned_run = match before.remove(&task) {
+                Some(orphaned_run) if orphaned_run.run == run && orphaned_run.stop_sent + retry > now => orphaned_run,
                 _ => {
                     log::info!("job={} event=stray_stopped task={task} run={run} server={id}", task.occurrence.job);
                     self.orders.push(Order::Stop { server: id.clone(), task, run });
-                    Stray { run, need, stop_sent: now }
+                    OrphanedRun { run, resources, stop_sent: now }
                 }
             };
-            strays.insert(task, stray);
+            orphaned_runs.insert(task, orphaned_run);
         }
-        self.server_mut(id).expect("the caller has looked").strays = strays;
+        self.server_mut(id).expect("the caller checked that the server is tracked").orphaned_runs = orphaned_runs;
     }
 
-    fn is_wanted(&self, id: &BackendServerId, running: &RunningTask) -> bool {
+    fn is_expected(&self, id: &BackendServerId, running: &RunningTask) -> bool {
         let Some(name) = self.group_of(running.task) else { return false };
         let placed = |member: &Member| member.index == running.task.index && member.server == *id;
         self.progress_of(name).run == running.run && self.group(name).members.iter().any(placed)
     }
 
-    /// Runs that the listing must show if they went on, and does not.
-    fn find_lost(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
+    /// Removes runs that the listing lacks although it would have to show them if they still ran.
+    fn remove_lost_runs(&mut self, id: &BackendServerId, listing: &Listing, sent: Moment, now: Moment) {
         let server = &self.servers[id];
         let listed = |task: &TaskId| listing.running.iter().any(|running| running.task == *task);
         let missing: Vec<TaskId> = server.members.keys().filter(|task| !listed(task)).copied().collect();
         for task in missing {
             let Some(name) = self.group_of(task) else { continue };
             let Some(member) = self.member_mut(name, task.index, id) else { continue };
-            if member.settled.is_some_and(|settled| settled < sent) {
+            if member.confirmed_at.is_some_and(|confirmed| confirmed < sent) {
                 log::info!("job={} event=not_listed task={task} server={id}", task.occurrence.job);
                 self.observations.push(Observation::RunLost { why: "not_listed" });
                 self.remove_member(name, task.index, None, now);
--- a/crates/scheduler/src/plan.rs
+++ b/crates/scheduler/src/plan.rs
@@ -1,111 +1,121 @@
-//! Where and when groups start.
+//! Planning: decides when groups start and on which backend servers.
 
-use jobs::{Need, Step};
+use jobs::{Resources, Step};
 use model::{BackendServerId, Moment};
 
-use crate::{Scheduler, candidate::Candidate, choose::Places, guarantee::Guarantees, room::Room, rooms::Rooms};
+use crate::{
+    Scheduler, candidate::Candidate, fleet_capacity::FleetCapacity, guarantee::Guarantees, placement::Placements,
+    server_capacity::ServerCapacity,
+};
 
 impl Scheduler {
-    /// Places what can start now, and stops what has to make room. `wall_ms` is the time of day.
+    /// Places groups that can start now and stops runs to free capacity for urgent ones. `wall_ms` is the time of day
+    /// in milliseconds.
     pub fn plan(&mut self, now: Moment, wall_ms: u64) {
-        self.wall = (now, wall_ms);
+        self.plan_clocks = (now, wall_ms);
         self.refresh_ready(now);
         let mut guarantees = Guarantees::new(self);
         let candidates = self.candidates(wall_ms, &mut guarantees);
-        self.advice.begin_plan();
+        self.permits.clear_requests();
         if candidates.is_empty() {
             return;
         }
-        self.refresh_rooms(now);
-        // Planning changes jobs and backend servers besides: the rooms are put back when it is over.
-        let mut rooms = std::mem::take(&mut self.rooms);
+        self.refresh_capacity(now);
+        // Planning also changes jobs and backend servers, so the capacities are taken out and put back at the end.
+        let mut fleet = std::mem::take(&mut self.fleet);
         for candidate in &candidates {
-            if candidate.suspect && self.waits_for_trial(candidate.group(candidate.groups[0]), now) {
+            if candidate.suspected && self.awaits_isolated_retry(candidate.group(candidate.groups[0]), now) {
                 continue;
             }
             if self.step_of(candidate).gang {
-                self.plan_gang(candidate, &mut rooms, &guarantees, now);
+                self.plan_gang(candidate, &mut fleet, &guarantees, now);
             } else {
-                self.plan_tasks(candidate, &mut rooms, &guarantees, now);
+                self.plan_tasks(candidate, &mut fleet, &guarantees, now);
             }
-            self.want_advice(candidate, &rooms, now);
+            self.request_permits(candidate, &fleet, now);
         }
-        self.rooms = rooms;
+        self.fleet = fleet;
     }
 
     fn step_of(&self, candidate: &Candidate) -> &Step {
         self.step(candidate.group(0))
     }
 
-    /// What of a room a candidate may take now.
-    fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&Room) -> Need + use<> {
-        let apart = self.waits_for_empty_one(candidate, now);
-        move |room| if apart && room.tasks > 0 { Need::default() } else { room.free }
+    /// Returns the part of a backend server's capacity that a candidate may use now: nothing where the candidate
+    /// waits for an empty backend server and tasks run there.
+    fn free_for(&self, candidate: &Candidate, now: Moment) -> impl Fn(&ServerCapacity) -> Resources + use<> {
+        let needs_empty_server = self.awaits_empty_server(candidate, now);
+        move |server| if needs_empty_server && server.tasks > 0 { Resources::default() } else { server.free }
     }
 
-    /// Starts a gang where it fits. If it is urgent, room is made or kept for it meanwhile.
-    fn plan_gang(&mut self, candidate: &Candidate, rooms: &mut Rooms, guarantees: &Guarantees, now: Moment) {
+    /// Starts a gang where it fits. For an urgent gang that does not fit, frees capacity or reserves what is being
+    /// freed.
+    fn plan_gang(&mut self, candidate: &Candidate, fleet: &mut FleetCapacity, guarantees: &Guarantees, now: Moment) {
         let name = candidate.group(0);
-        let Some(wanted) = self.wanted(candidate, now) else { return };
-        let count = u64::from(wanted.step.count);
-        if !self.may_take(candidate, &wanted, 0, count, rooms) {
+        let Some(requirements) = self.requirements(candidate, now) else { return };
+        let count = u64::from(requirements.step.count);
+        if !self.headroom_allows(candidate, &requirements, 0, count, fleet) {
             return;
         }
-        let free = self.choose_gang(name, &wanted, rooms, self.free_for(candidate, now), now);
-        let soon = if wanted.urgent && free.is_none() {
-            // Room that is being made counts as taken, so that nothing slips in and no more is stopped for it.
-            self.choose_gang(name, &wanted, rooms, |room| room.soon, now)
+        let free = self.place_gang(name, &requirements, fleet, self.free_for(candidate, now), now);
+        let free_after_stops = if requirements.urgent && free.is_none() {
+            // Capacity that is being freed is claimed, so that no other group takes it and no further run is stopped
+            // for this gang.
+            self.place_gang(name, &requirements, fleet, |server| server.free_after_stops, now)
         } else {
             None
         };
-        let (step, urgent) = (wanted.step.clone(), wanted.urgent);
-        if let Some(places) = free {
-            rooms.claim(&step, &places);
-            if candidate.suspect {
-                rooms.close(&places);
+        let (step, urgent) = (requirements.step.clone(), requirements.urgent);
+        if let Some(placements) = free {
+            fleet.claim(&step, &placements);
+            if candidate.suspected {
+                fleet.close(&placements);
             }
-            self.place(name, &named(&places, rooms), now);
-        } else if let Some(places) = soon {
-            rooms.claim(&step, &places);
+            self.place(name, &with_server_ids(&placements, fleet), now);
+        } else if let Some(placements) = free_after_stops {
+            fleet.claim(&step, &placements);
         } else if urgent {
-            self.preempt_for(candidate, &candidate.groups, rooms, guarantees, now);
-            let Some(wanted) = self.wanted(candidate, now) else { return };
-            if let Some(places) = self.choose_gang(name, &wanted, rooms, |room| room.soon, now) {
-                rooms.claim(&step, &places);
+            self.preempt_for(candidate, &candidate.groups, fleet, guarantees, now);
+            let Some(requirements) = self.requirements(candidate, now) else { return };
+            if let Some(placements) = self.place_gang(name, &requirements, fleet, |server| server.free_after_stops, now)
+            {
+                fleet.claim(&step, &placements);
             }
         }
     }
 
-    /// Starts tasks that each run by themselves where they fit. If they are urgent, room is made or kept for the
-    /// rest.
-    fn plan_tasks(&mut self, candidate: &Candidate, rooms: &mut Rooms, guarantees: &Guarantees, now: Moment) {
-        let Some(wanted) = self.wanted(candidate, now) else { return };
-        let (step, urgent) = (wanted.step.clone(), wanted.urgent);
-        let mut left = candidate.groups.clone();
-        let placed = self.choose_tasks(candidate, &wanted, rooms, self.free_for(candidate, now), &mut left, now);
-        let waiting = if urgent && !left.is_empty() {
-            self.choose_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now)
+    /// Starts independent tasks where they fit. For urgent tasks that do not fit, frees capacity or reserves what is
+    /// being freed.
+    fn plan_tasks(&mut self, candidate: &Candidate, fleet: &mut FleetCapacity, guarantees: &Guarantees, now: Moment) {
+        let Some(requirements) = self.requirements(candidate, now) else { return };
+        let (step, urgent) = (requirements.step.clone(), requirements.urgent);
+        let mut unplaced = candidate.groups.clone();
+        let placed =
+            self.place_tasks(candidate, &requirements, fleet, self.free_for(candidate, now), &mut unplaced, now);
+        let waiting = if urgent && !unplaced.is_empty() {
+            self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut unplaced, now)
         } else {
-            Places::new()
+            Placements::new()
         };
-        rooms.claim(&step, &placed);
-        if candidate.suspect {
-            rooms.close(&placed);
+        fleet.claim(&step, &placed);
+        if candidate.suspected {
+            fleet.close(&placed);
         }
-        rooms.claim(&step, &waiting);
-        for (group, server) in named(&placed, rooms) {
+        fleet.claim(&step, &waiting);
+        for (group, server) in with_server_ids(&placed, fleet) {
             self.place(candidate.group(group as usize), &[(group, server)], now);
         }
-        if urgent && !left.is_empty() {
-            self.preempt_for(candidate, &left, rooms, guarantees, now);
-            let Some(wanted) = self.wanted(candidate, now) else { return };
-            let coming = self.choose_tasks(candidate, &wanted, rooms, |room| room.soon, &mut left, now);
-            rooms.claim(&step, &coming);
+        if urgent && !unplaced.is_empty() {
+            self.preempt_for(candidate, &unplaced, fleet, guarantees, now);
+            let Some(requirements) = self.requirements(candidate, now) else { return };
+            let after_preemption =
+                self.place_tasks(candidate, &requirements, fleet, |server| server.free_after_stops, &mut unplaced, now);
+            fleet.claim(&step, &after_preemption);
         }
     }
 }
 
-/// Where tasks go, by the names of the backend servers.
-fn named(places: &Places, rooms: &Rooms) -> Vec<(u32, BackendServerId)> {
-    places.iter().map(|&(index, slot)| (index, rooms.id(slot).clone())).collect()
+/// Replaces the indices of backend servers in placements by their ids.
+fn with_server_ids(placements: &Placements, fleet: &FleetCapacity) -> Vec<(u32, BackendServerId)> {
+    placements.iter().map(|&(index, server_index)| (index, fleet.id(server_index).clone())).collect()
 }
--- a/crates/scheduler/src/restore.rs
+++ b/crates/scheduler/src/restore.rs
@@ -1,4 +1,4 @@
-//! What a new scheduler takes over from the store.
+//! Takeover of an earlier scheduler's state from the store.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,15 +7,16 @@
 
 use crate::{
     Scheduler,
-    live::{GroupId, Member, Occurrence},
-    server::{Place, Server},
+    run_state::{GroupId, Member, Occurrence},
+    server::{Server, ServerAddress},
 };
 
 impl Scheduler {
-    /// Progress that the store holds, read by a new scheduler after its jobs.
+    /// Restores the stored progress of an occurrence. Jobs must have been added before.
     pub fn restore(&mut self, id: OccurrenceId, progress: Progress, revision: Revision) {
         let Some(entry) = self.jobs.get_mut(&id.job) else {
-            // Its job has left the intake, and the scheduler that saw to that did not come to the end of it.
+            // The job has left the submission records, but the scheduler that archived it did not remove all
+            // progress.
             self.orphans.insert(id);
             return;
         };
@@ -30,46 +31,47 @@
         occurrence.stored_progress = progress.clone();
         occurrence.progress = progress;
         self.changed.insert(id);
-        if entry.occurrences.iter().all(Occurrence::over) {
-            entry.ended.get_or_insert(self.elected);
+        if entry.occurrences.iter().all(Occurrence::is_finished) {
+            entry.ended_at.get_or_insert(self.elected);
         }
         for name in self.restore_members(id, &job) {
-            self.begin_trial(name);
+            self.begin_isolated_retry(name);
         }
     }
 
-    /// Where backend servers with restored runs were reached as the runs were placed there: those that the platform no longer lists may answer there still.
-    pub fn restored_places(&self) -> BTreeMap<BackendServerId, Place> {
-        let occurrences = self.open.iter().flat_map(|id| &self.jobs[id].occurrences);
+    /// Returns the addresses of backend servers with restored runs, as of their placement. Those that the platform no
+    /// longer lists may still respond there.
+    pub fn restored_addresses(&self) -> BTreeMap<BackendServerId, ServerAddress> {
+        let occurrences = self.open_jobs.iter().flat_map(|id| &self.jobs[id].occurrences);
         let placed = occurrences.flat_map(|o| o.progress.groups.iter().flatten()).flat_map(|group| &group.placed);
-        let known = placed.filter(|placed| !placed.place.is_empty());
-        known.map(|placed| (placed.server.clone(), Place::from(&*placed.place))).collect()
+        let with_address = placed.filter(|placed| !placed.address.is_empty());
+        with_address.map(|placed| (placed.server.clone(), ServerAddress::from(&*placed.address))).collect()
     }
 
-    /// What was placed may run on, for as long as an earlier scheduler's leases keep it. Returns the groups that may run.
+    /// Restores placements of an earlier scheduler: their runs may continue until its leases expire. Returns the
+    /// groups that may run.
     fn restore_members(&mut self, id: OccurrenceId, job: &Job) -> Vec<GroupId> {
         let mut placed_groups = Vec::new();
-        let by_election = self.earlier_leases;
+        let by_election = self.earlier_lease_expiry;
         let occurrence = &mut self.jobs.get_mut(&id.job).expect("it was just restored").occurrences[id.number as usize];
         for (s, step) in occurrence.progress.groups.iter().enumerate() {
             for (g, group) in step.iter().enumerate() {
                 let name = GroupId { occurrence: id, step: s, group: g };
-                let live = &mut occurrence.groups[s][g];
-                live.placed_at = self.elected;
+                let group_state = &mut occurrence.groups[s][g];
+                group_state.placed_at = self.elected;
                 if !group.placed.is_empty() {
                     placed_groups.push(name);
                 }
                 for placed in &group.placed {
-                    let earlier = self.unreached.leases_over(&placed.server, by_election);
-                    let server =
-                        self.servers.entry(placed.server.clone()).or_insert_with(|| Server::new(None, earlier));
-                    self.unreached.wait_for(&placed.server);
-                    server.used.add(&job.steps[s].counted_need());
+                    let expiry = self.unreachable.lease_expiry_of(&placed.server, by_election);
+                    let server = self.servers.entry(placed.server.clone()).or_insert_with(|| Server::new(None, expiry));
+                    self.unreachable.add_pending(&placed.server);
+                    server.used.add(&job.steps[s].counted_resources());
                     server.members.insert(name.task(placed.index), group.run);
-                    if !std::mem::replace(&mut server.touched, true) {
-                        self.touched.push(placed.server.clone());
+                    if !std::mem::replace(&mut server.is_stale, true) {
+                        self.stale_servers.push(placed.server.clone());
                     }
-                    live.members.push(Member::restored(placed, self.elected));
+                    group_state.members.push(Member::restored(placed, self.elected));
                 }
             }
         }
--- a/crates/scheduler/src/runs.rs
+++ b/crates/scheduler/src/runs.rs
@@ -1,32 +1,33 @@
-//! Runs of groups: looked up, placed, over.
+//! Runs of groups: lookup, placement and removal.
 
 use std::sync::Arc;
 
-use jobs::{GroupProgress, JobId, OccurrenceId, Placed, Saved, Step, TaskId};
+use jobs::{Checkpoint, GroupProgress, JobId, OccurrenceId, Placement, Step, TaskId};
 use model::{BackendServerId, Moment};
 
 use crate::{
     Scheduler,
-    live::{Group, GroupId, Member, Occurrence},
+    run_state::{Group, GroupId, Member, Occurrence},
 };
 
 impl Scheduler {
-    /// An occurrence; `None` if no such job or occurrence is known.
-    pub(crate) fn known_occurrence(&self, id: OccurrenceId) -> Option<&Occurrence> {
+    /// Returns an occurrence; `None` if it or its job is not tracked.
+    pub(crate) fn find_occurrence(&self, id: OccurrenceId) -> Option<&Occurrence> {
         self.jobs.get(&id.job)?.occurrences.get(id.number as usize)
     }
 
-    pub(crate) fn known_occurrence_mut(&mut self, id: OccurrenceId) -> Option<&mut Occurrence> {
+    pub(crate) fn find_occurrence_mut(&mut self, id: OccurrenceId) -> Option<&mut Occurrence> {
         self.jobs.get_mut(&id.job)?.occurrences.get_mut(id.number as usize)
     }
 
-    /// The occurrence of a group, which is named only while its job is known. So do the lookups that follow.
+    /// Returns the occurrence of a group. Like the lookups that follow, it panics if the job is not tracked: a
+    /// `GroupId` is used only while it is.
     pub(crate) fn occurrence(&self, id: OccurrenceId) -> &Occurrence {
         &self.jobs[&id.job].occurrences[id.number as usize]
     }
 
     pub(crate) fn occurrence_mut(&mut self, id: OccurrenceId) -> &mut Occurrence {
-        let entry = self.jobs.get_mut(&id.job).expect("groups are named only while their job is known");
+        let entry = self.jobs.get_mut(&id.job).expect("a group id is used only while its job is tracked");
         &mut entry.occurrences[id.number as usize]
     }
 
@@ -46,33 +47,33 @@
         &self.occurrence(name.occurrence).progress.groups[name.step][name.group]
     }
 
-    /// Changes the progress of a group, which then has to be stored.
-    pub(crate) fn change(&mut self, name: GroupId, change: impl FnOnce(&mut GroupProgress)) {
+    /// Changes the progress of a group, and marks it as not yet stored.
+    pub(crate) fn update_progress(&mut self, name: GroupId, change: impl FnOnce(&mut GroupProgress)) {
         let occurrence = self.occurrence_mut(name.occurrence);
         change(&mut occurrence.progress.groups[name.step][name.group]);
         occurrence.version += 1;
-        self.dirty.insert(name.occurrence);
+        self.pending_writes.insert(name.occurrence);
         self.changed.insert(name.occurrence);
     }
 
-    /// The group that a task belongs to; `None` if no such job or task is known.
+    /// Returns the group that a task belongs to; `None` if its job or the task is not tracked.
     pub(crate) fn group_of(&self, task: TaskId) -> Option<GroupId> {
         let entry = self.jobs.get(&task.occurrence.job)?;
         let step = entry.job.steps.get(task.step as usize)?;
-        let known = (task.occurrence.number as usize) < entry.occurrences.len() && task.index < step.count;
-        known.then(|| GroupId::of(task, step))
+        let exists = (task.occurrence.number as usize) < entry.occurrences.len() && task.index < step.count;
+        exists.then(|| GroupId::of(task, step))
     }
 
-    /// All groups of a job.
-    pub(crate) fn group_names(&self, job: JobId) -> Vec<GroupId> {
+    /// Returns all groups of a job.
+    pub(crate) fn group_ids(&self, job: JobId) -> Vec<GroupId> {
         let Some(entry) = self.jobs.get(&job) else { return Vec::new() };
-        let mut names = Vec::new();
+        let mut ids = Vec::new();
         for (id, occurrence) in entry.occurrence_ids().zip(&entry.occurrences) {
             for (step, groups) in occurrence.groups.iter().enumerate() {
-                names.extend((0..groups.len()).map(|group| GroupId { occurrence: id, step, group }));
+                ids.extend((0..groups.len()).map(|group| GroupId { occurrence: id, step, group }));
             }
         }
-        names
+        ids
     }
 
     pub(crate) fn member_mut(&mut self, name: GroupId, index: u32, server: &BackendServerId) -> Option<&mut Member> {
@@ -80,22 +81,22 @@
         group.members.iter_mut().find(|member| member.index == index && member.server == *server)
     }
 
-    /// Places a run of a group; the starts leave once the store holds it.
+    /// Places a run of a group. Its starts are sent once the store holds the placement.
     pub(crate) fn place(&mut self, name: GroupId, servers: &[(u32, BackendServerId)], now: Moment) {
-        let need = self.step(name).counted_need();
+        let need = self.step(name).counted_resources();
         let run = self.progress_of(name).run.next();
-        let placed: Vec<Placed> = servers.iter().map(|(index, id)| self.placed(*index, id)).collect();
-        let members = placed.iter().map(Member::planned).collect();
+        let placements: Vec<Placement> = servers.iter().map(|(index, id)| self.placement_on(*index, id)).collect();
+        let members = placements.iter().map(Member::planned).collect();
         for (index, id) in servers {
-            let server = self.server_mut(id).expect("only known backend servers are chosen");
+            let server = self.server_mut(id).expect("only tracked backend servers are chosen");
             server.used.add(&need);
             server.members.insert(name.task(*index), run);
         }
         self.log_placement(name, servers, now);
-        self.change(name, |progress| {
+        self.update_progress(name, |progress| {
             progress.run = run;
-            progress.begun = true;
-            progress.placed = placed;
+            progress.started = true;
+            progress.placed = placements;
         });
         let version = self.occurrence(name.occurrence).version;
         let group = self.group_mut(name);
@@ -103,17 +104,17 @@
         group.placed_at = now;
         group.stopping = None;
         group.members = members;
-        self.begin_trial(name);
+        self.begin_isolated_retry(name);
     }
 
-    fn placed(&self, index: u32, id: &BackendServerId) -> Placed {
+    fn placement_on(&self, index: u32, id: &BackendServerId) -> Placement {
         let server = self.servers.get(id);
         let incarnation = server.and_then(|server| server.incarnation);
-        let place = server.and_then(|server| server.info.as_ref()).map_or("", |info| info.place.as_str());
-        Placed { index, server: id.clone(), incarnation, place: Arc::from(place) }
+        let address = server.and_then(|server| server.info.as_ref()).map_or("", |info| info.address.as_str());
+        Placement { index, server: id.clone(), incarnation, address: Arc::from(address) }
     }
 
-    /// Says where a run goes, and what that rests on.
+    /// Logs where a run is placed, with the state that the decision rests on.
     fn log_placement(&mut self, name: GroupId, servers: &[(u32, BackendServerId)], now: Moment) {
         let job = name.occurrence.job;
         let waited = self.group(name).ready_since.map_or(0, |since| now.since(since).millis());
@@ -128,37 +129,37 @@
             servers[0].1,
             progress.failed_runs.len(),
             progress.crashes.len(),
-            progress.saved.is_some(),
+            progress.checkpoint.is_some(),
             self.policy.version,
             self.fence
         );
-        if !self.jobs[&job].occurrences.iter().any(|occurrence| occurrence.progress.begun()) {
-            self.observe_start(job, now);
+        if !self.jobs[&job].occurrences.iter().any(|occurrence| occurrence.progress.started()) {
+            self.observe_job_start(job, now);
         }
     }
 
-    /// A member's run is over; its room is free.
-    pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, saved: Option<Saved>, now: Moment) {
-        let need = self.step(name).counted_need();
+    /// Removes a member whose run has ended, and frees its capacity.
+    pub(crate) fn remove_member(&mut self, name: GroupId, index: u32, checkpoint: Option<Checkpoint>, now: Moment) {
+        let need = self.step(name).counted_resources();
         let checkpoints = self.step(name).checkpoints;
         let group = self.group_mut(name);
-        let Some(at) = group.members.iter().position(|member| member.index == index) else { return };
-        let member = group.members.swap_remove(at);
+        let Some(position) = group.members.iter().position(|member| member.index == index) else { return };
+        let member = group.members.swap_remove(position);
         if group.members.is_empty() {
             group.stopping = None;
             group.ready_since = Some(now);
         }
-        self.plan_wanted = true;
+        self.plan_requested = true;
         if let Some(server) = self.server_mut(&member.server) {
             server.used.remove(&need);
             server.members.remove(&name.task(index));
         }
-        self.look_for_trials(&member.server);
-        let saved = saved.or(member.saved).filter(|_| checkpoints);
-        self.change(name, |progress| {
+        self.refresh_isolated_retry(&member.server);
+        let checkpoint = checkpoint.or(member.checkpoint).filter(|_| checkpoints);
+        self.update_progress(name, |progress| {
             progress.placed.retain(|placed| placed.index != index);
-            if saved.is_some() {
-                progress.saved = saved;
+            if checkpoint.is_some() {
+                progress.checkpoint = checkpoint;
             }
         });
     }
--- a/crates/scheduler/src/stops.rs
+++ b/crates/scheduler/src/stops.rs
@@ -1,17 +1,17 @@
-//! Runs are stopped, or lapse with their lease.
+//! Stops of runs, and runs that lapse because their lease expired.
 
 use jobs::{RunNumber, TaskId};
 use model::{BackendServerId, Moment};
 
 use crate::{
     Scheduler,
-    live::{GroupId, Member, Phase, StopReason},
-    observe::Observation,
+    observations::Observation,
     orders::Order,
+    run_state::{GroupId, Member, Phase, StopReason},
 };
 
 impl Scheduler {
-    /// Stops what there is of a group's run.
+    /// Stops the run of a group, if it has one that is not being stopped yet.
     pub(crate) fn stop_group(&mut self, name: GroupId, reason: StopReason, now: Moment) {
         let group = self.group_mut(name);
         if group.members.is_empty() || group.stopping.is_some() {
@@ -23,7 +23,7 @@
         log::info!("job={} event=stopping step={} group={} why={reason}", name.occurrence.job, name.step, name.group);
         self.observations.push(Observation::Stopped { why: reason.to_string() });
         for member in members {
-            self.touch(&member.server);
+            self.mark_stale(&member.server);
             if member.phase == Phase::Planned {
                 self.remove_member(name, member.index, None, now);
             } else {
@@ -32,8 +32,8 @@
         }
     }
 
-    /// Stops the runs of which a member was placed on a backend server and not ordered yet.
-    pub(crate) fn stop_unordered(&mut self, id: &BackendServerId, reason: StopReason, now: Moment) {
+    /// Stops the runs that have a member placed on a backend server and not ordered yet.
+    pub(crate) fn stop_unsent(&mut self, id: &BackendServerId, reason: StopReason, now: Moment) {
         for name in self.groups_on(id) {
             let unordered = |member: &Member| member.server == *id && member.phase == Phase::Planned;
             if self.group(name).members.iter().any(unordered) {
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Stops again what was stopped a while ago and is still there. A backend server that is out of reach is let be.
+    /// Repeats stops that took no effect in time, except on unresponsive backend servers.
     pub(crate) fn repeat_stops(&mut self, now: Moment) {
         let retry = self.timing.stop_retry;
         let mut due = Vec::new();
-        for server in self.servers.values().filter(|server| server.unanswered == 0) {
+        for server in self.servers.values().filter(|server| server.failed_calls == 0) {
             for task in server.members.keys() {
                 let Some(name) = self.group_of(*task) else { continue };
                 let group = self.group(name);
                 let Some(member) = group.members.iter().find(|member| member.index == task.index) else { continue };
-                let unanswered = member.stop_sent.is_some_and(|sent| sent + retry <= now);
-                if group.stopping.is_some() && unanswered {
+                let is_overdue = member.stop_sent.is_some_and(|sent| sent + retry <= now);
+                if group.stopping.is_some() && is_overdue {
                     due.push((name, member.index, member.server.clone()));
                 }
             }
@@ -62,12 +62,12 @@
         }
     }
 
-    /// Everything that may have run on a backend server is over, without a word of how it ended.
+    /// Lapses everything that may have run on a backend server: it has ended without a completion.
     pub(crate) fn lapse_members(&mut self, id: &BackendServerId, why: &'static str, now: Moment) {
         self.lapse_members_if(id, |_| true, why, now);
     }
 
-    /// The same for some of them.
+    /// Lapses the members of a backend server for which `which` returns true.
     pub(crate) fn lapse_members_if(
         &mut self,
         id: &BackendServerId,
@@ -76,12 +76,12 @@
         now: Moment,
     ) {
         let Some(server) = self.servers.get(id) else { return };
-        let heard = server.silence.heard;
+        let last_response = server.contact.last_response;
         let members: Vec<(TaskId, RunNumber)> = server.members.iter().map(|(task, run)| (*task, *run)).collect();
         for (task, run) in members {
             let Some(name) = self.group_of(task) else { continue };
             let Some(member) = self.member_mut(name, task.index, id).filter(|member| which(member)) else { continue };
-            let at_work = member.known_at_work(heard);
+            let at_work = member.known_run_time(last_response);
             log::info!(
                 "job={} event=lapsed task={task} run={run} server={id} why={why} at_work_ms={}",
                 task.occurrence.job,
@@ -93,14 +93,14 @@
         }
     }
 
-    /// A stop was answered: the run ends, or never begins.
+    /// Handles the response to a stop: the run ends, or never starts.
     pub fn stop_replied(&mut self, server: &BackendServerId, task: TaskId, run: RunNumber, now: Moment) {
         let Some(name) = self.group_of(task) else { return };
         if self.progress_of(name).run != run {
             return;
         }
         if let Some(member) = self.member_mut(name, task.index, server) {
-            member.settled = Some(now);
+            member.confirmed_at = Some(now);
             member.stop_sent = None;
         }
     }
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -2,11 +2,11 @@
 
 use std::{fmt::Write, sync::Arc, time::Instant};
 
-use jobs::{Fence, Job, JobId, Need, Step};
+use jobs::{Fence, Job, JobId, Resources, Step};
 use model::{AvailabilityZoneId, BackendServerId, Duration, Moment, Revision};
 use scheduler::{
-    EvacuatedBy, Listing, Order, Place, Policy, QueuePolicy, RunningTask, Scheduler, ServerInfo, ServiceId, StartReply,
-    Timing, Tuning,
+    EvacuatedBy, Listing, Order, Policy, QueuePolicy, RunningTask, Scheduler, ServerAddress, ServerInfo, ServiceId,
+    StartReply, Timing, Tuning,
 };
 
 const SERVICE: &str = "service";
@@ -145,9 +145,9 @@
 
     /// Stores everything and answers all orders.
     fn settle(&mut self) -> Vec<(BackendServerId, jobs::TaskId, jobs::RunNumber)> {
-        while let Some(batch) = self.scheduler.next_batch(15) {
+        while let Some(batch) = self.scheduler.next_write_batch(15) {
             self.revision += 1;
-            self.scheduler.stored(batch, Revision(self.revision));
+            self.scheduler.batch_stored(batch, Revision(self.revision));
         }
         let mut started = Vec::new();
         for order in self.scheduler.take_orders() {
@@ -171,9 +171,19 @@
         self.plan();
         let (server, task, run) = self.settle().pop().expect("there is room for urgent work");
         self.serial += 1;
-        let end = scheduler::End { serial: self.serial, task, run, kind: scheduler::EndKind::Done, saved: None };
-        let listing =
-            Listing { running: Vec::<RunningTask>::new(), ended: vec![end], more_ends: true, ..Listing::default() };
+        let end = scheduler::Completion {
+            serial: self.serial,
+            task,
+            run,
+            kind: scheduler::CompletionKind::Done,
+            checkpoint: None,
+        };
+        let listing = Listing {
+            running: Vec::<RunningTask>::new(),
+            completions: vec![end],
+            more_completions: true,
+            ..Listing::default()
+        };
         self.scheduler.listing(&server, &listing, self.now, self.now);
         let took = self.plan();
         self.settle();
@@ -198,7 +208,7 @@
         self.scheduler.evacuate(&zone, EvacuatedBy::Platform, self.now);
         let closing = begun.elapsed().as_secs_f64() * 1e6;
         let took = closing + self.plan();
-        self.scheduler.take_back(&zone, EvacuatedBy::Platform);
+        self.scheduler.end_evacuation(&zone, EvacuatedBy::Platform);
         self.scheduler.cancel(id, self.now);
         self.settle();
         took
@@ -210,7 +220,7 @@
 }
 
 fn step(count: u32, accelerators: u64) -> Step {
-    let need = Need { cpu_milli: 1000 * accelerators, memory_mb: 100, accelerators };
+    let need = Resources { cpu_milli: 1000 * accelerators, memory_mb: 100, accelerators };
     Step { count, need, estimate: Duration::from_secs(5), ..Step::default() }
 }
 
@@ -225,8 +235,8 @@
         availability_zone: zone(i),
         labels: vec![Arc::clone(&rack), Arc::from("a")],
         rack,
-        place: Place::from(format!("10.1.{}.{}:8648", i / 250, i % 250).as_str()),
-        capacity: Need { cpu_milli: 32_000, memory_mb: 64_000, accelerators: ACCELERATORS },
+        address: ServerAddress::from(format!("10.1.{}.{}:8648", i / 250, i % 250).as_str()),
+        capacity: Resources { cpu_milli: 32_000, memory_mb: 64_000, accelerators: ACCELERATORS },
         draining: false,
         remaining: None,
         incarnation: None,
@@ -240,7 +250,7 @@
         stretch: 3.0,
         objective: Duration::from_secs(1000),
         service: ServiceId::from(SERVICE),
-        advice: None,
+        permits: None,
     };
     let queues =
         [("urgent", 0), ("batch", 1), ("archive", 2)].map(|(name, priority)| (name.into(), queue(priority))).into();
