--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -22,7 +22,7 @@
     front::{Front, Readiness},
     machines::HttpMachines,
     permits::HttpPermitService,
-    servers::Servers,
+    servers::HttpBackendServers,
     store::Store,
 };
 
@@ -55,7 +55,7 @@
         settings.runtime.clone(),
         peers,
         Store::new(Client::new(Purpose::Store), settings.store_address),
-        Arc::new(Servers::with_order_connections(settings.runtime.capacity.order_connections)),
+        Arc::new(HttpBackendServers::with_order_connections(settings.runtime.capacity.order_connections)),
         Arc::new(PlatformDecoder),
         optional_services(&settings),
         Arc::clone(&clock),
--- a/crates/martend/tests/own_election.rs
+++ b/crates/martend/tests/own_election.rs
@@ -18,7 +18,7 @@
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, SystemClock, Transaction, Watched};
 use runtime::{OptionalServices, RunningBox};
 use smol::net::TcpListener;
-use users_platform::{decode::PlatformDecoder, servers::Servers, store::Store};
+use users_platform::{decode::PlatformDecoder, servers::HttpBackendServers, store::Store};
 use users_platform_standin::{BoxAddrs, Setup, Work, free_addrs};
 
 const BOX: &str = "box-s";
@@ -79,7 +79,7 @@
         .expect("the temporary directory can be written");
     let settings = read(&path.to_string_lossy()).expect("the settings can be used").runtime;
     let listener = TcpListener::bind(settings.peers_address).await.expect("its address is free");
-    let (servers, decoder) = (Arc::new(Servers::default()), Arc::new(PlatformDecoder));
+    let (servers, decoder) = (Arc::new(HttpBackendServers::default()), Arc::new(PlatformDecoder));
     let clock = Arc::new(SystemClock::default());
     RunningBox::start(settings, listener, store, servers, decoder, OptionalServices::default(), clock)
 }
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -26,7 +26,7 @@
 };
 use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
-use users_platform::{decode::PlatformDecoder, machines::HttpMachines, servers::Servers, store::Store};
+use users_platform::{decode::PlatformDecoder, machines::HttpMachines, servers::HttpBackendServers, store::Store};
 use users_platform_standin::{Padding, Setup, Work, free_addrs};
 
 const WORK: Work = Work { tasks: 1, accelerators: 1, work_ms: 20_000, gang: false };
@@ -52,7 +52,7 @@
 
 /// Backend servers whose first start is under way until the gate opens.
 struct Gated {
-    servers: Servers,
+    servers: HttpBackendServers,
     gate: channel::Receiver<()>,
     starts: AtomicUsize,
     /// Leases that were renewed since the gate opened.
@@ -159,7 +159,7 @@
         let mut world = with_open_jobs().await;
         let (open, gate) = channel::bounded::<()>(1);
         let servers = Arc::new(Gated {
-            servers: Servers::default(),
+            servers: HttpBackendServers::default(),
             gate,
             starts: AtomicUsize::new(0),
             renewed: AtomicUsize::new(0),
@@ -197,7 +197,8 @@
         });
         let clock = Arc::new(JumpingClock::default());
         let beside = OptionalServices { machines: Some(machines.clone()), ..OptionalServices::default() };
-        let a_box = start_in_this_process(&world, Arc::new(Servers::default()), beside, Arc::clone(&clock)).await;
+        let a_box =
+            start_in_this_process(&world, Arc::new(HttpBackendServers::default()), beside, Arc::clone(&clock)).await;
         until("the machines are asked for", || async { machines.listed.load(Ordering::SeqCst) == 1 }).await;
         world.platform.set_store_down(true);
         clock.ahead_ms.store(SUSPENDED.millis(), Ordering::SeqCst);
