--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -23,7 +23,7 @@
     machines::HttpMachines,
     permits::HttpPermitService,
     servers::HttpBackendServers,
-    store::Store,
+    store::HttpStore,
 };
 
 use self::operators::OperatorApi;
@@ -54,7 +54,7 @@
     let this_box = Arc::new(RunningBox::start(
         settings.runtime.clone(),
         peers,
-        Store::new(Client::new(Purpose::Store), settings.store_address),
+        HttpStore::new(Client::new(Purpose::Store), settings.store_address),
         Arc::new(HttpBackendServers::with_order_connections(settings.runtime.capacity.order_connections)),
         Arc::new(PlatformDecoder),
         optional_services(&settings),
--- a/crates/martend/tests/own_election.rs
+++ b/crates/martend/tests/own_election.rs
@@ -18,7 +18,7 @@
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, SystemClock, Transaction, Watched};
 use runtime::{OptionalServices, RunningBox};
 use smol::net::TcpListener;
-use users_platform::{decode::PlatformDecoder, servers::HttpBackendServers, store::Store};
+use users_platform::{decode::PlatformDecoder, servers::HttpBackendServers, store::HttpStore};
 use users_platform_standin::{BoxAddrs, Setup, Work, free_addrs};
 
 const BOX: &str = "box-s";
@@ -30,7 +30,7 @@
 const RUNS_AGAIN_WITHIN: StdDuration = StdDuration::from_secs(7);
 
 /// The platform's store, whose answers to an election are late.
-struct LateStore(Store);
+struct LateStore(HttpStore);
 
 impl CoordinationStore for LateStore {
     fn get(&self, key: String) -> BoxFuture<'_, Result<Option<Item>, StoreError>> {
@@ -101,7 +101,7 @@
         until("no earlier scheduler goes on", || async { earlier_are_known(&world) }).await;
         until("there are witnesses", || async { world.platform.read("marten/witnesses").is_some() }).await;
         let addrs = free_addrs();
-        let store = LateStore(Store::new(Client::default(), world.platform.store_addr));
+        let store = LateStore(HttpStore::new(Client::default(), world.platform.store_addr));
         let next = start_in_this_process(&world, &addrs, store).await;
         smol::Timer::after(StdDuration::from_secs(1)).await;
         let place = oracle.running_on(job).expect("it runs");
--- a/crates/martend/tests/renounced.rs
+++ b/crates/martend/tests/renounced.rs
@@ -20,7 +20,7 @@
 use outside::{Committed, CoordinationStore, Item, LeaseId, Page, StoreError, SystemClock, Transaction, Watched};
 use runtime::{OptionalServices, RunningBox};
 use smol::{channel, net::TcpListener};
-use users_platform::{decode::PlatformDecoder, servers::HttpBackendServers, store::Store};
+use users_platform::{decode::PlatformDecoder, servers::HttpBackendServers, store::HttpStore};
 use users_platform_standin::{BoxAddrs, Setup, free_addrs};
 use wire::relay::{TermEndedReply, TermEndedRequest, relay_client::RelayClient};
 
@@ -31,7 +31,7 @@
 
 /// The platform's store, whose first answer to an election waits.
 struct LateStore {
-    store: Store,
+    store: HttpStore,
     is_first: AtomicBool,
     /// Takes the fence of the election that waits.
     won: channel::Sender<u64>,
@@ -109,7 +109,7 @@
         let world = World::start_on(0, &Setup { servers: 1, key: KEY.to_owned(), ..Setup::default() }).await;
         let (won, elected) = channel::bounded(1);
         let (open, gate) = channel::bounded::<()>(1);
-        let store = Store::new(Client::default(), world.platform.store_addr);
+        let store = HttpStore::new(Client::default(), world.platform.store_addr);
         let addrs = free_addrs();
         let late = LateStore { store, is_first: AtomicBool::new(true), won, gate };
         let a_box = start_in_this_process(&world, &addrs, late).await;
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -26,7 +26,7 @@
 };
 use scheduler::{Machine, MachineId, MaintenanceReply, StartReply};
 use smol::{channel, net::TcpListener};
-use users_platform::{decode::PlatformDecoder, machines::HttpMachines, servers::HttpBackendServers, store::Store};
+use users_platform::{decode::PlatformDecoder, machines::HttpMachines, servers::HttpBackendServers, store::HttpStore};
 use users_platform_standin::{Padding, Setup, Work, free_addrs};
 
 const WORK: Work = Work { tasks: 1, accelerators: 1, work_ms: 20_000, gang: false };
@@ -149,7 +149,7 @@
         .expect("the temporary directory can be written");
     let settings = read(&path.to_string_lossy()).expect("the settings can be used");
     let listener = TcpListener::bind(settings.runtime.peers_address).await.expect("its address is free");
-    let store = Store::new(Client::default(), settings.store_address);
+    let store = HttpStore::new(Client::default(), settings.store_address);
     RunningBox::start(settings.runtime, listener, store, servers, Arc::new(PlatformDecoder), beside, clock)
 }
 
