--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -18,8 +18,8 @@
 };
 use smol::net::TcpListener;
 use users_platform::{
+    caller_api::{CallerApi, Readiness},
     decode::PlatformDecoder,
-    front::{Front, Readiness},
     machines::HttpMachines,
     permits::HttpPermitService,
     servers::HttpBackendServers,
@@ -60,7 +60,7 @@
         optional_services(&settings),
         Arc::clone(&clock),
     ));
-    let front = Front { requests: Arc::clone(&this_box.requests), view: Arc::clone(&this_box.view), clock };
+    let front = CallerApi { requests: Arc::clone(&this_box.requests), view: Arc::clone(&this_box.view), clock };
     let (taking, stop) = smol::channel::bounded::<()>(1);
     let limits = ServerLimits { connections: MOST_CONNECTIONS, ..ServerLimits::default() };
     let serving = smol::spawn(serve_until(callers, Arc::new(front), Purpose::Callers, limits, stop));
