--- a/crates/martend/tests/returned.rs
+++ b/crates/martend/tests/returned.rs
@@ -17,7 +17,7 @@
         let mut world = World::start(1, 1).await;
         world.submit(JobId(1), SHORT).await;
         world.until_succeeded(0, 1..2, 6).await;
-        world.platform.return_server(0).await.expect("its address is free");
+        world.platform.restart_server(0).await.expect("its address is free");
         world.submit(JobId(2), LONGER).await;
         world.until_succeeded(0, 2..3, 4).await;
         assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
--- a/crates/martend/tests/soak/faults.rs
+++ b/crates/martend/tests/soak/faults.rs
@@ -153,7 +153,7 @@
         Fault::CrashServer(i) => {
             let mut platform = world.platform.lock().await;
             let keeps_id = world.returns && lasts.as_millis() % 2 == 1;
-            let crashed = if keeps_id { platform.return_server(i).await } else { platform.crash_server(i).await };
+            let crashed = if keeps_id { platform.restart_server(i).await } else { platform.crash_server(i).await };
             crashed.expect("its address is free again");
         }
         Fault::Configure => world.configure().await,
