--- a/crates/martend/tests/crashing.rs
+++ b/crates/martend/tests/crashing.rs
@@ -76,7 +76,7 @@
         let world = with_an_entry_left_over(1).await;
         world.platform.suppress_watch_events(true);
         world.platform.write("elsewhere", b"{}");
-        world.platform.forget_history();
+        world.platform.compact_history();
         world.platform.suppress_watch_events(false);
         check_undisturbed(&world).await;
     });
--- a/crates/martend/tests/other_writers.rs
+++ b/crates/martend/tests/other_writers.rs
@@ -33,7 +33,7 @@
         if again {
             world.platform.suppress_watch_events(true);
             world.platform.write("elsewhere", b"{}");
-            world.platform.forget_history();
+            world.platform.compact_history();
             world.platform.suppress_watch_events(false);
         }
         smol::Timer::after(Duration::from_millis(SEEN_MS)).await;
--- a/crates/martend/tests/soak/faults.rs
+++ b/crates/martend/tests/soak/faults.rs
@@ -149,7 +149,7 @@
             smol::Timer::after(lasts).await;
             world.platform.lock().await.set_store_down(false);
         }
-        Fault::ForgetHistory => forget_history(world, lasts).await,
+        Fault::ForgetHistory => compact_history(world, lasts).await,
         Fault::CrashServer(i) => {
             let mut platform = world.platform.lock().await;
             let keeps_id = world.returns && lasts.as_millis() % 2 == 1;
@@ -220,11 +220,11 @@
 }
 
 /// Watches hear nothing for a second at most, and then what has changed meanwhile is gone.
-async fn forget_history(world: &World, lasts: Duration) {
+async fn compact_history(world: &World, lasts: Duration) {
     world.platform.lock().await.suppress_watch_events(true);
     smol::Timer::after(lasts.min(Duration::from_secs(1))).await;
     let platform = world.platform.lock().await;
-    platform.forget_history();
+    platform.compact_history();
     platform.suppress_watch_events(false);
 }
 
