--- a/crates/martend/tests/recovery.rs
+++ b/crates/martend/tests/recovery.rs
@@ -60,14 +60,14 @@
 fn a_page_that_is_lost_is_asked_for_again_by_itself() {
     smol::block_on(async {
         let mut world = with_open_jobs(16).await;
-        let asked_before = world.platform.pages_asked(INTAKE);
+        let asked_before = world.platform.pages_requested(INTAKE);
         let link = SlowLink::start(world.platform.store_addr, 4_000_000).await.expect("loopback can be used");
         link.break_after(800_000);
         run_all_behind(&mut world, &link).await;
         assert!(link.has_broken());
         // Each page but the first begins with the last key of the one before.
         let pages = 1 + (OPEN as usize - 16).div_ceil(15);
-        let asked = world.platform.pages_asked(INTAKE) - asked_before;
+        let asked = world.platform.pages_requested(INTAKE) - asked_before;
         assert_eq!(asked, pages + 1, "only the lost one was asked for twice");
     });
 }
