--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -18,12 +18,12 @@
 };
 use smol::net::TcpListener;
 use users_platform::{
+    caller_api::{CallerApi, Readiness},
     decode::PlatformDecoder,
-    front::{Front, Readiness},
     machines::HttpMachines,
     permits::HttpPermitService,
-    servers::Servers,
-    store::Store,
+    servers::HttpBackendServers,
+    store::HttpStore,
 };
 
 use self::operators::OperatorApi;
@@ -54,13 +54,13 @@
     let this_box = Arc::new(RunningBox::start(
         settings.runtime.clone(),
         peers,
-        Store::new(Client::new(Purpose::Store), settings.store_address),
-        Arc::new(Servers::with_order_connections(settings.runtime.capacity.order_connections)),
+        HttpStore::new(Client::new(Purpose::Store), settings.store_address),
+        Arc::new(HttpBackendServers::with_order_connections(settings.runtime.capacity.order_connections)),
         Arc::new(PlatformDecoder),
         optional_services(&settings),
         Arc::clone(&clock),
     ));
-    let front = Front { requests: Arc::clone(&this_box.requests), view: Arc::clone(&this_box.view), clock };
+    let front = CallerApi { requests: Arc::clone(&this_box.requests), view: Arc::clone(&this_box.view), clock };
     let (taking, stop) = smol::channel::bounded::<()>(1);
     let limits = ServerLimits { connections: MOST_CONNECTIONS, ..ServerLimits::default() };
     let serving = smol::spawn(serve_until(callers, Arc::new(front), Purpose::Callers, limits, stop));
