--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -1,4 +1,8 @@
-//! The configuration on this box: from the store, from peers and from backend servers, and on to them.
+//! The configuration on this box: received from the store and from peers, and passed on to peers and backend
+//! servers.
+//!
+//! The store may be unreachable from an availability zone, so boxes also fetch a newer revision from each
+//! other; heartbeats and backend servers report the revisions that they have.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,22 +15,22 @@
     BackendOp, CallerReply, EntryBox, Observation, OpId, PeerReply, PeerRequest, entry_box::Op, waiters::Respondent,
 };
 
-/// A watch on the store that failed is sent again after this.
+/// Delay before a failed watch on the store is sent again.
 const WATCH_RETRY: Duration = Duration::from_secs(1);
-/// A backend server that does not take the configuration is told again after this.
+/// Shortest time between two deliveries of the configuration to one backend server.
 const CONFIGURE_RETRY: Duration = Duration::from_secs(2);
 
-/// What is on its way.
+/// State of the configuration's watch, fetches and deliveries.
 #[derive(Default)]
 pub(crate) struct ConfigState {
     watch: Option<OpId>,
     watch_at: Moment,
-    /// The store's version of the configuration.
+    /// The store's version of the configuration; 0 until it was read.
     version: u64,
     fetching: bool,
-    /// When each backend server was last told.
+    /// When the configuration was last sent to each backend server.
     told: BTreeMap<BackendServerId, Moment>,
-    /// When ends of claims are written again.
+    /// When ends of claims that could not be written are written again; `None` if there are none.
     pub(crate) retry_ends_at: Option<Moment>,
 }
 
@@ -36,7 +40,7 @@
         if waiting || self.config.watch_at > now {
             return;
         }
-        // The first read must not wait for a change.
+        // The first read returns what is stored, without waiting for a change.
         let wait = if self.config.version == 0 { Duration::ZERO } else { self.limits.watch };
         let above = self.config.version;
         let op = self.new_op(Op::WatchConfiguration);
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Takes a document, whoever sent it; the highest revision wins.
+    /// Takes a configuration document from any source; the highest revision wins.
     pub(crate) fn take_document(&mut self, text: &str, now: Moment) {
         match self.current.take(text) {
             Ok(Taken::InForce) => self.in_force(now),
@@ -77,7 +81,7 @@
         self.out.push(crate::Output::Configured(file));
         self.observe(Observation::InForce { revision: self.current.revision() });
         self.config.told.clear();
-        // Peers hear of it with a heartbeat at once, rather than with the next.
+        // An immediate heartbeat reports the new revision to the peers.
         self.last_heartbeat = None;
         self.send_heartbeats(now);
         for server in servers {
@@ -100,7 +104,7 @@
         }
     }
 
-    /// A backend server said which revision it matches.
+    /// Handles the revision that a backend server reports to match.
     pub(crate) fn on_server_revision(&mut self, server: &BackendServerId, revision: Revision, now: Moment) {
         if revision < self.current.revision() {
             self.tell_server(server, now);
@@ -109,7 +113,8 @@
         }
     }
 
-    /// Only the planner tells backend servers, unless it fails to: then whoever sees it.
+    /// Sends the configuration to a backend server that lags behind this box. Every box does so, not the
+    /// planner alone, so a failed planner does not delay a revision.
     fn tell_server(&mut self, server: &BackendServerId, now: Moment) {
         let Some(document) = self.current.document().cloned() else { return };
         if self.config.told.get(server).is_some_and(|at| now.since(*at) < CONFIGURE_RETRY) {
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,9 +1,20 @@
-//! One entry box, without I/O: what it does with each message, reply and tick.
+//! The state machine of one entry box, without I/O.
 //!
-//! An [`EntryBox`] joins the parts: `lifecycle` for its own jobs, `membership` for its peers,
-//! `spread` for the configuration, `policy` while it plans. It takes an [`Input`] and the time and
-//! gives [`Output`]s for its host to carry out. Several of them, with stand-ins for the outside,
-//! run against each other in one thread and virtual time.
+//! An [`EntryBox`] combines `lifecycle` for its own jobs, `membership` for its peers, `spread` for the
+//! configuration and `policy` for planning. It takes an [`Input`] and the current time and returns the
+//! [`Output`]s that its host carries out. Without I/O of its own, several boxes run against each other in
+//! one thread and in virtual time, with stand-ins for the external systems.
+//!
+//! Terms of this crate:
+//!
+//! - A *ticket* is the right to make the first start of a request. The box that *minted* it alone may use it.
+//! - An *attempt* is one try to run a whole gang. Its token orders it after earlier attempts.
+//! - The *holder* of a job is the incarnation of a box that renews the leases of its gang.
+//! - The *planner* is the box that decides for its availability zone which job starts where. Other boxes send
+//!   it *offers* of their waiting jobs, and it replies with *grants* to start them.
+//! - A *claim* is the record in the platform's store of the ticket under which a request runs.
+//! - *Fencing* a ticket makes the backend servers refuse it from then on.
+//! - *Adoption* is the takeover of a gang whose holder has terminated.
 //!
 //! ```
 //! use entry::{EntryBox, Identity, Input, Limits, Output};
@@ -17,7 +28,7 @@
 //! };
 //! let planner = Box::new(policy::CellPlanner::new(zone));
 //! let mut entry = EntryBox::new(identity, Limits::default(), Vec::new(), planner, Moment::ZERO);
-//! // The first thing that it wants is the configuration.
+//! // A new box first reads the configuration.
 //! let outputs = entry.handle(Input::Tick, Moment::ZERO);
 //! assert!(outputs.iter().any(|output| matches!(output, Output::CallStore { .. })));
 //! ```
--- a/crates/entry/src/message.rs
+++ b/crates/entry/src/message.rs
@@ -1,4 +1,4 @@
-//! What goes into an entry box and what comes out.
+//! Inputs and outputs of an entry box, and the messages that they carry.
 
 use std::sync::Arc;
 
@@ -15,231 +15,235 @@
 
 use crate::StatusReport;
 
-/// Whom the host is to give a reply; the host's own number for a caller or peer that waits.
+/// Identifies a caller or peer that waits for a reply; the host assigns the number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 pub struct ReplyTo(pub u64);
 
-/// The entry box's number for something that it waits for.
+/// Identifies an operation of the entry box that waits for a reply of a peer or of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Display)]
 pub struct OpId(pub u64);
 
-/// What a reply of a backend server belongs to.
+/// Purpose of a call to a backend server; returned with its reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendOp {
-    /// A step in the life of a job.
+    /// A step in the lifecycle of a job.
     Job,
-    /// The replica of its lease table.
+    /// A watch on the server's lease table, for the replica of it.
     Watch,
-    /// Telling it the configuration.
+    /// Delivers the configuration.
     Configure,
-    /// Stopping a gang to make room.
+    /// Checkpoints and stops a gang to free its resources for other jobs.
     Preempt,
-    /// Ending the ticket of a box that is gone.
+    /// Fences the ticket of a box that has terminated: the server refuses the ticket from then on.
     Fence(OpId),
 }
 
-/// A job handed in.
+/// A request to run a job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Submission {
-    /// What is asked for.
+    /// Specification of the job.
     pub spec: JobSpec,
-    /// How long the reply may wait for the job's end.
+    /// How long the reply may wait for the job's end; zero for a reply at once.
     pub wait: Duration,
-    /// Whether the job must outlive this box, also while it waits.
+    /// Whether the job must survive the failure of this box, also while it is queued.
     pub durable: bool,
-    /// Whether the caller has sent it before, so that it may be known elsewhere.
+    /// Whether the caller has sent the request before, so that another box may already have it.
     pub retry: bool,
-    /// A ticket minted earlier, with which a request that may run only once needs no store.
+    /// A ticket minted earlier for this request, the right to make its first start. With it, a request that
+    /// may run only once needs no claim in the store; `None` if the caller has none.
     pub ticket: Option<JobId>,
-    /// Whether it goes on from a checkpoint; set only by a box that hands it over.
+    /// Whether the job resumes from a checkpoint; set only by a box that hands the job over.
     pub resume: bool,
-    /// Whether an earlier ticket for it may have run, so that it can never be said not to have run.
+    /// Whether the job may have run under an earlier ticket, so that it must never be reported as not run.
     pub may_have_run: bool,
 }
 
-/// What a caller or an operator asks.
+/// A request of a caller or an operator.
 #[derive(Debug, Clone, PartialEq)]
 #[expect(missing_docs, reason = "the fields name the job as in `JobSpec`")]
 pub enum CallerRequest {
-    /// Run a job.
+    /// Runs a job.
     Submit(Submission),
-    /// How does it stand, and what is the answer?
+    /// Returns the state of a job, or its answer once it has ended.
     Poll { customer: CustomerId, request: RequestId, wait: Duration },
-    /// Take it back.
+    /// Cancels a job.
     Cancel { customer: CustomerId, request: RequestId },
-    /// The whole answer has arrived.
+    /// Confirms that the caller has received the whole answer, so that it need not be kept.
     Acknowledge { customer: CustomerId, request: RequestId },
-    /// Make a ticket.
+    /// Mints a ticket.
     Mint,
-    /// Put a file in force that was edited from revision `base`.
+    /// Puts an operators' file into force that was edited from revision `base`.
     Apply { id: ApplyId, base: Revision, file: OperatorFile },
-    /// The document in force.
+    /// Returns the configuration document in force.
     Configuration,
-    /// The state of this box and of its availability zone.
+    /// Returns the state of this box and of its availability zone.
     Status,
 }
 
-/// How a job stands, as callers and other boxes are told.
+/// State of a job, as reported to callers and to other boxes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "status", rename_all = "snake_case")]
 pub enum JobAnswer {
-    /// Not over yet.
+    /// Has not ended.
     Pending {
-        /// Its ticket, once there is one.
+        /// Its ticket; `None` until its claim is stored.
         job: Option<JobId>,
         /// `claiming`, `waiting`, `starting`, `running`, `stopping` or `recording`.
         stage: String,
     },
-    /// Over.
+    /// Has ended, and the answer is at hand.
     Ended {
         /// Its ticket.
         job: JobId,
-        /// How it ended.
+        /// Its outcome, with the answer if it was done.
         outcome: Outcome,
     },
-    /// It cannot be told now; not final.
+    /// The state can't be determined now; not final.
     Unsettled {
-        /// Why.
+        /// Explanation for the caller.
         why: String,
-        /// When to ask again.
+        /// How long to wait before the next poll.
         retry_after: Duration,
     },
-    /// Its box gave it up to another, which is gone, and its gang does not stand: its ticket has to
-    /// be settled. Told among boxes only; a caller is told to send its request again.
+    /// The box that had the job handed it to another, which has terminated, and the gang is no longer whole:
+    /// the ticket has to be fenced before the request can run again. Sent between boxes only; a caller is
+    /// asked to send its request again.
     Orphaned,
-    /// No such request is known.
+    /// The request is unknown.
     NotKnown,
-    /// The request name stands for another request of this customer.
+    /// The customer uses this request name for another request.
     NameInUse,
-    /// It ended before, and its answer has been acknowledged.
+    /// Has ended, and its answer was acknowledged or is no longer kept.
     Over {
-        /// The name of the outcome.
+        /// Name of the outcome.
         outcome: String,
     },
 }
 
-/// What the host gives a caller.
+/// A reply to a [`CallerRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerReply {
-    /// To everything about a job.
+    /// Replies to `Submit`, `Poll`, `Cancel` and `Acknowledge`.
     Job(JobAnswer),
-    /// To `Mint`.
+    /// Replies to `Mint`.
     Ticket(JobId),
-    /// To `Apply`.
+    /// Replies to `Apply`.
     Applied(Applied),
-    /// To `Configuration`.
+    /// Replies to `Configuration`; `None` if no configuration is in force.
     Configuration(Option<Arc<str>>),
-    /// To `Status`.
+    /// Replies to `Status`.
     Status(Box<StatusReport>),
 }
 
-/// What boxes ask each other.
+/// A request of one entry box to another.
 #[derive(Debug, Clone, PartialEq)]
 #[expect(missing_docs, reason = "the fields name the job as in `JobSpec`")]
 pub enum PeerRequest {
-    /// I am live.
+    /// Reports that the sender is live, and the revision in force there.
     Heartbeat { from: BoxId, incarnation: Incarnation, revision: Revision, leaving: bool },
-    /// My waiting jobs, or what changed of them since the offer before.
+    /// Offers the sender's waiting jobs to the planner: all of them if `full`, otherwise the changes since
+    /// the previous offer.
     Offer { from: BoxId, incarnation: Incarnation, seq: u64, full: bool, added: Vec<Queued>, removed: Vec<JobId> },
-    /// Where your jobs may start, and which of them never can.
+    /// Grants starts on the given members, and refuses jobs that can never run, each with the reason.
     Grant { starts: Vec<(JobId, Vec<Member>)>, refusals: Vec<(JobId, String)> },
-    /// How does this request stand? Passed on within the answering box's availability zone only if
-    /// asked from outside it.
-    /// With a ticket, only the process that minted it may say that it knows nothing.
+    /// Asks for the state of a request. The receiver forwards it within its availability zone only if
+    /// `pass_on` is set, by a sender of another availability zone. With a ticket, only the process that
+    /// minted that ticket may reply that the request is unknown.
     Lookup { customer: CustomerId, request: RequestId, wait: Duration, ticket: Option<JobId>, pass_on: bool },
-    /// Take it back.
+    /// Cancels a job.
     Cancel { customer: CustomerId, request: RequestId, pass_on: bool },
-    /// The caller has its answer.
+    /// Confirms that the caller has received the answer.
     Acknowledge { customer: CustomerId, request: RequestId, pass_on: bool },
-    /// Take this job: its claim belongs to your availability zone, or its ticket to you.
+    /// Submits a job whose claim belongs to the receiver's availability zone, or whose ticket the receiver
+    /// minted.
     Submit(Submission),
-    /// Your document.
+    /// Asks for the receiver's configuration document.
     FetchConfiguration,
 }
 
-/// What they answer.
+/// A reply to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum PeerReply {
-    /// To `Heartbeat`.
+    /// Replies to `Heartbeat`.
     Heartbeat {
-        /// The answering process's life.
+        /// Incarnation of the responding process.
         incarnation: Incarnation,
-        /// The revision in force there.
+        /// Revision in force there.
         revision: Revision,
-        /// Whether that box is leaving.
+        /// Whether that box is draining.
         leaving: bool,
     },
-    /// To `Offer`.
+    /// Replies to `Offer`.
     Offered {
-        /// Whether the next offer must hold the whole queue.
+        /// Whether the next offer must contain the whole queue.
         need_full: bool,
     },
-    /// To `Grant`.
+    /// Replies to `Grant`.
     Granted,
-    /// To everything about a job.
+    /// Replies to `Lookup`, `Cancel`, `Acknowledge` and `Submit`.
     Job(JobAnswer),
-    /// To `FetchConfiguration`.
+    /// Replies to `FetchConfiguration`; `None` if no configuration is in force.
     Configuration(Option<Arc<str>>),
 }
 
-/// What happens to an entry box.
+/// An event for the entry box to handle.
 #[derive(Debug, Clone, PartialEq)]
-#[expect(missing_docs, reason = "the fields stand for themselves")]
+#[expect(missing_docs, reason = "field names and types describe them")]
 pub enum Input {
     /// Time has passed.
     Tick,
-    /// A caller or operator asks.
+    /// A request of a caller or operator; `to` identifies the reply.
     Caller { to: ReplyTo, req: CallerRequest },
-    /// Another box asks.
+    /// A request of another box; `to` identifies the reply.
     Peer { to: ReplyTo, req: PeerRequest },
-    /// A peer's reply, `None` when none came.
+    /// A peer's reply; `None` if the call failed or timed out.
     PeerReply { op: OpId, peer: BoxId, reply: Option<PeerReply> },
-    /// A backend server's reply, `None` when none came.
+    /// A backend server's reply; `None` if the call failed or timed out.
     BackendReply { op: BackendOp, server: BackendServerId, req: BackendRequest, reply: Option<BackendReply> },
-    /// The store's reply, `None` when none came.
+    /// The store's reply; `None` if the call failed or timed out.
     StoreReply { op: OpId, reply: Option<StoreReply> },
-    /// The platform's list.
+    /// The platform's list of entry boxes.
     Listed(Vec<ListedBox>),
-    /// Leave: take no new work, finish or hand over what there is.
+    /// Starts draining: the box takes no new work and finishes its jobs or hands them over.
     Drain,
 }
 
-/// What an entry box wants done.
+/// An action that the host carries out for the entry box.
 #[derive(Debug, Clone, PartialEq)]
-#[expect(missing_docs, reason = "the fields stand for themselves")]
+#[expect(missing_docs, reason = "field names and types describe them")]
 pub enum Output {
-    /// Reply to a caller or operator.
+    /// Sends a reply to a caller or operator.
     ToCaller { to: ReplyTo, reply: CallerReply },
-    /// Reply to another box.
+    /// Sends a reply to another box.
     ToPeer { to: ReplyTo, reply: PeerReply },
-    /// Ask another box.
+    /// Calls another box; the host reports failure after `limit`.
     CallPeer { op: OpId, peer: BoxId, req: PeerRequest, limit: Duration },
-    /// Ask a backend server.
+    /// Calls a backend server; the host reports failure after `limit`.
     CallBackend { op: BackendOp, server: BackendServerId, req: BackendRequest, limit: Duration },
-    /// Ask the store.
+    /// Calls the store.
     CallStore { op: OpId, req: StoreRequest },
-    /// A configuration came into force.
+    /// Reports a configuration that came into force.
     Configured(Arc<OperatorFile>),
-    /// Something for metrics and logs.
+    /// Reports an event for metrics and logs.
     Observe(Observation),
 }
 
-/// Something for metrics and logs.
+/// An event for metrics and logs.
 #[derive(Debug, Clone, PartialEq)]
-#[expect(missing_docs, reason = "the fields stand for themselves")]
+#[expect(missing_docs, reason = "field names and types describe them")]
 pub enum Observation {
-    /// A job's gang began to run.
+    /// A job's gang started to run, `delay` after the job was taken.
     Started { customer: CustomerId, class: ClassId, delay: Duration },
-    /// A job ended.
+    /// A job ended, `after` it was taken.
     Ended { customer: CustomerId, class: ClassId, outcome: &'static str, after: Duration },
-    /// One round of planning.
+    /// A planning round made decisions.
     Planned { starts: usize, preemptions: usize, queued: usize },
-    /// A revision came into force here.
+    /// A revision came into force on this box.
     InForce { revision: Revision },
-    /// A box took over a gang of another.
+    /// This box adopted a gang whose holder has terminated.
     Adopting { job: JobId },
-    /// A backend server is no longer fed, or is again.
+    /// A backend server was quarantined (`on`) or released from quarantine.
     Quarantine { server: BackendServerId, on: bool },
-    /// Something dropped, refused or lost, by a fixed name.
+    /// A dropped, refused or lost item, counted under a fixed name.
     Count { name: &'static str },
 }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -1,4 +1,4 @@
-//! What a box tells operators of itself and its availability zone.
+//! Status of a box and of its availability zone, as reported to operators.
 
 use std::collections::BTreeMap;
 
@@ -11,79 +11,79 @@
 /// The state of a box and of its availability zone, as that box sees it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StatusReport {
-    /// The box.
+    /// Name of the box.
     pub box_id: BoxId,
-    /// Its life.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone that it serves.
     pub availability_zone: AvailabilityZoneId,
-    /// The revision in force here.
+    /// Revision of the configuration in force on the box.
     pub revision: Revision,
-    /// The highest revision that it has heard of.
+    /// Highest revision that any peer or backend server has reported to it.
     pub heard_of: Revision,
-    /// Whether it is leaving.
+    /// Whether the box is draining.
     pub leaving: bool,
-    /// The box that plans, as seen from here.
+    /// Box that plans for the availability zone, as this box sees it.
     pub planner: BoxId,
-    /// Boxes of the availability zone.
+    /// Peers in the availability zone.
     pub boxes: Vec<BoxStatus>,
     /// Backend servers of the availability zone.
     pub backend_servers: Vec<ServerStatus>,
-    /// This box's own jobs by where they stand.
+    /// Number of this box's own jobs in each stage.
     pub jobs: JobCounts,
 }
 
-/// A peer.
+/// Status of a peer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BoxStatus {
-    /// The box.
+    /// Name of the peer.
     pub id: BoxId,
-    /// Whether it was heard of late.
+    /// Whether a recent heartbeat of it was received.
     pub live: bool,
-    /// Whether it said that it is leaving.
+    /// Whether it reported that it is draining.
     pub leaving: bool,
-    /// How often it came back after a gap.
+    /// Number of its returns after a gap or with a new incarnation.
     pub returns: u32,
 }
 
-/// A backend server.
+/// Status of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerStatus {
-    /// The backend server.
+    /// Name of the backend server.
     pub id: BackendServerId,
-    /// Whether it is given new work.
+    /// Whether it may get new work.
     pub open: bool,
-    /// Why it is not, or why it lags; empty if neither.
+    /// Why it gets no new work, or lags behind the configuration; empty if neither.
     pub why: String,
-    /// The configuration that it matches.
+    /// Revision of the configuration that it matches; 0 until it has reported one.
     pub revision: Revision,
-    /// What its worker has.
+    /// Resources of its worker, according to the operators' file.
     pub resources: Resources,
-    /// What is held there.
+    /// Resources that leases hold there.
     pub held: Resources,
-    /// Leases that hold it.
+    /// Number of leases that hold resources there.
     pub leases: usize,
 }
 
-/// Jobs by where they stand.
+/// Number of jobs in each stage.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobCounts {
-    /// In the queue.
+    /// Jobs in the queue.
     pub waiting: usize,
-    /// Reserving or starting.
+    /// Jobs whose gangs are reserving resources or starting.
     pub starting: usize,
-    /// Running.
+    /// Jobs whose gangs run.
     pub running: usize,
-    /// Being stopped.
+    /// Jobs whose gangs are being stopped.
     pub stopping: usize,
-    /// Ended and still remembered.
+    /// Jobs that have ended and are still recorded.
     pub ended: usize,
-    /// Held by another box.
+    /// Jobs that another box holds now, and jobs whose ticket is void.
     pub moved: usize,
 }
 
 impl EntryBox {
-    /// The state of this box.
+    /// Returns the state of this box and of its availability zone.
     pub fn status(&self, now: Moment) -> StatusReport {
         let peers = self.view.peers().iter().map(|(id, status)| BoxStatus {
             id: id.clone(),
@@ -167,7 +167,7 @@
         counts
     }
 
-    /// Waiting jobs of this box by customer and class, for gauges.
+    /// Returns the number of this box's waiting jobs by customer and class, for metrics.
     pub fn queue_lengths(&self) -> BTreeMap<(model::CustomerId, model::ClassId), usize> {
         let mut lengths = BTreeMap::new();
         for view in self.jobs.views().filter(|view| view.stage == Stage::Waiting) {
@@ -177,7 +177,7 @@
     }
 }
 
-/// The fixed name under which an anomaly is counted.
+/// Returns the fixed name under which an anomaly is counted.
 pub(crate) fn anomaly_name(anomaly: Anomaly) -> &'static str {
     match anomaly {
         Anomaly::StaleReply => "stale_reply",
