--- a/crates/entry/src/adopt.rs
+++ b/crates/entry/src/adopt.rs
@@ -1,4 +1,4 @@
-//! The planner takes over gangs whose holder is gone.
+//! Adoption by the planner of gangs whose holder, the box that renewed their leases, has terminated.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 use crate::{EntryBox, Observation};
 
 impl EntryBox {
-    /// Adopts every gang whose holder has been dead for a while, if this box plans, and every gang of
-    /// its own that it had given up.
+    /// Adopts gangs that this process held and abandoned and, if this box is the planner, gangs whose holder
+    /// has been dead for long enough.
     pub(crate) fn adopt_orphans(&mut self, now: Moment) {
-        // Whether a holder lives changes with heartbeats; looking more often finds nothing new.
+        // Liveness changes with heartbeats, so a more frequent check finds nothing new.
         let every = self.limits.membership.heartbeat_every;
         if self.adopted_at.is_some_and(|at| now.since(at) < every) {
             return;
@@ -41,14 +41,15 @@
         }
     }
 
-    /// Whether this very process holds a lease and no longer knows of the job: it gave it up when a
-    /// member did not answer, and the gang turned out to stand after all.
+    /// Returns whether this very process holds the lease but no longer tracks the job: it abandoned the gang
+    /// when a member did not respond, and the gang was whole after all.
     fn has_given_up(&self, lease: &Lease) -> bool {
         let is_mine = lease.holder == *self.jobs.holder();
         is_mine && self.jobs.view(&lease.job).is_none_or(|view| view.stage == lifecycle::Stage::Void)
     }
 
-    /// Whether the life that holds a lease is gone: silent for long enough, or followed by another.
+    /// Returns whether the incarnation that holds a lease has terminated: unresponsive for long enough, or
+    /// succeeded by another.
     fn is_gone(&self, holder: &Holder, now: Moment) -> bool {
         if holder.box_id == self.id.box_id {
             return holder.incarnation < self.id.incarnation;
@@ -61,7 +62,7 @@
             Some(status) => {
                 now.since(status.last_heartbeat) > self.limits.adopt_after + self.limits.membership.dead_after
             }
-            // Never heard: this process is young, or the box was gone before it began.
+            // No heartbeat yet: this process is young, or the box terminated before this process started.
             None => self.view.can_detect_failures(now),
         }
     }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,5 +1,8 @@
-//! Claims in the platform's store: which ticket a request runs under, for requests that may run
-//! only once or must outlive their box.
+//! Claims in the platform's store.
+//!
+//! A claim records the ticket under which a request runs, for requests that may run only once or must survive
+//! their box. Boxes write it by compare-and-swap, so two boxes never start the same request under two
+//! tickets.
 
 use lifecycle::Stage;
 use model::{AvailabilityZoneId, CustomerId, Duration, JobId, JobSpec, Moment, Outcome, RequestId};
@@ -11,38 +14,38 @@
     settle::Afterwards, waiters::Respondent,
 };
 
-/// Every claim's key begins so.
+/// Prefix of the keys of all claims.
 pub(crate) const CLAIM_PREFIX: &str = "claims/";
-/// How long a claim is kept: as long as a caller may send the same request again.
+/// Lifetime of a claim: as long as a caller may send the same request again.
 const CLAIM_TTL: Duration = Duration::from_secs(24 * 3600);
-/// Calls to the store before a claim is given up.
+/// Most calls to the store before a claim is abandoned.
 const MAX_ROUNDS: u32 = 6;
-/// An end that could not be written is written again after this.
+/// Delay before the end of a claim that could not be written is written again.
 const END_RETRY: Duration = Duration::from_secs(2);
 
-/// What stands in the store for a request.
+/// The stored claim of a request: the one ticket that may make its first start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The ticket that it runs under.
+    /// Ticket under which the request runs.
     pub ticket: JobId,
-    /// The availability zone of the box that minted it.
+    /// Availability zone of the box that minted the ticket.
     pub availability_zone: AvailabilityZoneId,
-    /// The request, if it must outlive its box.
+    /// The job's specification if the request must survive its box, so that another box can run it.
     pub durable: Option<JobSpec>,
     /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// Whether it may have run under an earlier ticket.
+    /// Whether the request may have run under an earlier ticket.
     #[serde(default)]
     pub has_run: bool,
-    /// Whether it goes on from the checkpoint of an earlier ticket.
+    /// Whether the request resumes from a checkpoint of an earlier ticket.
     #[serde(default)]
     pub resume: bool,
-    /// The name of the outcome, once it has ended.
+    /// Name of the outcome; `None` until the job has ended.
     pub ended: Option<String>,
 }
 
 impl Claim {
-    /// Reads a claim; `None` if it is none.
+    /// Parses a stored claim; returns `None` if the text is not one.
     pub fn parse(text: &str) -> Option<Claim> {
         serde_json::from_str(text).ok()
     }
@@ -62,14 +65,14 @@
     submission: Submission,
     to: Respondent,
     claim: Claim,
-    /// The version that it replaces, if any.
+    /// Version of the stored claim that it replaces; `None` if there is none.
     over: Option<u64>,
-    /// The ticket that stands there, and whether its request may run more than once.
+    /// Ticket of the stored claim, and whether its request may run more than once.
     standing: Option<(JobId, bool)>,
     rounds: u32,
 }
 
-/// The end of a claimed job on its way into the store.
+/// The end of a claimed job, being written to the store.
 #[derive(Debug, Clone)]
 pub(crate) struct EndClaim {
     job: JobId,
@@ -96,7 +99,7 @@
         ClaimOp { submission, to, claim, over, standing: None, rounds: 0 }
     }
 
-    /// Whether a claim for a request of that name is being made here.
+    /// Returns whether this box is making a claim for a request of that name.
     pub(crate) fn is_claiming_name(&self, name: &(CustomerId, RequestId)) -> bool {
         self.ops.values().any(|op| match op {
             Op::Claim(op) => {
@@ -107,8 +110,8 @@
         })
     }
 
-    /// Whether a claim under this ticket has been sent and its answer has not come yet: its write may
-    /// have taken effect, and the job is started once that is known.
+    /// Returns whether a claim under this ticket was sent and not answered yet: its write may have taken
+    /// effect, and the job is started once that is known.
     fn is_claim_on_its_way(&self, ticket: &JobId) -> bool {
         self.ops.values().any(|op| matches!(op, Op::Claim(op) if op.claim.ticket == *ticket))
     }
@@ -120,7 +123,7 @@
     fn write_claim(&mut self, mut op: ClaimOp, now: Moment) {
         op.rounds += 1;
         if op.rounds > MAX_ROUNDS {
-            // The ticket in a write that may yet take effect is never started.
+            // The ticket is never started, even if the last write takes effect later.
             return self.refuse_for_store(&op.submission, op.to, now);
         }
         let key = op.key();
@@ -152,7 +155,7 @@
         }
     }
 
-    /// An answer was lost: what stands tells whether the write took effect.
+    /// Reads the claim after a lost reply: the stored claim shows whether the write took effect.
     fn read_claim(&mut self, mut op: ClaimOp, now: Moment) {
         op.rounds += 1;
         if op.rounds > MAX_ROUNDS {
@@ -168,7 +171,8 @@
         self.accept(op.submission, ticket, op.to, now);
     }
 
-    /// Another ticket holds the request: its holder may live, be elsewhere, or be gone.
+    /// Handles a stored claim with another ticket, whose box may be live, in another availability zone, or
+    /// terminated.
     fn on_standing_claim(&mut self, mut op: ClaimOp, found: Versioned, now: Moment) {
         let Some(standing) = Claim::parse(&found.value) else {
             return self.replace_claim(op, found.version, now);
@@ -176,7 +180,7 @@
         if standing.ticket == op.claim.ticket {
             return self.claim_stands(op, now);
         }
-        // What the claim knows of earlier tickets goes on with the request.
+        // The new ticket inherits what the claim records of earlier tickets.
         op.submission.may_have_run |= standing.has_run;
         op.submission.resume |= standing.resume;
         if standing.ended.as_deref() == Some("not_run") {
@@ -186,7 +190,7 @@
             return self.pass_on(op, &standing, now);
         }
         if let Some(outcome) = standing.ended {
-            // Some box may still have the answer, if nobody has acknowledged it.
+            // A box may still have the answer if the caller has not acknowledged it.
             let spec = op.submission.spec;
             let ask = crate::route::Ask::Poll { wait: op.submission.wait };
             let route = crate::route::RouteOp::after_end(ask, (spec.customer, spec.request), op.to, outcome);
@@ -214,14 +218,14 @@
         self.settle_standing(ClaimOp { standing: Some(ticket), ..op }, found.version, now);
     }
 
-    /// The standing claim is an earlier one of this very process.
+    /// Handles a stored claim that this very process made earlier.
     fn on_own_claim(&mut self, op: ClaimOp, standing: &Claim, version: u64, now: Moment) {
         if self.is_claim_on_its_way(&standing.ticket) {
             return self.reply(op.to, CallerReply::Job(crate::route::claiming_answer()));
         }
         let view = self.jobs.view(&standing.ticket);
         match view.as_ref().map(|view| &view.stage) {
-            // Its ticket was given up before it was started, or the job was not run.
+            // The ticket was abandoned before its job started, or the job was not run.
             None | Some(Stage::Void | Stage::Ended(Outcome::NotRun { .. })) => self.replace_claim(op, version, now),
             Some(Stage::Moved(holder)) if self.is_orphaned(&standing.ticket, holder, now) => {
                 let ticket = (standing.ticket.clone(), standing.repeatable);
@@ -246,17 +250,17 @@
         self.write_claim(op, now);
     }
 
-    /// Makes a claim over one whose ticket has been fenced.
+    /// Replaces a claim whose ticket has been fenced.
     pub(crate) fn reclaim(&mut self, submission: Submission, to: Respondent, version: u64, now: Moment) {
         let op = self.new_claim(submission, to, Some(version), now);
         self.write_claim(op, now);
     }
 
-    /// What the live box that minted the standing ticket says.
+    /// Handles the reply of the live box that minted the ticket of the stored claim.
     pub(crate) fn on_owner_reply(&mut self, op: ClaimOp, reply: Option<PeerReply>, now: Moment) {
         let Some(version) = op.over else { return };
         let answer = match reply {
-            // It minted the ticket, and neither started it nor ever will.
+            // That box minted the ticket, has not started it and never will.
             Some(PeerReply::Job(JobAnswer::NotKnown)) => return self.replace_claim(op, version, now),
             Some(PeerReply::Job(JobAnswer::Ended { outcome: Outcome::NotRun { .. }, .. })) => {
                 return self.replace_claim(op, version, now);
@@ -282,7 +286,8 @@
         self.call_peer(Op::Route(Box::new(route)), &peer, PeerRequest::Submit(op.submission));
     }
 
-    /// Writes the end of a claimed job, so that the request is not run again after its box is gone.
+    /// Records the end of a claimed job in the store, so that the request is not run again after its box has
+    /// terminated.
     pub(crate) fn end_claim(&mut self, job: &JobId, now: Moment) {
         if self.claimed.contains_key(job) {
             self.unreported.insert(job.clone());
@@ -328,8 +333,8 @@
         }
     }
 
-    /// Whether a job's claim tells what another box must know to go on with it; begins to write that if
-    /// not. Else a box that takes the request over could begin it afresh.
+    /// Returns whether a job's claim records that it has run and resumes from a checkpoint; starts to write
+    /// that if not. Without it, a box that takes the request over could start it from the beginning.
     pub(crate) fn claim_tells_of_run(&mut self, job: &JobId) -> bool {
         let Some(claim) = self.claimed.get(job) else { return true };
         if claim.resume || !self.jobs.resumes(job) {
@@ -357,7 +362,7 @@
                     };
                     return self.call_store(Op::MarkClaim(job), req);
                 }
-                // Marked by an earlier write whose answer was lost, or taken over by another ticket.
+                // Marked by an earlier write whose reply was lost, or replaced by another ticket.
                 claim.has_run = true;
                 claim.resume = true;
             }
@@ -369,7 +374,7 @@
         }
     }
 
-    /// Cancels a request whose box is gone: its ticket is fenced, then its claim is ended.
+    /// Cancels a request whose box has terminated: fences its ticket, then records the end in its claim.
     pub(crate) fn cancel_orphan(
         &mut self,
         name: (CustomerId, RequestId),
@@ -393,13 +398,13 @@
     pub(crate) fn on_cancel_recorded(&mut self, to: Respondent, outcome: String, reply: Option<StoreReply>) {
         let answer = match reply {
             Some(StoreReply::Written { .. }) => JobAnswer::Over { outcome },
-            // Asking again finds out what stands.
+            // The next poll reads the stored claim.
             _ => moved_answer(),
         };
         self.reply(to, CallerReply::Job(answer));
     }
 
-    /// The end of a job stands in the store: its callers may be told.
+    /// The end of a job is stored: its callers get the outcome now.
     fn end_recorded(&mut self, job: &JobId, now: Moment) {
         if !self.unrecorded.remove(job) {
             return;
@@ -410,7 +415,7 @@
         }
     }
 
-    /// Another ticket has taken the request over: what became of this one is of no account.
+    /// Another ticket has replaced this one: the outcome under this ticket is void.
     fn end_superseded(&mut self, job: &JobId) {
         if !self.unrecorded.remove(job) {
             return;
@@ -421,8 +426,8 @@
         }
     }
 
-    /// Claims a waiting job anew, under a ticket that young lease tables accept. It goes the way of
-    /// any submission, so that a box which has fenced the old ticket in between is found out.
+    /// Claims a waiting job under a new ticket, which is young enough for a recently restarted lease table.
+    /// It takes the path of any submission, so a box that has fenced the old ticket meanwhile is detected.
     pub(crate) fn renew_ticket(&mut self, job: &JobId, now: Moment) {
         if !self.claimed.contains_key(job) {
             return;
@@ -431,7 +436,7 @@
         self.submit_new(submission, Respondent::Nobody, now);
     }
 
-    /// Writes ends again that could not be written, and makes claims again that could not be made.
+    /// Retries ends and claims that could not be written.
     pub(crate) fn tick_claims(&mut self, now: Moment) {
         let (due, later) = std::mem::take(&mut self.unclaimed).into_iter().partition(|(at, _)| *at <= now);
         self.unclaimed = later;
--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -1,4 +1,4 @@
-//! The entry box itself: its parts, and which of them takes which input.
+//! The entry box: its state, and the dispatch of each input to the part that handles it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,45 +27,45 @@
     waiters::{Respondent, Waiters},
 };
 
-/// Who an entry box is.
+/// Identity of an entry box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// Its box.
+    /// Name of the box.
     pub box_id: BoxId,
-    /// The life of this process.
+    /// Incarnation of this process: its start in Unix milliseconds by the wall clock.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone that the box serves.
     pub availability_zone: AvailabilityZoneId,
 }
 
-/// Time limits of an entry box, those of its parts included.
+/// Time limits of an entry box and of the crates that it combines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Of jobs.
+    /// Limits of the job lifecycle.
     pub lifecycle: lifecycle::Limits,
-    /// Of membership.
+    /// Limits of the peer membership.
     pub membership: membership::Limits,
-    /// A call to a backend server or peer that does not wait for anything ends within this.
+    /// Timeout of a call to a backend server or peer, in addition to the time that the call asks to wait.
     pub call: Duration,
-    /// A watch on a lease table or the store waits this long.
+    /// How long a watch on a lease table or on the store waits for a change.
     pub watch: Duration,
-    /// Shortest time between two rounds of planning.
+    /// Shortest time between two planning rounds.
     pub plan_gap: Duration,
-    /// A grant whose reservations do not show up is forgotten after this.
+    /// How long a grant counts as running before its reservations appear in the lease tables.
     pub grant_ttl: Duration,
-    /// A queue that is not empty is offered at least this often.
+    /// Longest time between two offers of a queue that is not empty.
     pub offer_every: Duration,
-    /// A preempted gang is stopped after this, checkpoint or not.
+    /// How long a preempted gang may take for its checkpoint before it is stopped regardless.
     pub checkpoint: Duration,
-    /// A backend server that has not answered for this long is given no new work.
+    /// How long after a watch was due a backend server may stay unresponsive before it gets no new work.
     pub silent_after: Duration,
-    /// How long the fencing of a dead box's ticket may take.
+    /// Timeout of fencing the ticket of a box that has terminated.
     pub settle: Duration,
-    /// A holder must be dead for this long before its gangs are adopted.
+    /// How long a holder must be dead, beyond the membership limit, before its gangs are adopted.
     pub adopt_after: Duration,
-    /// A waiting caller's reply is held at most this long.
+    /// Longest time that the reply to a waiting caller is delayed.
     pub max_wait: Duration,
-    /// A backend server in quarantine is tried again after this; doubles each time.
+    /// First duration of a quarantine; doubles each time.
     pub probe_after: Duration,
 }
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// What an operation in progress waits to go on with.
+/// An operation in flight, with the state needed to continue it when the reply arrives.
 pub(crate) enum Op {
     Claim(Box<ClaimOp>),
     Settle(Box<SettleOp>),
@@ -108,7 +108,7 @@
     Grant,
 }
 
-/// One entry box.
+/// State machine of one entry box.
 pub struct EntryBox {
     pub(crate) id: Identity,
     pub(crate) born: Moment,
@@ -126,16 +126,16 @@
     pub(crate) ops: BTreeMap<OpId, Op>,
     pub(crate) claimed: BTreeMap<model::JobId, crate::Claim>,
     pub(crate) unreported: BTreeSet<model::JobId>,
-    /// Claimed jobs that did not run, whose callers are told once that stands in the store.
+    /// Claimed jobs that were not run or were cancelled; their callers get the outcome once it is stored.
     pub(crate) unrecorded: BTreeSet<model::JobId>,
     pub(crate) config: crate::config::ConfigState,
     pub(crate) dead_since: BTreeMap<Holder, Moment>,
     pub(crate) recover_at: Option<Moment>,
     pub(crate) adopted_at: Option<Moment>,
     pub(crate) draining: bool,
-    /// Boxes that did not answer their last call, and when that was found.
+    /// Boxes that did not respond to the last call, and when that call failed.
     pub(crate) silent: BTreeMap<BoxId, Moment>,
-    /// Jobs without a caller whose claim could not be made, and when it is tried again.
+    /// Jobs without a caller whose claim could not be made, and when the claim is retried.
     pub(crate) unclaimed: Vec<(Moment, Submission)>,
     pub(crate) hand_over_at: Moment,
     pub(crate) last_heartbeat: Option<Moment>,
@@ -144,7 +144,7 @@
 }
 
 impl EntryBox {
-    /// A box that knows its peers from a list and has no configuration yet.
+    /// Creates a box that knows its peers from a list and has no configuration yet.
     pub fn new(
         id: Identity,
         limits: Limits,
@@ -187,7 +187,7 @@
         it
     }
 
-    /// Takes one input and gives what is to be done.
+    /// Handles one input and returns the actions for the host to carry out.
     pub fn handle(&mut self, input: Input, now: Moment) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
@@ -212,12 +212,12 @@
         mem::take(&mut self.out)
     }
 
-    /// Whether it can serve: it has a configuration and is not leaving.
+    /// Returns whether the box can serve: it has a configuration and is not draining.
     pub fn is_ready(&self) -> bool {
         !self.draining && self.current.file().is_some()
     }
 
-    /// How many of its jobs are neither over nor held elsewhere.
+    /// Returns the number of its jobs that have neither ended nor moved to another box.
     pub fn open_jobs(&self) -> usize {
         self.jobs.open_jobs()
     }
@@ -283,7 +283,7 @@
                 self.out.push(Output::ToPeer { to, reply: PeerReply::Granted });
             }
             PeerRequest::Lookup { ticket: Some(ticket), .. } if !self.jobs.minted(&ticket) => {
-                // It was meant for an earlier life of this box.
+                // The lookup is meant for an earlier incarnation of this box.
                 let answer = crate::route::moved_answer();
                 self.out.push(Output::ToPeer { to, reply: PeerReply::Job(answer) });
             }
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Passes on what the jobs' coordinator wants done.
+    /// Carries out the effects that the job coordinator has queued.
     pub(crate) fn carry_effects(&mut self, now: Moment) {
         for effect in self.jobs.take_effects() {
             match effect {
@@ -372,8 +372,8 @@
         }
         let must_record = matches!(outcome, model::Outcome::NotRun { .. } | model::Outcome::Cancelled { .. });
         if must_record && self.claimed.contains_key(job) {
-            // Another box may have taken this one for dead and run the request, or would once this
-            // one is gone: the claim tells.
+            // Another box may have declared this one dead and run the request, or may do so later: the
+            // stored claim decides which outcome callers get.
             self.unrecorded.insert(job.clone());
         } else {
             let answer = JobAnswer::Ended { job: view.job.clone(), outcome };
@@ -388,7 +388,7 @@
         self.claimed.remove(job);
     }
 
-    /// Wall-clock milliseconds, carried on from the start by the monotonic clock.
+    /// Returns the wall-clock time in Unix milliseconds: the process start, advanced by the monotonic clock.
     pub(crate) fn wall_ms(&self, now: Moment) -> u64 {
         self.id.incarnation.0 + now.since(self.born).millis()
     }
@@ -397,7 +397,7 @@
         self.current.file().cloned()
     }
 
-    /// How many operations have been begun: rises with every call that is tracked.
+    /// Returns the number of operations started so far; rises with every tracked call.
     pub(crate) fn ops_begun(&self) -> u64 {
         self.next_op
     }
--- a/crates/entry/src/handover.rs
+++ b/crates/entry/src/handover.rs
@@ -1,6 +1,7 @@
-//! Leaving: waiting jobs go to another box of the availability zone, and callers that wait follow them.
+//! Draining of a box: waiting jobs are handed to another box of the availability zone, and their waiting
+//! callers are forwarded to it.
 //!
-//! Running gangs are adopted by the planner once it hears that their holder is leaving.
+//! Running gangs are not handed over: a draining box stays until they have ended.
 
 use lifecycle::Origin;
 use model::{BoxId, Duration, JobId, Moment};
@@ -10,27 +11,27 @@
     waiters::Respondent,
 };
 
-/// A job that no box took is offered to them again after this.
+/// Delay before jobs that no box accepted are offered to the other boxes again.
 const HAND_OVER_AGAIN: Duration = Duration::from_secs(1);
 
-/// A waiting job on its way to another box.
+/// A waiting job being handed to another box.
 #[derive(Debug)]
 pub(crate) struct HandOver {
     submission: Submission,
-    /// Boxes that did not take it.
+    /// Boxes that did not accept it.
     refused: Vec<BoxId>,
 }
 
 impl EntryBox {
-    /// Begins to leave.
+    /// Starts draining.
     pub(crate) fn drain(&mut self) {
         self.draining = true;
         self.view.set_draining(true);
-        // Peers hear of it at once.
+        // An immediate heartbeat informs the peers.
         self.last_heartbeat = None;
     }
 
-    /// Whether a leaving box has nothing left that only it can finish.
+    /// Returns whether a draining box has no work left that only it can finish.
     pub fn is_drained(&self) -> bool {
         let owes = |op: &Op| {
             matches!(
@@ -53,7 +54,7 @@
             && !self.ops.values().any(owes)
     }
 
-    /// Hands waiting jobs over while this box is leaving.
+    /// Hands waiting jobs to other boxes while this box is draining.
     pub(crate) fn hand_over_queue(&mut self, now: Moment) {
         if !self.draining || self.hand_over_at > now || self.successor(&[], now).is_none() {
             return;
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Gives a waiting job up as a submission that can be made anew, here or elsewhere.
+    /// Removes a waiting job and returns it as a submission, to be submitted again here or elsewhere; returns
+    /// `None` if the job has to stay.
     pub(crate) fn release(&mut self, job: &JobId) -> Option<Submission> {
         let (spec, Origin { resume, certain }) = self.jobs.release(job)?;
         let durable = self.claimed.remove(job).is_some_and(|claim| claim.durable.is_some());
@@ -88,7 +90,7 @@
                 let req = PeerRequest::Submit(it.submission.clone());
                 self.call_peer(Op::HandOver(Box::new(it)), &peer, req);
             }
-            // Nobody takes it: this box keeps it after all.
+            // No other box accepts it: this box keeps it.
             None => {
                 self.hand_over_at = now + HAND_OVER_AGAIN;
                 self.submit_new(it.submission, Respondent::Nobody, now);
@@ -119,7 +121,7 @@
         }
     }
 
-    /// Callers that wait for a job follow it to its new holder.
+    /// Forwards the callers that wait for a job to its new holder.
     pub(crate) fn follow_moved(&mut self, view: &lifecycle::JobView, now: Moment) {
         let name = (view.spec.customer.clone(), view.spec.request.clone());
         let known = matches!(view.stage, lifecycle::Stage::Moved(_));
@@ -133,7 +135,7 @@
         }
     }
 
-    /// A live box of the availability zone that is staying.
+    /// Returns a live box of the availability zone that is not draining.
     fn successor(&self, except: &[BoxId], now: Moment) -> Option<BoxId> {
         let staying = |id: &BoxId| self.view.peers().get(id).is_some_and(|status| !status.draining);
         self.view.live(now).into_iter().find(|id| staying(id) && !except.contains(id))
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/intake.rs
@@ -1,4 +1,4 @@
-//! Taking jobs in: what is refused at once, what is known already, and what needs a claim.
+//! Admission of jobs: refusals, requests that are already known, and requests that need a claim first.
 
 use lifecycle::{Origin, Stage};
 use model::{Duration, JobId, JobSpec, Moment, NotRunReason, OperatorFile, Outcome};
@@ -12,17 +12,17 @@
     waiters::Respondent,
 };
 
-/// When to come back to a box that cannot take work just now.
+/// Retry delay for a box that is draining or has no configuration.
 const RETRY_SOON: Duration = Duration::from_secs(1);
-/// When to come back if the store is out.
+/// Retry delay when the store is unavailable.
 const RETRY_STORE: Duration = Duration::from_secs(5);
-/// Shortest time named to a caller whose queue is full.
+/// Shortest retry delay for a full queue.
 const RETRY_QUEUE_MIN: Duration = Duration::from_secs(1);
-/// Longest time named to a caller whose queue is full.
+/// Longest retry delay for a full queue.
 const RETRY_QUEUE_MAX: Duration = Duration::from_secs(600);
 
 impl EntryBox {
-    /// Takes a job, or says at once why not.
+    /// Admits a job, or replies at once with the reason for the refusal.
     pub(crate) fn submit(&mut self, mut submission: Submission, to: Respondent, now: Moment) {
         submission.wait = self.bounded(submission.wait);
         submission.may_have_run |= submission.retry && !self.needs_claim(&submission);
@@ -44,7 +44,7 @@
         self.submit_new(submission, to, now);
     }
 
-    /// Takes a job that is known nowhere else, as far as can be told.
+    /// Admits a job that is not known elsewhere, as far as this box can tell.
     pub(crate) fn submit_new(&mut self, submission: Submission, to: Respondent, now: Moment) {
         if self.needs_claim(&submission) {
             return self.begin_claim(submission, to, now);
@@ -53,7 +53,8 @@
         self.accept(submission, job, to, now);
     }
 
-    /// Puts a job into the queue and lets its caller wait, or tells the caller its ticket.
+    /// Queues a job. Delays the reply until the job ends if the caller waits, otherwise replies with the
+    /// ticket.
     pub(crate) fn accept(&mut self, submission: Submission, job: JobId, to: Respondent, now: Moment) {
         let Submission { spec, wait, resume, may_have_run, .. } = submission;
         let origin = Origin { resume, certain: !may_have_run };
@@ -73,13 +74,14 @@
         retry_after: Option<Duration>,
         now: Moment,
     ) {
-        // The ticket is used up by saying that it was not run.
+        // A new ticket names the refused request; it is never started.
         let job = self.jobs.mint(now);
         let answer = JobAnswer::Ended { job, outcome: Outcome::NotRun { reason, retry_after } };
         self.reply(to, CallerReply::Job(answer));
     }
 
-    /// Refuses a request that was sent before: an earlier try, through another box, may have run.
+    /// Refuses a request with unknown outcome: it was sent before, and an earlier try through another box may
+    /// have run.
     fn refuse_in_doubt(&mut self, to: Respondent, reason: &NotRunReason, retry_after: Option<Duration>, now: Moment) {
         let why = format!("not taken now: {reason}; whether an earlier try ran is not known here");
         let answer = match retry_after {
@@ -91,7 +93,7 @@
 
     pub(crate) fn refuse_for_store(&mut self, submission: &Submission, to: Respondent, now: Moment) {
         if to == Respondent::Nobody {
-            // Nobody would send it again.
+            // There is no caller to send it again, so this box retries.
             self.unclaimed.push((now + RETRY_STORE, submission.clone()));
             return;
         }
@@ -102,12 +104,13 @@
         }
     }
 
-    /// A request that may run only once, or must outlive this box, is claimed in the platform's store.
+    /// Returns whether a request must be claimed in the platform's store: it may run only once or must
+    /// survive this box, and has no ticket.
     fn needs_claim(&self, submission: &Submission) -> bool {
         submission.ticket.is_none() && (!submission.spec.repeatable || submission.durable)
     }
 
-    /// Joins the submission to a job of the same name that this box has; says whether there is one.
+    /// Attaches the submission to a job of the same name that is known here; returns whether there is one.
     fn join_known(&mut self, submission: &Submission, to: Respondent, now: Moment) -> bool {
         let spec = &submission.spec;
         if let Some(view) = self.jobs.find(&spec.customer, &spec.request) {
@@ -115,7 +118,7 @@
                 self.reply(to, CallerReply::Job(JobAnswer::NameInUse));
                 return true;
             }
-            // A job that moved may be known to its new holder no more.
+            // The new holder may no longer have a job that moved.
             let moved = matches!(view.stage, Stage::Moved(_));
             if is_open_to_retry(&view.stage) || (moved && !self.is_held(spec, now)) {
                 return false;
@@ -129,13 +132,14 @@
         true
     }
 
-    /// Whether the lease tables show a request with a live holder, or whole and waiting for adoption.
+    /// Returns whether the lease tables show the request with a live holder, or as a whole gang that awaits
+    /// adoption.
     fn is_held(&self, spec: &JobSpec, now: Moment) -> bool {
         let found = self.replicas.find(&spec.customer, &spec.request);
         found.is_some_and(|found| found.whole || self.is_live_holder(&found.holder, now))
     }
 
-    /// Why a job is not taken now, and when to come back.
+    /// Returns why a job is refused now, and after how long a retry may succeed (`None`: never).
     fn refusal(&self, spec: &JobSpec) -> Option<(NotRunReason, Option<Duration>)> {
         if self.draining {
             return Some((NotRunReason::Leaving, Some(RETRY_SOON)));
@@ -171,7 +175,7 @@
         Room::empty(&servers).check_ever_fits(&spec.gang).err().map(|e| e.to_string())
     }
 
-    /// How long a queue of that length takes at the rate of late.
+    /// Estimates how long a queue of that length takes at the recent rate of starts.
     fn drain_time(&self, queued: usize) -> Duration {
         let per_job = self.planning.time_per_start();
         let all = Duration::from_millis(per_job.millis().saturating_mul(queued as u64));
@@ -201,7 +205,7 @@
         self.begin_settle(ticket, submission.spec.repeatable, Afterwards::TicketVoid { to }, now);
     }
 
-    /// Asks the peers whether a repeated request is theirs before it is taken as new.
+    /// Asks the peers whether they have a repeated request before it is admitted as new.
     fn look_around(&mut self, submission: Submission, to: Respondent, now: Moment) {
         let ask = Ask::Poll { wait: Duration::ZERO };
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
@@ -210,7 +214,8 @@
     }
 }
 
-/// A request that was not run may be sent again under its name.
+/// Returns whether a job in this stage was not run, so that its request may be submitted again under the same
+/// name.
 fn is_open_to_retry(stage: &Stage) -> bool {
     matches!(stage, Stage::Void | Stage::Ended(Outcome::NotRun { .. }))
 }
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -1,5 +1,5 @@
-//! Queues on their way to the planner: each box offers its waiting jobs, whole at first and then
-//! by what changed.
+//! Offers of queues to the planner: each box sends its waiting jobs, the whole queue first and the changes
+//! after that.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,19 +9,19 @@
 
 use crate::{EntryBox, PeerReply, PeerRequest, entry_box::Op};
 
-/// Most jobs that one offer adds; the rest follows in the next.
+/// Most jobs that one offer adds; the rest follows in later offers.
 const MAX_ADDED: usize = 256;
 
-/// What a planner holds of another box's queue.
+/// A planner's copy of another box's queue.
 pub(crate) struct Offered {
     incarnation: Incarnation,
     seq: u64,
-    /// When it last came; a box with a queue offers at least every `offer_every`.
+    /// When the last offer arrived; a box with a queue sends one at least every `offer_every`.
     pub(crate) last: Moment,
     pub(crate) jobs: BTreeMap<JobId, (Queued, Moment)>,
 }
 
-/// This box's offers to the planner.
+/// State of this box's offers to the planner.
 #[derive(Default)]
 pub(crate) struct Offering {
     to: Option<BoxId>,
@@ -33,7 +33,7 @@
     changed: bool,
 }
 
-/// A waiting job as it is offered.
+/// Converts a waiting job to the form in which it is offered.
 pub(crate) fn queued(waiting: Waiting) -> Queued {
     let spec = &waiting.spec;
     Queued {
@@ -50,7 +50,8 @@
 }
 
 impl EntryBox {
-    /// The planner grants a job that does not wait: what it holds of this queue is out of date.
+    /// Makes the next offer contain the whole queue: the planner granted a job that isn't waiting, so its
+    /// copy is out of date.
     pub(crate) fn offer_anew(&mut self) {
         self.offering.need_full = true;
         self.offering.changed = true;
@@ -61,7 +62,7 @@
         self.planning.mark_dirty();
     }
 
-    /// Offers the queue to the planner, if that is another box and there is news.
+    /// Offers the queue to the planner if that is another box, and the queue has changed or an offer is due.
     pub(crate) fn offer_queue(&mut self, now: Moment) {
         let planner = self.view.planner(now).clone();
         if self.offering.to.as_ref() != Some(&planner) {
@@ -78,7 +79,7 @@
         }
         let waiting: BTreeMap<JobId, Waiting> =
             self.jobs.waiting(now).into_iter().map(|w| (w.job.clone(), w)).collect();
-        // A planner that knew this box before must hear that its queue is empty now.
+        // A planner with a copy of this queue must be informed that it is empty now.
         if waiting.is_empty() && self.offering.sent.is_empty() && !self.offering.need_full {
             self.offering.changed = false;
             return;
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Takes another box's offer; says whether the whole queue is needed.
+    /// Handles another box's offer; returns whether the whole queue is needed.
     #[expect(clippy::too_many_arguments, reason = "they are the fields of one message")]
     pub(crate) fn on_offer(
         &mut self,
@@ -140,7 +141,7 @@
         removed: Vec<JobId>,
         now: Moment,
     ) -> bool {
-        // A message that was overtaken by a later one tells what is no longer so.
+        // A later offer has overtaken this one, whose contents are outdated.
         if self.offered.get(&from).is_some_and(|o| o.incarnation == incarnation && seq <= o.seq) {
             return false;
         }
@@ -169,7 +170,7 @@
         false
     }
 
-    /// Takes the planner's decisions about this box's jobs.
+    /// Applies the planner's decisions about this box's jobs.
     pub(crate) fn on_grant(&mut self, starts: Vec<(JobId, Vec<Member>)>, refusals: Vec<(JobId, String)>, now: Moment) {
         for (job, members) in starts {
             self.jobs.grant(&job, members, now);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, deaths, and the directory of boxes.
+//! Heartbeats, detection of dead peers, and the directory of boxes.
 
 use backend::Holder;
 use model::{AvailabilityZoneId, BoxId, Duration, Incarnation, Moment, Revision};
@@ -6,12 +6,12 @@
 
 use crate::{EntryBox, PeerReply, PeerRequest, entry_box::Op};
 
-/// A box that did not answer is not chosen for this long if there is another.
+/// How long a box that did not respond is avoided if there is another.
 const SILENT_FOR: Duration = Duration::from_secs(10);
 
 impl EntryBox {
-    /// Takes the platform's list into the directory. It lags, so nobody is removed by it; silence is
-    /// what counts.
+    /// Merges the platform's list into the directory. The list lags behind, so it removes no box; only
+    /// missing heartbeats make a box count as dead.
     pub(crate) fn on_listed(&mut self, boxes: Vec<ListedBox>) {
         for listed in boxes {
             if listed.id != self.id.box_id {
@@ -20,24 +20,24 @@
         }
     }
 
-    /// Where a box takes calls.
+    /// Returns the address at which a peer takes calls; `None` if the box was never listed.
     pub fn address_of(&self, id: &BoxId) -> Option<std::net::SocketAddr> {
         self.directory.get(id).map(|listed| listed.peer_address)
     }
 
-    /// A box of another availability zone, if possible one that did not fail to answer of late.
+    /// Returns a box of another availability zone, preferably one that has not failed to respond recently.
     pub(crate) fn any_box_of(&self, zone: &AvailabilityZoneId, now: Moment) -> Option<BoxId> {
         let here = |listed: &&ListedBox| listed.availability_zone == *zone && !listed.leaving;
         let all: Vec<&BoxId> = self.directory.values().filter(here).map(|listed| &listed.id).collect();
         let silent = |id: &BoxId| self.silent.get(id).is_some_and(|at| now.since(*at) < SILENT_FOR);
         let answering: Vec<&BoxId> = all.iter().copied().filter(|id| !silent(id)).collect();
         let boxes = if answering.is_empty() { all } else { answering };
-        // In turn, so that no box gets all of it.
+        // Chosen in turn, to spread the load.
         let turn = self.ops_begun() as usize % boxes.len().max(1);
         boxes.get(turn).map(|id| (*id).clone())
     }
 
-    /// Notes whether a box answered a call.
+    /// Records whether a box responded to a call.
     pub(crate) fn note_answer(&mut self, peer: &BoxId, answered: bool, now: Moment) {
         if answered {
             self.silent.remove(peer);
@@ -60,7 +60,7 @@
             return;
         }
         self.last_heartbeat = Some(now);
-        // An answer that did not come by now never will: forget that it was asked for.
+        // Heartbeats that are still unanswered are abandoned.
         self.ops.retain(|_, op| !matches!(op, Op::Heartbeat));
         let same_zone = |b: &&ListedBox| b.availability_zone == self.id.availability_zone;
         let peers: Vec<BoxId> = self.directory.values().filter(same_zone).map(|b| b.id.clone()).collect();
@@ -86,7 +86,7 @@
         let before = self.view.peers().get(peer).map(|s| s.incarnation);
         self.view.record_heartbeat(peer, incarnation, leaving, now);
         if before.is_some_and(|it| it < incarnation) {
-            // A new life: what the old one held is orphaned.
+            // The box has a new incarnation: jobs of the earlier one are orphaned.
             self.recover_at.get_or_insert(now + self.limits.adopt_after);
         }
         if self.current.hear_of(revision) {
@@ -96,7 +96,7 @@
         self.dead_since.remove(&holder);
     }
 
-    /// Notes boxes that fell silent, so that their durable jobs are looked for.
+    /// Records peers that are no longer live, and schedules the recovery of their durable jobs.
     pub(crate) fn note_deaths(&mut self, now: Moment) {
         let silent: Vec<(Holder, bool)> = self
             .view
--- a/crates/entry/src/planning.rs
+++ b/crates/entry/src/planning.rs
@@ -1,4 +1,4 @@
-//! What a box does while it plans for its availability zone.
+//! Planning for the availability zone, done by one of its boxes.
 
 use std::collections::BTreeMap;
 
@@ -8,16 +8,16 @@
 
 use crate::{BackendOp, EntryBox, Observation, PeerRequest, entry_box::Op, offers::queued};
 
-/// A round of planning is made at least this often.
+/// Longest time between two planning rounds.
 const REPLAN_AFTER: Duration = Duration::from_secs(2);
-/// An offer counts for this long; several times the longest pause between two of a box with a queue.
+/// Lifetime of an offer: several times the longest pause between two offers of a box with a queue.
 const OFFER_LIFE: Duration = Duration::from_secs(5);
-/// Starts over which the time per start is averaged.
+/// Number of starts over which the time per start is averaged.
 const RATE_WINDOW: f64 = 32.0;
-/// The time per start before anything is known.
+/// Time per start before any start was observed.
 const RATE_INITIAL: Duration = Duration::from_secs(1);
 
-/// The planner's own state: soft, and gone with the box.
+/// State of the planner. It is not stored: the next planner rebuilds it from the lease tables and offers.
 pub(crate) struct Planning {
     planner: Box<dyn Planner>,
     dirty: bool,
@@ -27,7 +27,7 @@
     time_per_start: f64,
 }
 
-/// A grant whose reservations have not shown up yet.
+/// A grant whose reservations have not appeared in the lease tables yet.
 struct Granted {
     gang: Running,
     until: Moment,
@@ -45,19 +45,19 @@
         }
     }
 
-    /// Something changed that may let a job start.
+    /// Records a change that may let a job start, so that the next round is not skipped.
     pub(crate) fn mark_dirty(&mut self) {
         self.dirty = true;
     }
 
-    /// The reservations have shown up, or the attempt is over.
+    /// Removes grants whose reservations have appeared, or whose attempt has ended.
     pub(crate) fn forget_granted(&mut self, leases: &[Lease]) {
         for lease in leases {
             self.granted.remove(&lease.job);
         }
     }
 
-    /// Learns run times from gangs that ended well. Their first members tell for the whole.
+    /// Records the run times of gangs that finished. The first member's lease stands for the whole gang.
     pub(crate) fn learn(&mut self, server: &BackendServerId, leases: &[Lease]) {
         for lease in leases.iter().filter(|lease| matches!(lease.state, TaskState::Finished { .. })) {
             let is_first = lease.members.first().is_some_and(|m| m.server == *server);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Time between starts of late, averaged.
+    /// Returns the recent average time between starts.
     pub(crate) fn time_per_start(&self) -> Duration {
         Duration::from_millis(self.time_per_start as u64)
     }
@@ -90,7 +90,8 @@
 }
 
 impl EntryBox {
-    /// Plans if this box is the planner, something changed, and the last round is long enough ago.
+    /// Runs a planning round if this box is the planner, something has changed, and `plan_gap` has passed
+    /// since the last round.
     pub(crate) fn plan_if_due(&mut self, now: Moment) {
         if *self.view.planner(now) != self.id.box_id {
             return;
@@ -100,7 +101,7 @@
             self.planning.granted.retain(|_, granted| granted.until > now);
             self.planning.dirty = true;
         }
-        // Some things change by time alone, such as whether a backend server is taken for silent.
+        // Some inputs change by time alone, such as whether a backend server counts as unresponsive.
         let stale = self.planning.last.is_none_or(|at| now.since(at) >= REPLAN_AFTER);
         self.planning.dirty |= stale;
         let early = self.planning.last.is_some_and(|at| now.since(at) < self.limits.plan_gap);
@@ -129,7 +130,7 @@
         running.extend(granted.filter(|gang| !known.contains(&gang.job)).cloned());
         let mut queue: Vec<Queued> = self.jobs.waiting(now).into_iter().map(queued).collect();
         for (id, offered) in &self.offered {
-            // A box that no longer offers has no queue, or another planner.
+            // A box that no longer sends offers has an empty queue or uses another planner.
             if self.view.is_live(id, now) && now.since(offered.last) < OFFER_LIFE {
                 queue.extend(offered.jobs.values().map(|(it, since)| aged(it, *since, now)));
             }
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Sends each decision to the box whose queue the job is in.
+    /// Sends each decision to the box that has the job in its queue.
     fn send_grants(&mut self, starts: Vec<(JobId, Vec<Member>)>, refusals: Vec<(JobId, String)>, now: Moment) {
         type Grants = (Vec<(JobId, Vec<Member>)>, Vec<(JobId, String)>);
         let mut by_box: BTreeMap<BoxId, Grants> = BTreeMap::new();
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Backend servers that fail what others run: they get no new work until a later trial.
+//! Quarantine of backend servers that repeatedly fail jobs: they get no new work until a later probe.
 //!
-//! A job that fails on one backend server only says little; several jobs that fail on one backend
-//! server, with no run in between that ended well, close it. A job that fails on several backend
-//! servers is at fault itself, and its failures count against none.
+//! One failed job says little about its backend server. A server is quarantined once several different jobs
+//! have failed on it without a successful run in between. A job that fails on several backend servers is
+//! itself at fault, and its failures count against none of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,12 +10,13 @@
 
 use crate::{EntryBox, Observation};
 
-/// Jobs that must fail in a row before a backend server is closed.
+/// Different jobs that must fail in a row before a backend server is quarantined; 1 after an earlier
+/// quarantine.
 const FAILED_JOBS: usize = 3;
-/// Longest time between trials.
+/// Longest quarantine before the next probe.
 const PROBE_MAX: Duration = Duration::from_secs(1800);
 
-/// What is known of failures.
+/// Recent failures by backend server and by job.
 #[derive(Default)]
 pub(crate) struct Quarantine {
     by_server: BTreeMap<BackendServerId, Record>,
@@ -34,12 +35,12 @@
         self.by_server.get(server).is_some_and(|record| record.closed_until.is_some())
     }
 
-    /// Notes a failure; says whether the backend server is closed by it.
+    /// Records a failure; returns whether it quarantines the backend server.
     fn failed(&mut self, server: &BackendServerId, job: &JobId, probe_after: Duration, now: Moment) -> bool {
         let places = self.by_job.entry(job.clone()).or_default();
         places.insert(server.clone());
         if places.len() > 1 {
-            // The job fails wherever it runs.
+            // The job is at fault: it fails on more than one backend server.
             for place in places.iter() {
                 if let Some(record) = self.by_server.get_mut(place) {
                     record.failed.remove(job);
@@ -60,7 +61,7 @@
         true
     }
 
-    /// A gang on these backend servers ended well: what failed there before was not their fault.
+    /// Records a successful run on these backend servers, which clears their earlier failures.
     pub(crate) fn succeeded(&mut self, servers: &[BackendServerId]) {
         for server in servers {
             if !self.is_closed(server) {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Opens those whose time has come, for a trial.
+    /// Releases the backend servers whose quarantine has expired, and returns them.
     fn take_due(&mut self, now: Moment) -> Vec<BackendServerId> {
         let mut due = Vec::new();
         for (id, record) in &mut self.by_server {
--- a/crates/entry/src/replicas.rs
+++ b/crates/entry/src/replicas.rs
@@ -1,7 +1,8 @@
-//! Replicas of the lease tables of the availability zone, kept by one waiting watch per backend server.
+//! Replicas of the availability zone's lease tables, kept up to date by a long-polling watch per backend
+//! server.
 //!
-//! Every box keeps them, so that any box can plan at once when the planner is gone, and so that
-//! the holder of a job is known everywhere.
+//! Every box keeps them, so that any box can plan at once if the planner fails, and so that every box knows
+//! the holder of a job.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,25 +12,25 @@
 
 use crate::{BackendOp, EntryBox};
 
-/// First wait after a failed watch; doubles to [`RETRY_MAX`].
+/// Retry delay after the first failed watch; doubles up to [`RETRY_MAX`].
 const RETRY_MIN: Duration = Duration::from_millis(200);
-/// Longest wait after a failed watch.
+/// Longest retry delay of a failed watch.
 const RETRY_MAX: Duration = Duration::from_secs(5);
 
-/// The replicas, by backend server.
+/// Replicas of the lease tables, by backend server.
 #[derive(Default)]
 pub(crate) struct Replicas {
     by_server: BTreeMap<BackendServerId, Replica>,
 }
 
-/// Who holds a request.
+/// The holder of a request, according to the lease tables.
 pub(crate) struct Found {
     pub(crate) holder: Holder,
-    /// Whether the whole gang still stands.
+    /// Whether every member of the gang has a live lease.
     pub(crate) whole: bool,
 }
 
-/// What is known of one backend server.
+/// Replica of one backend server's lease table.
 #[derive(Default)]
 pub(crate) struct Replica {
     table: u64,
@@ -37,14 +38,14 @@
     pub(crate) leases: BTreeMap<JobId, Lease>,
     pub(crate) info: Option<ServerInfo>,
     pub(crate) last_reply: Option<Moment>,
-    /// When the watch in flight is given up; `None` if none is.
+    /// When the watch in flight times out; `None` if there is none.
     in_flight: Option<Moment>,
     retry_at: Moment,
     failures: u32,
 }
 
 impl Replicas {
-    /// Keeps exactly the backend servers of the configuration.
+    /// Adds and removes replicas to match the backend servers of the configuration.
     pub(crate) fn keep(&mut self, servers: &BTreeSet<BackendServerId>) {
         self.by_server.retain(|id, _| servers.contains(id));
         for id in servers {
@@ -68,22 +69,22 @@
         self.by_server.iter().flat_map(|(id, replica)| replica.leases.values().map(move |lease| (id, lease)))
     }
 
-    /// The holder of a request's newest attempt, if any line of it is live.
+    /// Returns the holder of a request's newest attempt that has a live lease; `None` if there is none.
     pub(crate) fn find(&self, customer: &CustomerId, request: &RequestId) -> Option<Found> {
         let lines = self.lines().filter(|(_, l)| l.request == *request && l.customer == *customer && is_live(l));
         let (_, newest) = lines.max_by_key(|(_, lease)| lease.token)?;
         Some(Found { holder: newest.holder.clone(), whole: self.is_whole(&newest.job) })
     }
 
-    /// Whether every member of a gang has a live line, so that it can be adopted. A gang that lost a
-    /// member cannot: what is left of it ends by itself.
+    /// Returns whether every member of a gang has a live lease, so that the gang can be adopted. A gang that
+    /// lost a member can't be; its remaining members end by themselves.
     pub(crate) fn is_whole(&self, job: &JobId) -> bool {
         let line = |server: &BackendServerId| self.by_server.get(server)?.leases.get(job);
         let Some((_, any)) = self.lines().find(|(_, lease)| lease.job == *job) else { return false };
         any.members.iter().all(|m| line(&m.server).is_some_and(is_live))
     }
 
-    /// The lines of every job, by backend server.
+    /// Returns the leases of every job, by backend server.
     pub(crate) fn by_job(&self) -> BTreeMap<&JobId, BTreeMap<&BackendServerId, &Lease>> {
         let mut jobs: BTreeMap<&JobId, BTreeMap<&BackendServerId, &Lease>> = BTreeMap::new();
         for (server, lease) in self.lines() {
@@ -92,7 +93,7 @@
         jobs
     }
 
-    /// Gangs that hold resources, each told once.
+    /// Returns the gangs that hold resources, each once.
     pub(crate) fn running(&self) -> Vec<Running> {
         let mut gangs: BTreeMap<&JobId, Running> = BTreeMap::new();
         for (server, lease) in self.lines().filter(|(_, lease)| lease.state.holds()) {
@@ -127,13 +128,13 @@
     }
 }
 
-/// Whether a line holds resources, or keeps an answer that nobody has acknowledged.
+/// Returns whether a lease holds resources, or keeps an answer that was not acknowledged.
 fn is_live(lease: &Lease) -> bool {
     lease.state.holds() || (matches!(lease.state, TaskState::Finished { .. }) && !lease.acknowledged)
 }
 
 impl EntryBox {
-    /// Sends a watch to each backend server that has none in flight.
+    /// Sends a watch to each backend server that has none in flight and whose retry delay has passed.
     pub(crate) fn send_watches(&mut self, now: Moment) {
         let wait = self.limits.watch;
         let give_up = now + wait + self.limits.call + self.limits.call;
@@ -197,14 +198,14 @@
         self.on_server_revision(server, revision, now);
     }
 
-    /// The backend servers of this availability zone as planners see them.
+    /// Returns the backend servers of this availability zone in the form that planners use.
     pub(crate) fn servers_of(&self, file: &OperatorFile) -> Vec<Server> {
         let here = file.backend_servers.values().filter(|s| s.availability_zone == self.id.availability_zone);
         here.map(|s| Server { id: s.id.clone(), rack: s.rack.clone(), resources: s.resources, open: true }).collect()
     }
 
-    /// Whether a backend server may be given new work: the tightest of the file, its own word, its
-    /// silence and the quarantine.
+    /// Returns whether a backend server may get new work. The operators' file, the server's own report, its
+    /// responsiveness and the quarantine must all permit it.
     pub(crate) fn is_open(&self, file: &OperatorFile, id: &BackendServerId, now: Moment) -> bool {
         let Some(entry) = file.backend_servers.get(id) else { return false };
         let Some(replica) = self.replicas.get(id) else { return false };
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -1,7 +1,8 @@
-//! Finding the box that holds a request, for polls, cancellations and acknowledgements from any box.
+//! Routing of polls, cancellations and acknowledgements, which a caller may send to any box, to the box that
+//! holds the request.
 //!
-//! First this box's own jobs, then the holder named in the lease tables, then all peers of the
-//! availability zone, then the claim in the platform's store.
+//! The lookup goes from this box's own jobs to the holder that the lease tables name, then to all peers of
+//! the availability zone, then to the claim in the platform's store.
 
 use std::collections::BTreeSet;
 
@@ -15,10 +16,10 @@
     entry_box::Op, waiters::Respondent,
 };
 
-/// When to ask again about a job that is changing hands.
+/// Retry delay for a caller whose job is moving to another box.
 const RETRY_MOVED: Duration = Duration::from_millis(500);
 
-/// What is asked about a request.
+/// An operation on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ask {
     Poll { wait: Duration },
@@ -26,31 +27,31 @@
     Acknowledge,
 }
 
-/// A question on its way around.
+/// A request being routed.
 #[derive(Debug)]
 pub(crate) struct RouteOp {
     ask: Ask,
     name: (CustomerId, RequestId),
     to: Respondent,
-    /// Peers whose reply is still to come.
+    /// Peers that have not replied yet.
     open: BTreeSet<BoxId>,
-    /// Taken as new if nobody knows it.
+    /// Submission to admit as new if the request is unknown everywhere.
     submission: Option<Submission>,
-    /// How the claim says that it ended: the answer, if no box has it any more.
+    /// Outcome that the claim records; the reply if no box has the answer any more.
     ended: Option<String>,
-    /// Whether the reply is passed on even if it says that nothing is known.
+    /// Whether a reply that the request is unknown is final, rather than a reason to read the claim.
     last_stop: bool,
 }
 
 impl RouteOp {
-    /// A submission passed to the box that it belongs to.
+    /// Creates the route of a submission that is forwarded to its owner.
     pub(crate) fn forward(submission: Submission, to: Respondent) -> RouteOp {
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
         let ask = Ask::Poll { wait: submission.wait };
         RouteOp { ask, name, to, open: BTreeSet::new(), submission: None, last_stop: true, ended: None }
     }
 
-    /// A question to all peers.
+    /// Creates the route of a request that may be sent to all peers.
     pub(crate) fn around(
         ask: Ask,
         name: (CustomerId, RequestId),
@@ -60,12 +61,13 @@
         RouteOp { ask, name, to, open: BTreeSet::new(), submission, last_stop: false, ended: None }
     }
 
-    /// A question about a request whose claim says that it ended.
+    /// Creates the route of a request whose claim records its end.
     pub(crate) fn after_end(ask: Ask, name: (CustomerId, RequestId), to: Respondent, outcome: String) -> RouteOp {
         RouteOp { ended: Some(outcome), ..RouteOp::around(ask, name, to, None) }
     }
 
-    /// `pass_on` for a box of another availability zone, which then looks for the holder there.
+    /// Returns the message for a peer. `pass_on` is set for a box of another availability zone, which then
+    /// searches its own zone for the holder.
     fn request(&self, pass_on: bool) -> PeerRequest {
         let (customer, request) = self.name.clone();
         match self.ask {
@@ -77,12 +79,12 @@
 }
 
 impl EntryBox {
-    /// Answers a question about a request, wherever the request is held.
+    /// Replies to an operation on a request, wherever the request is held.
     pub(crate) fn route(&mut self, ask: Ask, customer: CustomerId, request: RequestId, to: Respondent, now: Moment) {
         self.route_or_submit(RouteOp::around(ask, (customer, request), to, None), now);
     }
 
-    /// The same, and takes the submission that comes with the question if nobody knows it.
+    /// As [`EntryBox::route`], but admits the submission in the route if the request is unknown.
     pub(crate) fn route_or_submit(&mut self, route: RouteOp, now: Moment) {
         let RouteOp { ask, to, .. } = route;
         let name = route.name.clone();
@@ -94,7 +96,7 @@
             None if self.is_claiming_name(&name) => return self.answer_locally(ask, name.0, name.1, to, now),
             None => None,
         };
-        // The lease tables are fresher than what this box was told when the job moved.
+        // The lease tables are newer than the holder recorded when the job moved.
         let found = self.replicas.find(&name.0, &name.1);
         let live = |holder: &Holder| holder.box_id != self.id.box_id && self.is_live_holder(holder, now);
         let holder = found.as_ref().map(|found| found.holder.clone()).or(moved_to).filter(live);
@@ -112,7 +114,7 @@
         self.view.is_live_incarnation(&holder.box_id, holder.incarnation, self.id.incarnation, now)
     }
 
-    /// Answers another box: from here alone, or from wherever the request is held.
+    /// Replies to another box: from this box's jobs alone, or from wherever the request is held.
     pub(crate) fn answer_peer(
         &mut self,
         ask: Ask,
@@ -129,7 +131,7 @@
         }
     }
 
-    /// Answers from this box's own jobs alone.
+    /// Replies from this box's own jobs alone.
     pub(crate) fn answer_locally(
         &mut self,
         ask: Ask,
@@ -148,7 +150,7 @@
             Ask::Acknowledge => self.jobs.acknowledge(&view.job),
             Ask::Poll { .. } => {}
         }
-        // What the end of a job brings with it comes before the reply that tells of it.
+        // The effects of a job's end come before the reply that reports it.
         self.carry_effects(now);
         let view = self.jobs.view(&view.job).unwrap_or(view);
         match (&view.stage, ask) {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// Asks every live peer of the availability zone.
+    /// Sends the request to every live peer of the availability zone.
     pub(crate) fn ask_peers(&mut self, mut route: RouteOp, now: Moment) {
         let peers: Vec<BoxId> = self.view.live(now).into_iter().filter(|id| *id != self.id.box_id).collect();
         if peers.is_empty() {
@@ -174,7 +176,7 @@
         }
         route.open = peers.iter().cloned().collect();
         let req = route.request(false);
-        // The round itself is one operation; each peer's call is another that points to it.
+        // The round is one operation; each peer's call is another that refers to it.
         let round = self.new_op(Op::Route(Box::new(route)));
         for peer in peers {
             self.call_peer(Op::RoutePart(round), &peer, req.clone());
@@ -183,7 +185,7 @@
 
     pub(crate) fn on_route_reply(&mut self, route: RouteOp, reply: Option<PeerReply>, now: Moment) {
         let answer = match reply {
-            // The holder that the lease tables name has given the job up.
+            // The holder that the lease tables name has abandoned the job.
             Some(PeerReply::Job(JobAnswer::NotKnown)) if !route.last_stop => return self.ask_store(route, now),
             Some(PeerReply::Job(answer)) => answer,
             _ => moved_answer(),
@@ -210,7 +212,8 @@
         }
     }
 
-    /// Nobody in the availability zone knows the request: its claim may say more.
+    /// Reads the claim of a request that no box of the availability zone knows; admits it as new if a
+    /// submission comes with it.
     fn ask_store(&mut self, route: RouteOp, now: Moment) {
         if let Some(outcome) = route.ended {
             return self.reply(route.to, CallerReply::Job(JobAnswer::Over { outcome }));
@@ -249,14 +252,14 @@
         if let Some(outcome) = claim.ended {
             return self.reply(route.to, CallerReply::Job(JobAnswer::Over { outcome }));
         }
-        // Nobody holds it, also if the box that minted the ticket lives: it gave the ticket up.
+        // No box holds the request. A live box that minted the ticket has abandoned it.
         if route.ask == Ask::Cancel && self.view.can_detect_failures(now) {
             return self.cancel_orphan(route.name, route.to, claim, version, now);
         }
         self.reply(route.to, CallerReply::Job(orphan_answer()));
     }
 
-    /// The answer about a job of this box.
+    /// Returns the answer about a job of this box.
     pub(crate) fn answer_of(&self, view: &JobView, now: Moment) -> JobAnswer {
         let stage = match &view.stage {
             Stage::Ended(_) if self.unrecorded.contains(&view.job) => "recording",
@@ -272,8 +275,8 @@
         JobAnswer::Pending { job: Some(view.job.clone()), stage: stage.to_owned() }
     }
 
-    /// Whether a job's holder is gone or has given it up, and its gang does not stand so that it
-    /// could be adopted.
+    /// Returns whether a job's holder has terminated or abandoned it, and its gang is no longer whole and so
+    /// can't be adopted.
     pub(crate) fn is_orphaned(&self, job: &JobId, holder: &Holder, now: Moment) -> bool {
         let gone = self.dead_since.contains_key(holder)
             || self.view.peers().get(&holder.box_id).is_some_and(|status| status.incarnation > holder.incarnation);
@@ -286,7 +289,7 @@
     }
 }
 
-/// The answer about a job that another box is taking over.
+/// Returns the answer about a job that another box is taking over.
 pub(crate) fn moved_answer() -> JobAnswer {
     JobAnswer::Unsettled { why: "another box is taking the job over".to_owned(), retry_after: RETRY_MOVED }
 }
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/settle.rs
@@ -1,9 +1,9 @@
-//! Ending the ticket of a box that is gone, so that its request can be said not to have run, or be
+//! Fencing of the ticket of a box that has terminated, so that its request can be reported as not run or be
 //! run under another ticket.
 //!
-//! Every backend server of the availability zone is told to refuse the ticket from now on, and says
-//! whether it ever ran there. If all have answered and none ran it, it never ran and never will,
-//! also if the box was only paused and wakes.
+//! Every backend server of the availability zone is ordered to refuse the ticket from then on, and reports
+//! whether it ever ran there. Once all have replied and none has run it, the ticket never ran and never will,
+//! even if its box was only paused and resumes.
 
 use std::collections::BTreeSet;
 
@@ -16,27 +16,27 @@
     entry_box::Op, route::moved_answer, waiters::Respondent,
 };
 
-/// A fence whose reply was lost is sent again after this.
+/// Delay before an unanswered fence is sent again.
 const RESEND: Duration = Duration::from_secs(1);
-/// Most that the clocks of two boxes differ by.
+/// Largest assumed difference between the wall clocks of two boxes.
 const SKEW: Duration = Duration::from_secs(2);
-/// When to ask again about a ticket that could not be settled.
+/// Retry delay for a caller whose ticket could not be fenced.
 const RETRY: Duration = Duration::from_secs(2);
-/// Recovery of a dead box's durable jobs is tried again after this.
+/// Delay before the recovery of durable jobs is tried again.
 const RECOVER_RETRY: Duration = Duration::from_secs(5);
 
-/// What follows once the ticket is settled.
+/// The step to take once the ticket is fenced.
 #[derive(Debug)]
 pub(crate) enum Afterwards {
-    /// Claim the request under a new ticket.
+    /// Claims the request under a new ticket.
     Reclaim { submission: Submission, to: Respondent, version: u64 },
-    /// Tell the caller that its ticket is void.
+    /// Replies to the caller that its ticket is void.
     TicketVoid { to: Respondent },
-    /// Record that the request was cancelled.
+    /// Records that the request was cancelled.
     Cancel { to: Respondent, key: String, claim: Claim, version: u64 },
 }
 
-/// A ticket being settled.
+/// A ticket being fenced.
 #[derive(Debug)]
 pub(crate) struct SettleOp {
     ticket: JobId,
@@ -51,7 +51,7 @@
 impl EntryBox {
     pub(crate) fn begin_settle(&mut self, ticket: JobId, repeatable: bool, afterwards: Afterwards, now: Moment) {
         if self.replicas.is_whole(&ticket) {
-            // It runs or has run: it will be adopted rather than fenced.
+            // The gang runs or has run whole: it is adopted instead.
             return self.reply(afterwards.to(), CallerReply::Job(moved_answer()));
         }
         let open = self.replicas.ids();
@@ -77,7 +77,7 @@
         let age = op.ticket.age_at(wall_ms) + SKEW;
         if let Some(BackendReply::Stopped { ran, remembers }) = reply {
             op.open.remove(server);
-            // A table that is younger than the ticket cannot speak for all of its time.
+            // A table younger than the ticket has no record of the ticket's earliest time.
             op.ran |= ran || remembers < age;
         }
         if op.open.is_empty()
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The planner looks for durable jobs whose box is gone.
+    /// Lists the claims if this box is the planner, to recover durable jobs whose box has terminated.
     fn recover_if_due(&mut self, now: Moment) {
         if self.recover_at.is_none_or(|at| at > now) || self.draining || !self.view.can_detect_failures(now) {
             return;
--- a/crates/entry/src/waiters.rs
+++ b/crates/entry/src/waiters.rs
@@ -1,4 +1,4 @@
-//! Callers and peers that wait for the end of a job.
+//! Callers and peers whose replies are delayed until a job ends.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::{CallerReply, EntryBox, JobAnswer, ReplyTo};
 
-/// Who waits for a reply.
+/// The recipient of a reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Respondent {
     Caller(ReplyTo),
@@ -17,7 +17,7 @@
 
 type Name = (CustomerId, RequestId);
 
-/// Those that wait, by request.
+/// Delayed replies with their deadlines, by request.
 #[derive(Default)]
 pub(crate) struct Waiters {
     by_name: BTreeMap<Name, Vec<(Respondent, Moment)>>,
@@ -52,7 +52,7 @@
 }
 
 impl EntryBox {
-    /// Holds the reply until the job ends here, or until the time is over.
+    /// Delays the reply until the job ends here, or until the given time.
     pub(crate) fn wait_for_end(&mut self, name: Name, to: Respondent, until: Moment) {
         if to != Respondent::Nobody {
             self.waiters.add(name, to, until);
