--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     CallerReply, EntryBox, JobAnswer, PeerReply, PeerRequest, Submission, entry_box::Op, route::moved_answer,
-    settle::Afterwards, waiters::Respondent,
+    ticket_fencing::AfterFencing, waiters::Respondent,
 };
 
 /// Prefix of the keys of all claims.
@@ -215,7 +215,7 @@
             return self.reply(op.to, CallerReply::Job(moved_answer()));
         }
         let ticket = (standing.ticket, standing.repeatable);
-        self.settle_standing(ClaimOp { standing: Some(ticket), ..op }, found.version, now);
+        self.fence_existing(ClaimOp { standing: Some(ticket), ..op }, found.version, now);
     }
 
     /// Handles a stored claim that this very process made earlier.
@@ -229,7 +229,7 @@
             None | Some(Stage::Void | Stage::Ended(Outcome::NotRun { .. })) => self.replace_claim(op, version, now),
             Some(Stage::Moved(holder)) if self.is_orphaned(&standing.ticket, holder, now) => {
                 let ticket = (standing.ticket.clone(), standing.repeatable);
-                self.settle_standing(ClaimOp { standing: Some(ticket), ..op }, version, now);
+                self.fence_existing(ClaimOp { standing: Some(ticket), ..op }, version, now);
             }
             Some(Stage::Ended(_) | Stage::Moved(_)) => {
                 let answer = view.as_ref().map_or(JobAnswer::NotKnown, |view| self.answer_of(view, now));
@@ -265,17 +265,17 @@
             Some(PeerReply::Job(JobAnswer::Ended { outcome: Outcome::NotRun { .. }, .. })) => {
                 return self.replace_claim(op, version, now);
             }
-            Some(PeerReply::Job(JobAnswer::Orphaned)) => return self.settle_standing(op, version, now),
+            Some(PeerReply::Job(JobAnswer::Orphaned)) => return self.fence_existing(op, version, now),
             Some(PeerReply::Job(answer)) => answer,
             _ => moved_answer(),
         };
         self.reply(op.to, CallerReply::Job(answer));
     }
 
-    fn settle_standing(&mut self, op: ClaimOp, version: u64, now: Moment) {
+    fn fence_existing(&mut self, op: ClaimOp, version: u64, now: Moment) {
         let Some((ticket, repeatable)) = op.standing else { return };
-        let afterwards = Afterwards::Reclaim { submission: op.submission, to: op.to, version };
-        self.begin_settle(ticket, repeatable, afterwards, now);
+        let then = AfterFencing::Reclaim { submission: op.submission, to: op.to, version };
+        self.begin_fencing(ticket, repeatable, then, now);
     }
 
     fn pass_on(&mut self, op: ClaimOp, standing: &Claim, now: Moment) {
@@ -385,7 +385,7 @@
     ) {
         let key = claim_key(&name.0, &name.1);
         let (ticket, repeatable) = (claim.ticket.clone(), claim.repeatable);
-        self.begin_settle(ticket, repeatable, Afterwards::Cancel { to, key, claim, version }, now);
+        self.begin_fencing(ticket, repeatable, AfterFencing::Cancel { to, key, claim, version }, now);
     }
 
     pub(crate) fn record_cancelled(&mut self, to: Respondent, key: String, claim: Claim, version: u64, ran: bool) {
--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -23,7 +23,7 @@
     quarantine::Quarantine,
     replicas::Replicas,
     route::{Ask, RouteOp},
-    settle::SettleOp,
+    ticket_fencing::FencingOp,
     waiters::{Respondent, Waiters},
 };
 
@@ -92,7 +92,7 @@
 /// An operation in flight, with the state needed to continue it when the reply arrives.
 pub(crate) enum Op {
     Claim(Box<ClaimOp>),
-    Settle(Box<SettleOp>),
+    FenceTicket(Box<FencingOp>),
     Route(Box<RouteOp>),
     RoutePart(OpId),
     HandOver(Box<crate::handover::HandOver>),
--- a/crates/entry/src/handover.rs
+++ b/crates/entry/src/handover.rs
@@ -37,7 +37,7 @@
             matches!(
                 op,
                 Op::Claim(_)
-                    | Op::Settle(_)
+                    | Op::FenceTicket(_)
                     | Op::Route(_)
                     | Op::Apply(..)
                     | Op::HandOver(_)
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/intake.rs
@@ -8,7 +8,7 @@
     CallerReply, EntryBox, JobAnswer, PeerRequest, Submission,
     entry_box::Op,
     route::{Ask, RouteOp},
-    settle::Afterwards,
+    ticket_fencing::AfterFencing,
     waiters::Respondent,
 };
 
@@ -202,7 +202,7 @@
             let route = RouteOp::forward(submission.clone(), to);
             return self.call_peer(Op::Route(Box::new(route)), &minter, PeerRequest::Submit(submission));
         }
-        self.begin_settle(ticket, submission.spec.repeatable, Afterwards::TicketVoid { to }, now);
+        self.begin_fencing(ticket, submission.spec.repeatable, AfterFencing::TicketVoid { to }, now);
     }
 
     /// Asks the peers whether they have a repeated request before it is admitted as new.
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -46,8 +46,8 @@
 mod quarantine;
 mod replicas;
 mod route;
-mod settle;
 mod status;
+mod ticket_fencing;
 mod waiters;
 
 pub use crate::{
--- a/crates/entry/src/settle.rs
+++ b/crates/entry/src/ticket_fencing.rs
@@ -17,17 +17,17 @@
 };
 
 /// Delay before an unanswered fence is sent again.
-const RESEND: Duration = Duration::from_secs(1);
+const FENCE_RESEND: Duration = Duration::from_secs(1);
 /// Largest assumed difference between the wall clocks of two boxes.
-const SKEW: Duration = Duration::from_secs(2);
+const MAX_CLOCK_DIFFERENCE: Duration = Duration::from_secs(2);
 /// Retry delay for a caller whose ticket could not be fenced.
-const RETRY: Duration = Duration::from_secs(2);
+const UNFENCED_RETRY: Duration = Duration::from_secs(2);
 /// Delay before the recovery of durable jobs is tried again.
 const RECOVER_RETRY: Duration = Duration::from_secs(5);
 
 /// The step to take once the ticket is fenced.
 #[derive(Debug)]
-pub(crate) enum Afterwards {
+pub(crate) enum AfterFencing {
     /// Claims the request under a new ticket.
     Reclaim { submission: Submission, to: Respondent, version: u64 },
     /// Replies to the caller that its ticket is void.
@@ -38,34 +38,34 @@
 
 /// A ticket being fenced.
 #[derive(Debug)]
-pub(crate) struct SettleOp {
+pub(crate) struct FencingOp {
     ticket: JobId,
     repeatable: bool,
-    open: BTreeSet<BackendServerId>,
+    unanswered: BTreeSet<BackendServerId>,
     ran: bool,
-    next: Moment,
-    until: Moment,
-    afterwards: Afterwards,
+    resend_at: Moment,
+    deadline: Moment,
+    then: AfterFencing,
 }
 
 impl EntryBox {
-    pub(crate) fn begin_settle(&mut self, ticket: JobId, repeatable: bool, afterwards: Afterwards, now: Moment) {
+    pub(crate) fn begin_fencing(&mut self, ticket: JobId, repeatable: bool, then: AfterFencing, now: Moment) {
         if self.replicas.is_whole(&ticket) {
             // The gang runs or has run whole: it is adopted instead.
-            return self.reply(afterwards.to(), CallerReply::Job(moved_answer()));
+            return self.reply(then.to(), CallerReply::Job(moved_answer()));
         }
-        let open = self.replicas.ids();
-        let until = now + self.limits.settle;
-        let op = SettleOp { ticket, repeatable, open, ran: false, next: now, until, afterwards };
-        let id = self.new_op(Op::Settle(Box::new(op)));
+        let unanswered = self.replicas.ids();
+        let deadline = now + self.limits.settle;
+        let op = FencingOp { ticket, repeatable, unanswered, ran: false, resend_at: now, deadline, then };
+        let id = self.new_op(Op::FenceTicket(Box::new(op)));
         self.send_fences(id, now);
     }
 
     fn send_fences(&mut self, id: OpId, now: Moment) {
-        let Some(Op::Settle(op)) = self.ops.get_mut(&id) else { return };
-        op.next = now + RESEND;
+        let Some(Op::FenceTicket(op)) = self.ops.get_mut(&id) else { return };
+        op.resend_at = now + FENCE_RESEND;
         let ticket = op.ticket.clone();
-        for server in op.open.clone() {
+        for server in op.unanswered.clone() {
             let req = BackendRequest::Stop { job: ticket.clone(), token: LeaseToken::FENCE };
             self.call_backend(BackendOp::Fence(id), server, req);
         }
@@ -73,58 +73,58 @@
 
     pub(crate) fn on_fenced(&mut self, id: OpId, server: &BackendServerId, reply: Option<BackendReply>, now: Moment) {
         let wall_ms = self.wall_ms(now);
-        let Some(Op::Settle(op)) = self.ops.get_mut(&id) else { return };
-        let age = op.ticket.age_at(wall_ms) + SKEW;
+        let Some(Op::FenceTicket(op)) = self.ops.get_mut(&id) else { return };
+        let age = op.ticket.age_at(wall_ms) + MAX_CLOCK_DIFFERENCE;
         if let Some(BackendReply::Stopped { ran, remembers }) = reply {
-            op.open.remove(server);
+            op.unanswered.remove(server);
             // A table younger than the ticket has no record of the ticket's earliest time.
             op.ran |= ran || remembers < age;
         }
-        if op.open.is_empty()
-            && let Some(Op::Settle(op)) = self.ops.remove(&id)
+        if op.unanswered.is_empty()
+            && let Some(Op::FenceTicket(op)) = self.ops.remove(&id)
         {
-            self.settled(*op, now);
+            self.fencing_done(*op, now);
         }
     }
 
     pub(crate) fn tick_ops(&mut self, now: Moment) {
-        let settling: Vec<OpId> =
-            self.ops.iter().filter(|(_, op)| matches!(op, Op::Settle(_))).map(|(id, _)| *id).collect();
-        for id in settling {
-            let Some(Op::Settle(op)) = self.ops.get(&id) else { continue };
-            let (next, until) = (op.next, op.until);
-            if until <= now {
-                self.give_up_settling(id);
-            } else if next <= now {
+        let fencing: Vec<OpId> =
+            self.ops.iter().filter(|(_, op)| matches!(op, Op::FenceTicket(_))).map(|(id, _)| *id).collect();
+        for id in fencing {
+            let Some(Op::FenceTicket(op)) = self.ops.get(&id) else { continue };
+            let (resend_at, deadline) = (op.resend_at, op.deadline);
+            if deadline <= now {
+                self.abandon_fencing(id);
+            } else if resend_at <= now {
                 self.send_fences(id, now);
             }
         }
         self.recover_if_due(now);
     }
 
-    fn give_up_settling(&mut self, id: OpId) {
-        let Some(Op::Settle(op)) = self.ops.remove(&id) else { return };
-        let why = format!("{} backend servers do not say whether the ticket ran", op.open.len());
-        self.reply(op.afterwards.to(), CallerReply::Job(JobAnswer::Unsettled { why, retry_after: RETRY }));
+    fn abandon_fencing(&mut self, id: OpId) {
+        let Some(Op::FenceTicket(op)) = self.ops.remove(&id) else { return };
+        let why = format!("{} backend servers do not say whether the ticket ran", op.unanswered.len());
+        self.reply(op.then.to(), CallerReply::Job(JobAnswer::Unsettled { why, retry_after: UNFENCED_RETRY }));
     }
 
-    fn settled(&mut self, op: SettleOp, now: Moment) {
+    fn fencing_done(&mut self, op: FencingOp, now: Moment) {
         self.observe(Observation::Count { name: "ticket_settled" });
-        if let Afterwards::Cancel { to, key, claim, version } = op.afterwards {
+        if let AfterFencing::Cancel { to, key, claim, version } = op.then {
             return self.record_cancelled(to, key, claim, version, op.ran);
         }
         if op.ran && !op.repeatable {
             let why = "it may have run under a box that is gone, and its answer was not kept".to_owned();
             let answer = JobAnswer::Ended { job: op.ticket, outcome: Outcome::Unknown { why } };
-            return self.reply(op.afterwards.to(), CallerReply::Job(answer));
+            return self.reply(op.then.to(), CallerReply::Job(answer));
         }
-        match op.afterwards {
-            Afterwards::Reclaim { mut submission, to, version } => {
+        match op.then {
+            AfterFencing::Reclaim { mut submission, to, version } => {
                 submission.may_have_run |= op.ran;
                 self.reclaim(submission, to, version, now);
             }
-            Afterwards::Cancel { .. } => {}
-            Afterwards::TicketVoid { to } => {
+            AfterFencing::Cancel { .. } => {}
+            AfterFencing::TicketVoid { to } => {
                 let reason = NotRunReason::Unknown { what: "ticket: the box that minted it is gone".to_owned() };
                 let outcome = Outcome::NotRun { reason, retry_after: Some(Duration::ZERO) };
                 self.reply(to, CallerReply::Job(JobAnswer::Ended { job: op.ticket, outcome }));
@@ -171,8 +171,8 @@
                 resume: claim.resume,
                 may_have_run: claim.has_run,
             };
-            let afterwards = Afterwards::Reclaim { submission, to: Respondent::Nobody, version: found.version };
-            self.begin_settle(claim.ticket, claim.repeatable, afterwards, now);
+            let then = AfterFencing::Reclaim { submission, to: Respondent::Nobody, version: found.version };
+            self.begin_fencing(claim.ticket, claim.repeatable, then, now);
         }
         if later {
             self.recover_at = Some(now + RECOVER_RETRY);
@@ -180,10 +180,10 @@
     }
 }
 
-impl Afterwards {
+impl AfterFencing {
     fn to(&self) -> Respondent {
         match self {
-            Afterwards::Reclaim { to, .. } | Afterwards::TicketVoid { to } | Afterwards::Cancel { to, .. } => *to,
+            AfterFencing::Reclaim { to, .. } | AfterFencing::TicketVoid { to } | AfterFencing::Cancel { to, .. } => *to,
         }
     }
 }
