--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -33,12 +33,11 @@
 //! assert!(outputs.iter().any(|output| matches!(output, Output::CallStore { .. })));
 //! ```
 
-mod adopt;
+mod adoption;
 mod claims;
 mod config;
 mod entry_box;
 mod handover;
-mod intake;
 mod message;
 mod offers;
 mod peers;
@@ -47,6 +46,7 @@
 mod replicas;
 mod route;
 mod status;
+mod submissions;
 mod ticket_fencing;
 mod waiters;
 
