--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -19,7 +19,7 @@
 /// Lifetime of a claim: as long as a caller may send the same request again.
 const CLAIM_TTL: Duration = Duration::from_secs(24 * 3600);
 /// Most calls to the store before a claim is abandoned.
-const MAX_ROUNDS: u32 = 6;
+const MAX_STORE_CALLS: u32 = 6;
 /// Delay before the end of a claim that could not be written is written again.
 const END_RETRY: Duration = Duration::from_secs(2);
 
@@ -66,10 +66,10 @@
     to: Respondent,
     claim: Claim,
     /// Version of the stored claim that it replaces; `None` if there is none.
-    over: Option<u64>,
+    replaces: Option<u64>,
     /// Ticket of the stored claim, and whether its request may run more than once.
-    standing: Option<(JobId, bool)>,
-    rounds: u32,
+    existing: Option<(JobId, bool)>,
+    store_calls: u32,
 }
 
 /// The end of a claimed job, being written to the store.
@@ -86,7 +86,7 @@
         self.write_claim(op, now);
     }
 
-    fn new_claim(&mut self, submission: Submission, to: Respondent, over: Option<u64>, now: Moment) -> ClaimOp {
+    fn new_claim(&mut self, submission: Submission, to: Respondent, replaces: Option<u64>, now: Moment) -> ClaimOp {
         let claim = Claim {
             ticket: self.jobs.mint(now),
             availability_zone: self.id.availability_zone.clone(),
@@ -96,7 +96,7 @@
             resume: submission.resume,
             ended: None,
         };
-        ClaimOp { submission, to, claim, over, standing: None, rounds: 0 }
+        ClaimOp { submission, to, claim, replaces, existing: None, store_calls: 0 }
     }
 
     /// Returns whether this box is making a claim for a request of that name.
@@ -112,7 +112,7 @@
 
     /// Returns whether a claim under this ticket was sent and not answered yet: its write may have taken
     /// effect, and the job is started once that is known.
-    fn is_claim_on_its_way(&self, ticket: &JobId) -> bool {
+    fn is_claim_in_flight(&self, ticket: &JobId) -> bool {
         self.ops.values().any(|op| matches!(op, Op::Claim(op) if op.claim.ticket == *ticket))
     }
 
@@ -121,15 +121,15 @@
     }
 
     fn write_claim(&mut self, mut op: ClaimOp, now: Moment) {
-        op.rounds += 1;
-        if op.rounds > MAX_ROUNDS {
+        op.store_calls += 1;
+        if op.store_calls > MAX_STORE_CALLS {
             // The ticket is never started, even if the last write takes effect later.
             return self.refuse_for_store(&op.submission, op.to, now);
         }
         let key = op.key();
         let value = op.claim.to_text();
         let ttl = Some(CLAIM_TTL);
-        let req = match op.over {
+        let req = match op.replaces {
             None => StoreRequest::Create { key, value, ttl },
             Some(version) => StoreRequest::CompareAndSwap { key, version, value, ttl },
         };
@@ -138,16 +138,16 @@
 
     pub(crate) fn on_claim_reply(&mut self, mut op: ClaimOp, reply: Option<StoreReply>, now: Moment) {
         match reply {
-            Some(StoreReply::Written { .. }) => self.claim_stands(op, now),
+            Some(StoreReply::Written { .. }) => self.claim_stored(op, now),
             Some(StoreReply::Conflict { value: Some(found) } | StoreReply::Found { value: Some(found) }) => {
-                self.on_standing_claim(op, found, now);
+                self.on_existing_claim(op, found, now);
             }
             Some(StoreReply::Found { value: None }) => {
-                op.over = None;
+                op.replaces = None;
                 self.write_claim(op, now);
             }
-            Some(StoreReply::Conflict { value: None }) if op.over.is_some() => {
-                op.over = None;
+            Some(StoreReply::Conflict { value: None }) if op.replaces.is_some() => {
+                op.replaces = None;
                 self.write_claim(op, now);
             }
             Some(_) => self.refuse_for_store(&op.submission, op.to, now),
@@ -157,15 +157,15 @@
 
     /// Reads the claim after a lost reply: the stored claim shows whether the write took effect.
     fn read_claim(&mut self, mut op: ClaimOp, now: Moment) {
-        op.rounds += 1;
-        if op.rounds > MAX_ROUNDS {
+        op.store_calls += 1;
+        if op.store_calls > MAX_STORE_CALLS {
             return self.refuse_for_store(&op.submission, op.to, now);
         }
         let key = op.key();
         self.call_store(Op::Claim(Box::new(op)), StoreRequest::Get { key });
     }
 
-    fn claim_stands(&mut self, op: ClaimOp, now: Moment) {
+    fn claim_stored(&mut self, op: ClaimOp, now: Moment) {
         let ticket = op.claim.ticket.clone();
         self.claimed.insert(ticket.clone(), op.claim);
         self.accept(op.submission, ticket, op.to, now);
@@ -173,63 +173,64 @@
 
     /// Handles a stored claim with another ticket, whose box may be live, in another availability zone, or
     /// terminated.
-    fn on_standing_claim(&mut self, mut op: ClaimOp, found: Versioned, now: Moment) {
-        let Some(standing) = Claim::parse(&found.value) else {
+    fn on_existing_claim(&mut self, mut op: ClaimOp, found: Versioned, now: Moment) {
+        let Some(existing) = Claim::parse(&found.value) else {
             return self.replace_claim(op, found.version, now);
         };
-        if standing.ticket == op.claim.ticket {
-            return self.claim_stands(op, now);
+        if existing.ticket == op.claim.ticket {
+            return self.claim_stored(op, now);
         }
         // The new ticket inherits what the claim records of earlier tickets.
-        op.submission.may_have_run |= standing.has_run;
-        op.submission.resume |= standing.resume;
-        if standing.ended.as_deref() == Some("not_run") {
+        op.submission.may_have_run |= existing.has_run;
+        op.submission.resume |= existing.resume;
+        if existing.ended.as_deref() == Some("not_run") {
             return self.replace_claim(op, found.version, now);
         }
-        if standing.availability_zone != self.id.availability_zone {
-            return self.pass_on(op, &standing, now);
+        if existing.availability_zone != self.id.availability_zone {
+            return self.pass_on(op, &existing, now);
         }
-        if let Some(outcome) = standing.ended {
+        if let Some(outcome) = existing.ended {
             // A box may still have the answer if the caller has not acknowledged it.
             let spec = op.submission.spec;
-            let ask = crate::route::Ask::Poll { wait: op.submission.wait };
-            let route = crate::route::RouteOp::after_end(ask, (spec.customer, spec.request), op.to, outcome);
-            return self.ask_peers(route, now);
+            let action = crate::route::Action::Poll { wait: op.submission.wait };
+            let route =
+                crate::route::RouteOp::after_recorded_end(action, (spec.customer, spec.request), op.to, outcome);
+            return self.query_peers(route, now);
         }
-        if self.jobs.minted(&standing.ticket) {
-            return self.on_own_claim(op, &standing, found.version, now);
+        if self.jobs.minted(&existing.ticket) {
+            return self.on_own_claim(op, &existing, found.version, now);
         }
-        if self.is_live_ticket(&standing.ticket, now) {
-            let owner = standing.ticket.minted_by.clone();
-            let ticket = (standing.ticket.clone(), standing.repeatable);
-            let op = ClaimOp { over: Some(found.version), standing: Some(ticket), ..op };
+        if self.is_live_ticket(&existing.ticket, now) {
+            let owner = existing.ticket.minted_by.clone();
+            let ticket = (existing.ticket.clone(), existing.repeatable);
+            let op = ClaimOp { replaces: Some(found.version), existing: Some(ticket), ..op };
             let (customer, request) = (op.submission.spec.customer.clone(), op.submission.spec.request.clone());
             let wait = op.submission.wait;
             return self.call_peer(
                 Op::Claim(Box::new(op)),
                 &owner,
-                PeerRequest::Lookup { customer, request, wait, ticket: Some(standing.ticket), pass_on: false },
+                PeerRequest::Lookup { customer, request, wait, ticket: Some(existing.ticket), pass_on: false },
             );
         }
         if !self.view.can_detect_failures(now) {
             return self.reply(op.to, CallerReply::Job(moved_answer()));
         }
-        let ticket = (standing.ticket, standing.repeatable);
-        self.fence_existing(ClaimOp { standing: Some(ticket), ..op }, found.version, now);
+        let ticket = (existing.ticket, existing.repeatable);
+        self.fence_existing(ClaimOp { existing: Some(ticket), ..op }, found.version, now);
     }
 
     /// Handles a stored claim that this very process made earlier.
-    fn on_own_claim(&mut self, op: ClaimOp, standing: &Claim, version: u64, now: Moment) {
-        if self.is_claim_on_its_way(&standing.ticket) {
+    fn on_own_claim(&mut self, op: ClaimOp, existing: &Claim, version: u64, now: Moment) {
+        if self.is_claim_in_flight(&existing.ticket) {
             return self.reply(op.to, CallerReply::Job(crate::route::claiming_answer()));
         }
-        let view = self.jobs.view(&standing.ticket);
+        let view = self.jobs.view(&existing.ticket);
         match view.as_ref().map(|view| &view.stage) {
             // The ticket was abandoned before its job started, or the job was not run.
             None | Some(Stage::Void | Stage::Ended(Outcome::NotRun { .. })) => self.replace_claim(op, version, now),
-            Some(Stage::Moved(holder)) if self.is_orphaned(&standing.ticket, holder, now) => {
-                let ticket = (standing.ticket.clone(), standing.repeatable);
-                self.fence_existing(ClaimOp { standing: Some(ticket), ..op }, version, now);
+            Some(Stage::Moved(holder)) if self.is_orphaned(&existing.ticket, holder, now) => {
+                let ticket = (existing.ticket.clone(), existing.repeatable);
+                self.fence_existing(ClaimOp { existing: Some(ticket), ..op }, version, now);
             }
             Some(Stage::Ended(_) | Stage::Moved(_)) => {
                 let answer = view.as_ref().map_or(JobAnswer::NotKnown, |view| self.answer_of(view, now));
@@ -244,9 +245,9 @@
     }
 
     pub(crate) fn replace_claim(&mut self, op: ClaimOp, version: u64, now: Moment) {
-        let rounds = op.rounds;
+        let store_calls = op.store_calls;
         let mut op = self.new_claim(op.submission, op.to, Some(version), now);
-        op.rounds = rounds;
+        op.store_calls = store_calls;
         self.write_claim(op, now);
     }
 
@@ -258,7 +259,7 @@
 
     /// Handles the reply of the live box that minted the ticket of the stored claim.
     pub(crate) fn on_owner_reply(&mut self, op: ClaimOp, reply: Option<PeerReply>, now: Moment) {
-        let Some(version) = op.over else { return };
+        let Some(version) = op.replaces else { return };
         let answer = match reply {
             // That box minted the ticket, has not started it and never will.
             Some(PeerReply::Job(JobAnswer::NotKnown)) => return self.replace_claim(op, version, now),
@@ -273,13 +274,13 @@
     }
 
     fn fence_existing(&mut self, op: ClaimOp, version: u64, now: Moment) {
-        let Some((ticket, repeatable)) = op.standing else { return };
+        let Some((ticket, repeatable)) = op.existing else { return };
         let then = AfterFencing::Reclaim { submission: op.submission, to: op.to, version };
         self.begin_fencing(ticket, repeatable, then, now);
     }
 
-    fn pass_on(&mut self, op: ClaimOp, standing: &Claim, now: Moment) {
-        let Some(peer) = self.any_box_of(&standing.availability_zone, now) else {
+    fn pass_on(&mut self, op: ClaimOp, existing: &Claim, now: Moment) {
+        let Some(peer) = self.any_box_of(&existing.availability_zone, now) else {
             return self.reply(op.to, CallerReply::Job(moved_answer()));
         };
         let route = crate::route::RouteOp::forward(op.submission.clone(), op.to);
@@ -290,7 +291,7 @@
     /// terminated.
     pub(crate) fn end_claim(&mut self, job: &JobId, now: Moment) {
         if self.claimed.contains_key(job) {
-            self.unreported.insert(job.clone());
+            self.ends_to_write.insert(job.clone());
             self.write_end(job, now);
         }
     }
@@ -304,15 +305,15 @@
         claim.durable = None;
         let key = claim_key(&view.spec.customer, &view.spec.request);
         let end = EndClaim { job: job.clone(), key: key.clone(), claim };
-        self.unreported.remove(job);
+        self.ends_to_write.remove(job);
         self.call_store(Op::EndClaim(end), StoreRequest::Get { key });
     }
 
     pub(crate) fn on_end_claim_reply(&mut self, end: EndClaim, reply: Option<StoreReply>, now: Moment) {
         match reply {
             Some(StoreReply::Found { value: Some(found) }) => {
-                let stands = Claim::parse(&found.value);
-                match stands {
+                let stored = Claim::parse(&found.value);
+                match stored {
                     Some(it) if it.ticket != end.claim.ticket => return self.end_superseded(&end.job),
                     Some(it) if it.ended.is_some() => return self.end_recorded(&end.job, now),
                     _ => {}
@@ -327,15 +328,15 @@
             }
             Some(StoreReply::Written { .. } | StoreReply::Found { value: None }) => self.end_recorded(&end.job, now),
             _ => {
-                self.unreported.insert(end.job);
-                self.config.retry_ends_at.get_or_insert(now + END_RETRY);
+                self.ends_to_write.insert(end.job);
+                self.config.claim_ends_retry_at.get_or_insert(now + END_RETRY);
             }
         }
     }
 
     /// Returns whether a job's claim records that it has run and resumes from a checkpoint; starts to write
     /// that if not. Without it, a box that takes the request over could start it from the beginning.
-    pub(crate) fn claim_tells_of_run(&mut self, job: &JobId) -> bool {
+    pub(crate) fn ensure_claim_records_run(&mut self, job: &JobId) -> bool {
         let Some(claim) = self.claimed.get(job) else { return true };
         if claim.resume || !self.jobs.resumes(job) {
             return true;
@@ -348,7 +349,7 @@
         false
     }
 
-    pub(crate) fn on_mark_reply(&mut self, job: JobId, reply: Option<StoreReply>) {
+    pub(crate) fn on_mark_claim_reply(&mut self, job: JobId, reply: Option<StoreReply>) {
         let Some(claim) = self.claimed.get_mut(&job) else { return };
         match reply {
             Some(StoreReply::Found { value: Some(found) }) => {
@@ -406,7 +407,7 @@
 
     /// The end of a job is stored: its callers get the outcome now.
     fn end_recorded(&mut self, job: &JobId, now: Moment) {
-        if !self.unrecorded.remove(job) {
+        if !self.unrecorded_outcomes.remove(job) {
             return;
         }
         if let Some(view) = self.jobs.view(job) {
@@ -417,7 +418,7 @@
 
     /// Another ticket has replaced this one: the outcome under this ticket is void.
     fn end_superseded(&mut self, job: &JobId) {
-        if !self.unrecorded.remove(job) {
+        if !self.unrecorded_outcomes.remove(job) {
             return;
         }
         if let Some(view) = self.jobs.view(job) {
@@ -438,14 +439,14 @@
 
     /// Retries ends and claims that could not be written.
     pub(crate) fn tick_claims(&mut self, now: Moment) {
-        let (due, later) = std::mem::take(&mut self.unclaimed).into_iter().partition(|(at, _)| *at <= now);
-        self.unclaimed = later;
+        let (due, later) = std::mem::take(&mut self.claims_to_retry).into_iter().partition(|(at, _)| *at <= now);
+        self.claims_to_retry = later;
         for (_, submission) in due {
             self.submit_new(submission, Respondent::Nobody, now);
         }
-        if self.config.retry_ends_at.is_some_and(|at| at <= now) {
-            self.config.retry_ends_at = None;
-            for job in std::mem::take(&mut self.unreported) {
+        if self.config.claim_ends_retry_at.is_some_and(|at| at <= now) {
+            self.config.claim_ends_retry_at = None;
+            for job in std::mem::take(&mut self.ends_to_write) {
                 self.write_end(&job, now);
             }
         }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -31,7 +31,7 @@
     /// When the configuration was last sent to each backend server.
     told: BTreeMap<BackendServerId, Moment>,
     /// When ends of claims that could not be written are written again; `None` if there are none.
-    pub(crate) retry_ends_at: Option<Moment>,
+    pub(crate) claim_ends_retry_at: Option<Moment>,
 }
 
 impl EntryBox {
--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -22,7 +22,7 @@
     planning::Planning,
     quarantine::Quarantine,
     replicas::Replicas,
-    route::{Ask, RouteOp},
+    route::{Action, RouteOp},
     ticket_fencing::FencingOp,
     waiters::{Respondent, Waiters},
 };
@@ -94,7 +94,7 @@
     Claim(Box<ClaimOp>),
     FenceTicket(Box<FencingOp>),
     Route(Box<RouteOp>),
-    RoutePart(OpId),
+    PeerQuery(OpId),
     HandOver(Box<crate::handover::HandOver>),
     Apply(Apply, Respondent),
     EndClaim(crate::claims::EndClaim),
@@ -125,9 +125,9 @@
     pub(crate) directory: BTreeMap<BoxId, ListedBox>,
     pub(crate) ops: BTreeMap<OpId, Op>,
     pub(crate) claimed: BTreeMap<model::JobId, crate::Claim>,
-    pub(crate) unreported: BTreeSet<model::JobId>,
+    pub(crate) ends_to_write: BTreeSet<model::JobId>,
     /// Claimed jobs that were not run or were cancelled; their callers get the outcome once it is stored.
-    pub(crate) unrecorded: BTreeSet<model::JobId>,
+    pub(crate) unrecorded_outcomes: BTreeSet<model::JobId>,
     pub(crate) config: crate::config::ConfigState,
     pub(crate) dead_since: BTreeMap<Holder, Moment>,
     pub(crate) recover_at: Option<Moment>,
@@ -136,7 +136,7 @@
     /// Boxes that did not respond to the last call, and when that call failed.
     pub(crate) silent: BTreeMap<BoxId, Moment>,
     /// Jobs without a caller whose claim could not be made, and when the claim is retried.
-    pub(crate) unclaimed: Vec<(Moment, Submission)>,
+    pub(crate) claims_to_retry: Vec<(Moment, Submission)>,
     pub(crate) hand_over_at: Moment,
     pub(crate) last_heartbeat: Option<Moment>,
     pub(crate) out: Vec<Output>,
@@ -166,15 +166,15 @@
             directory: BTreeMap::new(),
             ops: BTreeMap::new(),
             claimed: BTreeMap::new(),
-            unreported: BTreeSet::new(),
-            unrecorded: BTreeSet::new(),
+            ends_to_write: BTreeSet::new(),
+            unrecorded_outcomes: BTreeSet::new(),
             config: Default::default(),
             dead_since: BTreeMap::new(),
             recover_at: Some(now + limits.settle),
             draining: false,
             silent: BTreeMap::new(),
             adopted_at: None,
-            unclaimed: Vec::new(),
+            claims_to_retry: Vec::new(),
             hand_over_at: now,
             born: now,
             last_heartbeat: None,
@@ -242,13 +242,13 @@
         match req {
             CallerRequest::Submit(submission) => self.submit(submission, to, now),
             CallerRequest::Poll { customer, request, wait } => {
-                self.route(Ask::Poll { wait: self.bounded(wait) }, customer, request, to, now);
+                self.route(Action::Poll { wait: self.bounded(wait) }, customer, request, to, now);
             }
             CallerRequest::Cancel { customer, request } => {
-                self.route(Ask::Cancel, customer, request, to, now);
+                self.route(Action::Cancel, customer, request, to, now);
             }
             CallerRequest::Acknowledge { customer, request } => {
-                self.route(Ask::Acknowledge, customer, request, to, now);
+                self.route(Action::Acknowledge, customer, request, to, now);
             }
             CallerRequest::Mint => {
                 let ticket = self.jobs.mint(now);
@@ -288,14 +288,14 @@
                 self.out.push(Output::ToPeer { to, reply: PeerReply::Job(answer) });
             }
             PeerRequest::Lookup { customer, request, wait, ticket: _, pass_on } => {
-                let ask = Ask::Poll { wait: self.bounded(wait) };
-                self.answer_peer(ask, customer, request, pass_on, respondent, now);
+                let action = Action::Poll { wait: self.bounded(wait) };
+                self.answer_peer(action, customer, request, pass_on, respondent, now);
             }
             PeerRequest::Cancel { customer, request, pass_on } => {
-                self.answer_peer(Ask::Cancel, customer, request, pass_on, respondent, now);
+                self.answer_peer(Action::Cancel, customer, request, pass_on, respondent, now);
             }
             PeerRequest::Acknowledge { customer, request, pass_on } => {
-                self.answer_peer(Ask::Acknowledge, customer, request, pass_on, respondent, now);
+                self.answer_peer(Action::Acknowledge, customer, request, pass_on, respondent, now);
             }
             PeerRequest::Submit(submission) => self.submit(submission, respondent, now),
             PeerRequest::FetchConfiguration => {
@@ -315,7 +315,7 @@
             (Some(Op::FetchConfiguration), reply) => self.on_fetched_configuration(reply, now),
             (Some(Op::Route(route)), reply) => self.on_route_reply(*route, reply, now),
             (Some(Op::HandOver(it)), reply) => self.on_handed_over(*it, peer, reply, now),
-            (Some(Op::RoutePart(round)), reply) => self.on_round_reply(round, &peer, reply, now),
+            (Some(Op::PeerQuery(round)), reply) => self.on_peer_query_reply(round, &peer, reply, now),
             (Some(Op::Claim(claim)), reply) => self.on_owner_reply(*claim, reply, now),
             _ => {}
         }
@@ -326,7 +326,7 @@
             Some(Op::Claim(claim)) => self.on_claim_reply(*claim, reply, now),
             Some(Op::Route(route)) => self.on_route_claim(*route, reply, now),
             Some(Op::Apply(apply, to)) => self.on_apply_reply(apply, to, reply, now),
-            Some(Op::MarkClaim(job)) => self.on_mark_reply(job, reply),
+            Some(Op::MarkClaim(job)) => self.on_mark_claim_reply(job, reply),
             Some(Op::CancelClaim { to, outcome }) => self.on_cancel_recorded(to, outcome, reply),
             Some(Op::EndClaim(end)) => self.on_end_claim_reply(end, reply, now),
             Some(Op::Recover) => self.on_recover_reply(reply, now),
@@ -374,7 +374,7 @@
         if must_record && self.claimed.contains_key(job) {
             // Another box may have declared this one dead and run the request, or may do so later: the
             // stored claim decides which outcome callers get.
-            self.unrecorded.insert(job.clone());
+            self.unrecorded_outcomes.insert(job.clone());
         } else {
             let answer = JobAnswer::Ended { job: view.job.clone(), outcome };
             self.answer_waiters(&view.spec.customer, &view.spec.request, &answer);
--- a/crates/entry/src/handover.rs
+++ b/crates/entry/src/handover.rs
@@ -7,7 +7,7 @@
 use model::{BoxId, Duration, JobId, Moment};
 
 use crate::{
-    CallerReply, EntryBox, JobAnswer, PeerReply, PeerRequest, Submission, entry_box::Op, route::Ask,
+    CallerReply, EntryBox, JobAnswer, PeerReply, PeerRequest, Submission, entry_box::Op, route::Action,
     waiters::Respondent,
 };
 
@@ -48,9 +48,9 @@
         self.draining
             && self.jobs.open_jobs() == 0
             && self.waiters.is_empty()
-            && self.unreported.is_empty()
-            && self.unrecorded.is_empty()
-            && self.unclaimed.is_empty()
+            && self.ends_to_write.is_empty()
+            && self.unrecorded_outcomes.is_empty()
+            && self.claims_to_retry.is_empty()
             && !self.ops.values().any(owes)
     }
 
@@ -60,7 +60,7 @@
             return;
         }
         for waiting in self.jobs.waiting(now) {
-            if !self.claim_tells_of_run(&waiting.job) {
+            if !self.ensure_claim_records_run(&waiting.job) {
                 continue;
             }
             let Some(submission) = self.release(&waiting.job) else { continue };
@@ -127,8 +127,8 @@
         let known = matches!(view.stage, lifecycle::Stage::Moved(_));
         for (to, until) in self.waiters.take(&name) {
             if known {
-                let ask = Ask::Poll { wait: until.since(now) };
-                self.route(ask, name.0.clone(), name.1.clone(), to, now);
+                let action = Action::Poll { wait: until.since(now) };
+                self.route(action, name.0.clone(), name.1.clone(), to, now);
             } else {
                 self.reply(to, CallerReply::Job(crate::route::moved_answer()));
             }
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -21,7 +21,7 @@
 
 /// An operation on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ask {
+pub(crate) enum Action {
     Poll { wait: Duration },
     Cancel,
     Acknowledge,
@@ -30,70 +30,82 @@
 /// A request being routed.
 #[derive(Debug)]
 pub(crate) struct RouteOp {
-    ask: Ask,
+    action: Action,
     name: (CustomerId, RequestId),
     to: Respondent,
     /// Peers that have not replied yet.
-    open: BTreeSet<BoxId>,
+    unanswered: BTreeSet<BoxId>,
     /// Submission to admit as new if the request is unknown everywhere.
     submission: Option<Submission>,
     /// Outcome that the claim records; the reply if no box has the answer any more.
     ended: Option<String>,
     /// Whether a reply that the request is unknown is final, rather than a reason to read the claim.
-    last_stop: bool,
+    is_final: bool,
 }
 
 impl RouteOp {
     /// Creates the route of a submission that is forwarded to its owner.
     pub(crate) fn forward(submission: Submission, to: Respondent) -> RouteOp {
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
-        let ask = Ask::Poll { wait: submission.wait };
-        RouteOp { ask, name, to, open: BTreeSet::new(), submission: None, last_stop: true, ended: None }
+        let action = Action::Poll { wait: submission.wait };
+        RouteOp { action, name, to, unanswered: BTreeSet::new(), submission: None, is_final: true, ended: None }
     }
 
     /// Creates the route of a request that may be sent to all peers.
-    pub(crate) fn around(
-        ask: Ask,
+    pub(crate) fn broadcast(
+        action: Action,
         name: (CustomerId, RequestId),
         to: Respondent,
         submission: Option<Submission>,
     ) -> RouteOp {
-        RouteOp { ask, name, to, open: BTreeSet::new(), submission, last_stop: false, ended: None }
+        RouteOp { action, name, to, unanswered: BTreeSet::new(), submission, is_final: false, ended: None }
     }
 
     /// Creates the route of a request whose claim records its end.
-    pub(crate) fn after_end(ask: Ask, name: (CustomerId, RequestId), to: Respondent, outcome: String) -> RouteOp {
-        RouteOp { ended: Some(outcome), ..RouteOp::around(ask, name, to, None) }
+    pub(crate) fn after_recorded_end(
+        action: Action,
+        name: (CustomerId, RequestId),
+        to: Respondent,
+        outcome: String,
+    ) -> RouteOp {
+        RouteOp { ended: Some(outcome), ..RouteOp::broadcast(action, name, to, None) }
     }
 
     /// Returns the message for a peer. `pass_on` is set for a box of another availability zone, which then
     /// searches its own zone for the holder.
     fn request(&self, pass_on: bool) -> PeerRequest {
         let (customer, request) = self.name.clone();
-        match self.ask {
-            Ask::Poll { wait } => PeerRequest::Lookup { customer, request, wait, ticket: None, pass_on },
-            Ask::Cancel => PeerRequest::Cancel { customer, request, pass_on },
-            Ask::Acknowledge => PeerRequest::Acknowledge { customer, request, pass_on },
+        match self.action {
+            Action::Poll { wait } => PeerRequest::Lookup { customer, request, wait, ticket: None, pass_on },
+            Action::Cancel => PeerRequest::Cancel { customer, request, pass_on },
+            Action::Acknowledge => PeerRequest::Acknowledge { customer, request, pass_on },
         }
     }
 }
 
 impl EntryBox {
     /// Replies to an operation on a request, wherever the request is held.
-    pub(crate) fn route(&mut self, ask: Ask, customer: CustomerId, request: RequestId, to: Respondent, now: Moment) {
-        self.route_or_submit(RouteOp::around(ask, (customer, request), to, None), now);
+    pub(crate) fn route(
+        &mut self,
+        action: Action,
+        customer: CustomerId,
+        request: RequestId,
+        to: Respondent,
+        now: Moment,
+    ) {
+        self.route_or_submit(RouteOp::broadcast(action, (customer, request), to, None), now);
     }
 
     /// As [`EntryBox::route`], but admits the submission in the route if the request is unknown.
     pub(crate) fn route_or_submit(&mut self, route: RouteOp, now: Moment) {
-        let RouteOp { ask, to, .. } = route;
+        let RouteOp { action, to, .. } = route;
         let name = route.name.clone();
         let local = self.jobs.find(&name.0, &name.1);
         let moved_to = match local.as_ref().map(|view| &view.stage) {
             Some(Stage::Moved(holder)) => Some(holder.clone()),
             Some(Stage::Void) => None,
-            Some(_) => return self.answer_locally(ask, name.0, name.1, to, now),
-            None if self.is_claiming_name(&name) => return self.answer_locally(ask, name.0, name.1, to, now),
+            Some(_) => return self.answer_locally(action, name.0, name.1, to, now),
+            None if self.is_claiming_name(&name) => return self.answer_locally(action, name.0, name.1, to, now),
             None => None,
         };
         // The lease tables are newer than the holder recorded when the job moved.
@@ -106,7 +118,7 @@
                 self.call_peer(Op::Route(Box::new(route)), &holder.box_id, req);
             }
             None if found.is_some_and(|found| found.whole) => self.reply(to, CallerReply::Job(moved_answer())),
-            None => self.ask_peers(route, now),
+            None => self.query_peers(route, now),
         }
     }
 
@@ -117,7 +129,7 @@
     /// Replies to another box: from this box's jobs alone, or from wherever the request is held.
     pub(crate) fn answer_peer(
         &mut self,
-        ask: Ask,
+        action: Action,
         customer: CustomerId,
         request: RequestId,
         pass_on: bool,
@@ -125,16 +137,16 @@
         now: Moment,
     ) {
         if pass_on {
-            self.route(ask, customer, request, to, now);
+            self.route(action, customer, request, to, now);
         } else {
-            self.answer_locally(ask, customer, request, to, now);
+            self.answer_locally(action, customer, request, to, now);
         }
     }
 
     /// Replies from this box's own jobs alone.
     pub(crate) fn answer_locally(
         &mut self,
-        ask: Ask,
+        action: Action,
         customer: CustomerId,
         request: RequestId,
         to: Respondent,
@@ -145,58 +157,58 @@
             let answer = if claiming { claiming_answer() } else { JobAnswer::NotKnown };
             return self.reply(to, CallerReply::Job(answer));
         };
-        match ask {
-            Ask::Cancel => self.jobs.cancel(&view.job, now),
-            Ask::Acknowledge => self.jobs.acknowledge(&view.job),
-            Ask::Poll { .. } => {}
+        match action {
+            Action::Cancel => self.jobs.cancel(&view.job, now),
+            Action::Acknowledge => self.jobs.acknowledge(&view.job),
+            Action::Poll { .. } => {}
         }
         // The effects of a job's end come before the reply that reports it.
         self.carry_effects(now);
         let view = self.jobs.view(&view.job).unwrap_or(view);
-        match (&view.stage, ask) {
-            (Stage::Ended(_), _) if self.unrecorded.contains(&view.job) => {
+        match (&view.stage, action) {
+            (Stage::Ended(_), _) if self.unrecorded_outcomes.contains(&view.job) => {
                 self.wait_for_end((customer, request), to, now + self.limits.call);
             }
-            (Stage::Ended(_) | Stage::Moved(_) | Stage::Void, _) | (_, Ask::Acknowledge) => {
+            (Stage::Ended(_) | Stage::Moved(_) | Stage::Void, _) | (_, Action::Acknowledge) => {
                 self.reply(to, CallerReply::Job(self.answer_of(&view, now)));
             }
-            (_, Ask::Poll { wait }) if wait == Duration::ZERO => {
+            (_, Action::Poll { wait }) if wait == Duration::ZERO => {
                 self.reply(to, CallerReply::Job(self.answer_of(&view, now)));
             }
-            (_, Ask::Poll { wait }) => self.wait_for_end((customer, request), to, now + wait),
-            (_, Ask::Cancel) => self.wait_for_end((customer, request), to, now + self.limits.call),
+            (_, Action::Poll { wait }) => self.wait_for_end((customer, request), to, now + wait),
+            (_, Action::Cancel) => self.wait_for_end((customer, request), to, now + self.limits.call),
         }
     }
 
     /// Sends the request to every live peer of the availability zone.
-    pub(crate) fn ask_peers(&mut self, mut route: RouteOp, now: Moment) {
+    pub(crate) fn query_peers(&mut self, mut route: RouteOp, now: Moment) {
         let peers: Vec<BoxId> = self.view.live(now).into_iter().filter(|id| *id != self.id.box_id).collect();
         if peers.is_empty() {
-            return self.ask_store(route, now);
+            return self.query_claim(route, now);
         }
-        route.open = peers.iter().cloned().collect();
+        route.unanswered = peers.iter().cloned().collect();
         let req = route.request(false);
         // The round is one operation; each peer's call is another that refers to it.
         let round = self.new_op(Op::Route(Box::new(route)));
         for peer in peers {
-            self.call_peer(Op::RoutePart(round), &peer, req.clone());
+            self.call_peer(Op::PeerQuery(round), &peer, req.clone());
         }
     }
 
     pub(crate) fn on_route_reply(&mut self, route: RouteOp, reply: Option<PeerReply>, now: Moment) {
         let answer = match reply {
             // The holder that the lease tables name has abandoned the job.
-            Some(PeerReply::Job(JobAnswer::NotKnown)) if !route.last_stop => return self.ask_store(route, now),
+            Some(PeerReply::Job(JobAnswer::NotKnown)) if !route.is_final => return self.query_claim(route, now),
             Some(PeerReply::Job(answer)) => answer,
             _ => moved_answer(),
         };
         self.reply(route.to, CallerReply::Job(answer));
     }
 
-    pub(crate) fn on_round_reply(&mut self, round: OpId, peer: &BoxId, reply: Option<PeerReply>, now: Moment) {
+    pub(crate) fn on_peer_query_reply(&mut self, round: OpId, peer: &BoxId, reply: Option<PeerReply>, now: Moment) {
         let Some(Op::Route(route)) = self.ops.get_mut(&round) else { return };
-        route.open.remove(peer);
-        let done = route.open.is_empty();
+        route.unanswered.remove(peer);
+        let done = route.unanswered.is_empty();
         let known = match reply {
             Some(PeerReply::Job(JobAnswer::Orphaned | JobAnswer::NotKnown)) => None,
             Some(PeerReply::Job(answer)) => Some(answer),
@@ -208,13 +220,13 @@
         let Some(Op::Route(route)) = self.ops.remove(&round) else { return };
         match known {
             Some(answer) => self.reply(route.to, CallerReply::Job(answer)),
-            None => self.ask_store(*route, now),
+            None => self.query_claim(*route, now),
         }
     }
 
     /// Reads the claim of a request that no box of the availability zone knows; admits it as new if a
     /// submission comes with it.
-    fn ask_store(&mut self, route: RouteOp, now: Moment) {
+    fn query_claim(&mut self, route: RouteOp, now: Moment) {
         if let Some(outcome) = route.ended {
             return self.reply(route.to, CallerReply::Job(JobAnswer::Over { outcome }));
         }
@@ -229,7 +241,7 @@
         let answer = match reply {
             Some(StoreReply::Found { value: None }) => JobAnswer::NotKnown,
             Some(StoreReply::Found { value: Some(found) }) => match Claim::parse(&found.value) {
-                Some(claim) => return self.route_to_claim(route, claim, found.version, now),
+                Some(claim) => return self.route_by_claim(route, claim, found.version, now),
                 None => JobAnswer::NotKnown,
             },
             _ => JobAnswer::Unsettled {
@@ -240,20 +252,20 @@
         self.reply(route.to, CallerReply::Job(answer));
     }
 
-    fn route_to_claim(&mut self, route: RouteOp, claim: Claim, version: u64, now: Moment) {
+    fn route_by_claim(&mut self, route: RouteOp, claim: Claim, version: u64, now: Moment) {
         if claim.availability_zone != self.id.availability_zone {
             let Some(peer) = self.any_box_of(&claim.availability_zone, now) else {
                 return self.reply(route.to, CallerReply::Job(moved_answer()));
             };
             let req = route.request(true);
-            let route = RouteOp { last_stop: true, ..route };
+            let route = RouteOp { is_final: true, ..route };
             return self.call_peer(Op::Route(Box::new(route)), &peer, req);
         }
         if let Some(outcome) = claim.ended {
             return self.reply(route.to, CallerReply::Job(JobAnswer::Over { outcome }));
         }
         // No box holds the request. A live box that minted the ticket has abandoned it.
-        if route.ask == Ask::Cancel && self.view.can_detect_failures(now) {
+        if route.action == Action::Cancel && self.view.can_detect_failures(now) {
             return self.cancel_orphan(route.name, route.to, claim, version, now);
         }
         self.reply(route.to, CallerReply::Job(orphan_answer()));
@@ -262,7 +274,7 @@
     /// Returns the answer about a job of this box.
     pub(crate) fn answer_of(&self, view: &JobView, now: Moment) -> JobAnswer {
         let stage = match &view.stage {
-            Stage::Ended(_) if self.unrecorded.contains(&view.job) => "recording",
+            Stage::Ended(_) if self.unrecorded_outcomes.contains(&view.job) => "recording",
             Stage::Ended(outcome) => return JobAnswer::Ended { job: view.job.clone(), outcome: outcome.clone() },
             Stage::Moved(holder) if self.is_orphaned(&view.job, holder, now) => return JobAnswer::Orphaned,
             Stage::Moved(_) => return moved_answer(),
--- a/crates/entry/src/submissions.rs
+++ b/crates/entry/src/submissions.rs
@@ -7,7 +7,7 @@
 use crate::{
     CallerReply, EntryBox, JobAnswer, PeerRequest, Submission,
     entry_box::Op,
-    route::{Ask, RouteOp},
+    route::{Action, RouteOp},
     ticket_fencing::AfterFencing,
     waiters::Respondent,
 };
@@ -94,7 +94,7 @@
     pub(crate) fn refuse_for_store(&mut self, submission: &Submission, to: Respondent, now: Moment) {
         if to == Respondent::Nobody {
             // There is no caller to send it again, so this box retries.
-            self.unclaimed.push((now + RETRY_STORE, submission.clone()));
+            self.claims_to_retry.push((now + RETRY_STORE, submission.clone()));
             return;
         }
         let reason = NotRunReason::StoreUnavailable;
@@ -126,9 +126,9 @@
         } else if !self.is_held(spec, now) && !self.is_claiming(spec) {
             return false;
         }
-        let ask = Ask::Poll { wait: submission.wait };
+        let action = Action::Poll { wait: submission.wait };
         let name = (spec.customer.clone(), spec.request.clone());
-        self.route_or_submit(RouteOp::around(ask, name, to, Some(submission.clone())), now);
+        self.route_or_submit(RouteOp::broadcast(action, name, to, Some(submission.clone())), now);
         true
     }
 
@@ -187,9 +187,9 @@
             return match self.jobs.view(&ticket) {
                 None => self.accept(submission, ticket, to, now),
                 Some(view) if *view.spec == submission.spec => {
-                    let ask = Ask::Poll { wait: submission.wait };
+                    let action = Action::Poll { wait: submission.wait };
                     let JobSpec { customer, request, .. } = submission.spec;
-                    self.route(ask, customer, request, to, now);
+                    self.route(action, customer, request, to, now);
                 }
                 Some(_) => self.reply(to, CallerReply::Job(JobAnswer::NameInUse)),
             };
@@ -207,10 +207,10 @@
 
     /// Asks the peers whether they have a repeated request before it is admitted as new.
     fn look_around(&mut self, submission: Submission, to: Respondent, now: Moment) {
-        let ask = Ask::Poll { wait: Duration::ZERO };
+        let action = Action::Poll { wait: Duration::ZERO };
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
-        let route = RouteOp::around(ask, name, to, Some(submission));
-        self.ask_peers(route, now);
+        let route = RouteOp::broadcast(action, name, to, Some(submission));
+        self.query_peers(route, now);
     }
 }
 
