--- a/crates/entry/src/adoption.rs
+++ b/crates/entry/src/adoption.rs
@@ -13,28 +13,28 @@
     pub(crate) fn adopt_orphans(&mut self, now: Moment) {
         // Liveness changes with heartbeats, so a more frequent check finds nothing new.
         let every = self.limits.membership.heartbeat_every;
-        if self.adopted_at.is_some_and(|at| now.since(at) < every) {
+        if self.orphans_checked_at.is_some_and(|at| now.since(at) < every) {
             return;
         }
-        self.adopted_at = Some(now);
+        self.orphans_checked_at = Some(now);
         let plans = *self.view.planner(now) == self.id.box_id && self.view.can_detect_failures(now) && !self.draining;
         let orphans: Vec<(JobId, BTreeMap<BackendServerId, Lease>)> = self
             .replicas
             .by_job()
             .into_iter()
-            .filter(|(_, lines)| lines.values().any(|lease| is_worth_adopting(lease)))
-            .filter(|(_, lines)| {
-                let newest = lines.values().max_by_key(|lease| lease.token);
-                newest.is_some_and(|l| self.has_given_up(l) || (plans && self.is_gone(&l.holder, now)))
+            .filter(|(_, leases)| leases.values().any(|lease| is_worth_adopting(lease)))
+            .filter(|(_, leases)| {
+                let newest = leases.values().max_by_key(|lease| lease.token);
+                newest.is_some_and(|l| self.has_abandoned(l) || (plans && self.is_gone(&l.holder, now)))
             })
-            .map(|(job, lines)| {
-                let lines = lines.into_iter().map(|(id, lease)| (id.clone(), lease.clone())).collect();
-                (job.clone(), lines)
+            .map(|(job, leases)| {
+                let leases = leases.into_iter().map(|(id, lease)| (id.clone(), lease.clone())).collect();
+                (job.clone(), leases)
             })
             .collect();
-        for (job, lines) in orphans {
+        for (job, leases) in orphans {
             let before = self.jobs.open_jobs();
-            self.jobs.adopt(&job, &lines, now);
+            self.jobs.adopt(&job, &leases, now);
             if self.jobs.open_jobs() > before {
                 self.observe(Observation::Adopting { job });
             }
@@ -43,7 +43,7 @@
 
     /// Returns whether this very process holds the lease but no longer tracks the job: it abandoned the gang
     /// when a member did not respond, and the gang was whole after all.
-    fn has_given_up(&self, lease: &Lease) -> bool {
+    fn has_abandoned(&self, lease: &Lease) -> bool {
         let is_mine = lease.holder == *self.jobs.holder();
         is_mine && self.jobs.view(&lease.job).is_none_or(|view| view.stage == lifecycle::Stage::Void)
     }
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -27,9 +27,9 @@
     watch_at: Moment,
     /// The store's version of the configuration; 0 until it was read.
     version: u64,
-    fetching: bool,
+    is_fetching: bool,
     /// When the configuration was last sent to each backend server.
-    told: BTreeMap<BackendServerId, Moment>,
+    last_sent: BTreeMap<BackendServerId, Moment>,
     /// When ends of claims that could not be written are written again; `None` if there are none.
     pub(crate) claim_ends_retry_at: Option<Moment>,
 }
@@ -65,40 +65,40 @@
     /// Takes a configuration document from any source; the highest revision wins.
     pub(crate) fn take_document(&mut self, text: &str, now: Moment) {
         match self.current.take(text) {
-            Ok(Taken::InForce) => self.in_force(now),
+            Ok(Taken::InForce) => self.on_new_revision(now),
             Ok(Taken::Known | Taken::Older) => {}
             Err(_) => self.observe(Observation::Count { name: "bad_document" }),
         }
     }
 
-    fn in_force(&mut self, now: Moment) {
+    fn on_new_revision(&mut self, now: Moment) {
         let Some(file) = self.file() else { return };
         let zone = &self.id.availability_zone;
         let here = file.backend_servers.values().filter(|s| s.availability_zone == *zone);
         let servers: BTreeSet<BackendServerId> = here.map(|s| s.id.clone()).collect();
-        self.replicas.keep(&servers);
-        self.planning.mark_dirty();
+        self.replicas.retain_servers(&servers);
+        self.planning.mark_changed();
         self.out.push(crate::Output::Configured(file));
         self.observe(Observation::InForce { revision: self.current.revision() });
-        self.config.told.clear();
+        self.config.last_sent.clear();
         // An immediate heartbeat reports the new revision to the peers.
         self.last_heartbeat = None;
         self.send_heartbeats(now);
         for server in servers {
-            self.tell_server(&server, now);
+            self.send_configuration(&server, now);
         }
         self.send_watches(now);
     }
 
     pub(crate) fn fetch_configuration(&mut self, peer: &BoxId) {
-        if !self.config.fetching {
-            self.config.fetching = true;
+        if !self.config.is_fetching {
+            self.config.is_fetching = true;
             self.call_peer(Op::FetchConfiguration, peer, PeerRequest::FetchConfiguration);
         }
     }
 
     pub(crate) fn on_fetched_configuration(&mut self, reply: Option<PeerReply>, now: Moment) {
-        self.config.fetching = false;
+        self.config.is_fetching = false;
         if let Some(PeerReply::Configuration(Some(text))) = reply {
             self.take_document(&text, now);
         }
@@ -107,7 +107,7 @@
     /// Handles the revision that a backend server reports to match.
     pub(crate) fn on_server_revision(&mut self, server: &BackendServerId, revision: Revision, now: Moment) {
         if revision < self.current.revision() {
-            self.tell_server(server, now);
+            self.send_configuration(server, now);
         } else {
             self.current.hear_of(revision);
         }
@@ -115,19 +115,19 @@
 
     /// Sends the configuration to a backend server that lags behind this box. Every box does so, not the
     /// planner alone, so a failed planner does not delay a revision.
-    fn tell_server(&mut self, server: &BackendServerId, now: Moment) {
+    fn send_configuration(&mut self, server: &BackendServerId, now: Moment) {
         let Some(document) = self.current.document().cloned() else { return };
-        if self.config.told.get(server).is_some_and(|at| now.since(*at) < CONFIGURE_RETRY) {
+        if self.config.last_sent.get(server).is_some_and(|at| now.since(*at) < CONFIGURE_RETRY) {
             return;
         }
-        self.config.told.insert(server.clone(), now);
+        self.config.last_sent.insert(server.clone(), now);
         let req = BackendRequest::Configure { revision: self.current.revision(), document: document.to_string() };
         self.call_backend(BackendOp::Configure, server.clone(), req);
     }
 
     pub(crate) fn on_configured(&mut self, server: &BackendServerId, reply: Option<BackendReply>, _now: Moment) {
         if !matches!(reply, Some(BackendReply::Configured { .. })) {
-            self.config.told.remove(server);
+            self.config.last_sent.remove(server);
         }
     }
 
--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -18,7 +18,7 @@
     BackendOp, CallerReply, CallerRequest, Input, JobAnswer, Observation, OpId, Output, PeerReply, PeerRequest,
     ReplyTo, Submission,
     claims::ClaimOp,
-    offers::{Offered, Offering},
+    offers::{OwnOffers, ReceivedOffers},
     planning::Planning,
     quarantine::Quarantine,
     replicas::Replicas,
@@ -111,15 +111,15 @@
 /// State machine of one entry box.
 pub struct EntryBox {
     pub(crate) id: Identity,
-    pub(crate) born: Moment,
+    pub(crate) started_at: Moment,
     pub(crate) limits: Limits,
     pub(crate) jobs: Coordinator,
     pub(crate) view: View,
     pub(crate) current: Current,
     pub(crate) replicas: Replicas,
     pub(crate) planning: Planning,
-    pub(crate) offered: BTreeMap<BoxId, Offered>,
-    pub(crate) offering: Offering,
+    pub(crate) received_offers: BTreeMap<BoxId, ReceivedOffers>,
+    pub(crate) own_offers: OwnOffers,
     pub(crate) quarantine: Quarantine,
     pub(crate) waiters: Waiters,
     pub(crate) directory: BTreeMap<BoxId, ListedBox>,
@@ -131,10 +131,10 @@
     pub(crate) config: crate::config::ConfigState,
     pub(crate) dead_since: BTreeMap<Holder, Moment>,
     pub(crate) recover_at: Option<Moment>,
-    pub(crate) adopted_at: Option<Moment>,
+    pub(crate) orphans_checked_at: Option<Moment>,
     pub(crate) draining: bool,
     /// Boxes that did not respond to the last call, and when that call failed.
-    pub(crate) silent: BTreeMap<BoxId, Moment>,
+    pub(crate) unresponsive_peers: BTreeMap<BoxId, Moment>,
     /// Jobs without a caller whose claim could not be made, and when the claim is retried.
     pub(crate) claims_to_retry: Vec<(Moment, Submission)>,
     pub(crate) hand_over_at: Moment,
@@ -159,8 +159,8 @@
             current: Current::default(),
             replicas: Replicas::default(),
             planning: Planning::new(planner),
-            offered: BTreeMap::new(),
-            offering: Offering::default(),
+            received_offers: BTreeMap::new(),
+            own_offers: OwnOffers::default(),
             quarantine: Quarantine::default(),
             waiters: Waiters::default(),
             directory: BTreeMap::new(),
@@ -172,11 +172,11 @@
             dead_since: BTreeMap::new(),
             recover_at: Some(now + limits.settle),
             draining: false,
-            silent: BTreeMap::new(),
-            adopted_at: None,
+            unresponsive_peers: BTreeMap::new(),
+            orphans_checked_at: None,
             claims_to_retry: Vec::new(),
             hand_over_at: now,
-            born: now,
+            started_at: now,
             last_heartbeat: None,
             out: Vec::new(),
             next_op: 0,
@@ -198,17 +198,17 @@
                 BackendOp::Job => self.jobs.on_reply(&server, &req, reply, now),
                 BackendOp::Watch => self.on_watch_reply(&server, reply, now),
                 BackendOp::Configure => self.on_configured(&server, reply, now),
-                BackendOp::Preempt => self.planning.mark_dirty(),
+                BackendOp::Preempt => self.planning.mark_changed(),
                 BackendOp::Fence(op) => self.on_fenced(op, &server, reply, now),
             },
             Input::StoreReply { op, reply } => self.on_store_reply(op, reply, now),
             Input::Listed(boxes) => self.on_listed(boxes),
             Input::Drain => self.drain(),
         }
-        self.carry_effects(now);
+        self.apply_effects(now);
         self.offer_queue(now);
         self.plan_if_due(now);
-        self.carry_effects(now);
+        self.apply_effects(now);
         mem::take(&mut self.out)
     }
 
@@ -226,7 +226,7 @@
         self.view.tick(now);
         self.jobs.tick(now);
         self.send_heartbeats(now);
-        self.note_deaths(now);
+        self.detect_dead_peers(now);
         self.tick_config(now);
         self.send_watches(now);
         self.adopt_orphans(now);
@@ -306,7 +306,7 @@
     }
 
     fn on_peer_reply(&mut self, op: OpId, peer: BoxId, reply: Option<PeerReply>, now: Moment) {
-        self.note_answer(&peer, reply.is_some(), now);
+        self.record_peer_response(&peer, reply.is_some(), now);
         match (self.ops.remove(&op), reply) {
             (Some(Op::Heartbeat), Some(PeerReply::Heartbeat { incarnation, revision, leaving })) => {
                 self.on_heartbeat(&peer, incarnation, revision, leaving, now);
@@ -336,7 +336,7 @@
     }
 
     /// Carries out the effects that the job coordinator has queued.
-    pub(crate) fn carry_effects(&mut self, now: Moment) {
+    pub(crate) fn apply_effects(&mut self, now: Moment) {
         for effect in self.jobs.take_effects() {
             match effect {
                 Effect::Call { server, req } => self.call_backend(BackendOp::Job, server, req),
@@ -348,7 +348,7 @@
                 Effect::RunFailed { server, job } => self.on_run_failed(&server, &job, now),
                 Effect::Count(anomaly) => {
                     if anomaly == lifecycle::Anomaly::LateGrant {
-                        self.offer_anew();
+                        self.request_full_offer();
                     }
                     self.observe(Observation::Count { name: crate::status::anomaly_name(anomaly) });
                 }
@@ -368,7 +368,7 @@
         let (customer, class) = (view.spec.customer.clone(), view.spec.class.clone());
         self.observe(Observation::Ended { customer, class, outcome: outcome.name(), after });
         if matches!(outcome, model::Outcome::Done { .. }) {
-            self.quarantine.succeeded(&view.servers);
+            self.quarantine.record_success(&view.servers);
         }
         let must_record = matches!(outcome, model::Outcome::NotRun { .. } | model::Outcome::Cancelled { .. });
         if must_record && self.claimed.contains_key(job) {
@@ -390,7 +390,7 @@
 
     /// Returns the wall-clock time in Unix milliseconds: the process start, advanced by the monotonic clock.
     pub(crate) fn wall_ms(&self, now: Moment) -> u64 {
-        self.id.incarnation.0 + now.since(self.born).millis()
+        self.id.incarnation.0 + now.since(self.started_at).millis()
     }
 
     pub(crate) fn file(&self) -> Option<Arc<OperatorFile>> {
@@ -398,7 +398,7 @@
     }
 
     /// Returns the number of operations started so far; rises with every tracked call.
-    pub(crate) fn ops_begun(&self) -> u64 {
+    pub(crate) fn op_count(&self) -> u64 {
         self.next_op
     }
 
--- a/crates/entry/src/handover.rs
+++ b/crates/entry/src/handover.rs
@@ -12,7 +12,7 @@
 };
 
 /// Delay before jobs that no box accepted are offered to the other boxes again.
-const HAND_OVER_AGAIN: Duration = Duration::from_secs(1);
+const HANDOVER_RETRY: Duration = Duration::from_secs(1);
 
 /// A waiting job being handed to another box.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
 
     /// Returns whether a draining box has no work left that only it can finish.
     pub fn is_drained(&self) -> bool {
-        let owes = |op: &Op| {
+        let is_unfinished = |op: &Op| {
             matches!(
                 op,
                 Op::Claim(_)
@@ -51,7 +51,7 @@
             && self.ends_to_write.is_empty()
             && self.unrecorded_outcomes.is_empty()
             && self.claims_to_retry.is_empty()
-            && !self.ops.values().any(owes)
+            && !self.ops.values().any(is_unfinished)
     }
 
     /// Hands waiting jobs to other boxes while this box is draining.
@@ -92,7 +92,7 @@
             }
             // No other box accepts it: this box keeps it.
             None => {
-                self.hand_over_at = now + HAND_OVER_AGAIN;
+                self.hand_over_at = now + HANDOVER_RETRY;
                 self.submit_new(it.submission, Respondent::Nobody, now);
             }
         }
@@ -124,9 +124,9 @@
     /// Forwards the callers that wait for a job to its new holder.
     pub(crate) fn follow_moved(&mut self, view: &lifecycle::JobView, now: Moment) {
         let name = (view.spec.customer.clone(), view.spec.request.clone());
-        let known = matches!(view.stage, lifecycle::Stage::Moved(_));
+        let has_holder = matches!(view.stage, lifecycle::Stage::Moved(_));
         for (to, until) in self.waiters.take(&name) {
-            if known {
+            if has_holder {
                 let action = Action::Poll { wait: until.since(now) };
                 self.route(action, name.0.clone(), name.1.clone(), to, now);
             } else {
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -10,10 +10,10 @@
 use crate::{EntryBox, PeerReply, PeerRequest, entry_box::Op};
 
 /// Most jobs that one offer adds; the rest follows in later offers.
-const MAX_ADDED: usize = 256;
+const MAX_JOBS_PER_OFFER: usize = 256;
 
 /// A planner's copy of another box's queue.
-pub(crate) struct Offered {
+pub(crate) struct ReceivedOffers {
     incarnation: Incarnation,
     seq: u64,
     /// When the last offer arrived; a box with a queue sends one at least every `offer_every`.
@@ -23,12 +23,12 @@
 
 /// State of this box's offers to the planner.
 #[derive(Default)]
-pub(crate) struct Offering {
+pub(crate) struct OwnOffers {
     to: Option<BoxId>,
     seq: u64,
     need_full: bool,
     sent: BTreeSet<JobId>,
-    in_flight: Option<Moment>,
+    in_flight_until: Option<Moment>,
     last: Option<Moment>,
     changed: bool,
 }
@@ -52,65 +52,65 @@
 impl EntryBox {
     /// Makes the next offer contain the whole queue: the planner granted a job that isn't waiting, so its
     /// copy is out of date.
-    pub(crate) fn offer_anew(&mut self) {
-        self.offering.need_full = true;
-        self.offering.changed = true;
+    pub(crate) fn request_full_offer(&mut self) {
+        self.own_offers.need_full = true;
+        self.own_offers.changed = true;
     }
 
     pub(crate) fn queue_changed(&mut self) {
-        self.offering.changed = true;
-        self.planning.mark_dirty();
+        self.own_offers.changed = true;
+        self.planning.mark_changed();
     }
 
     /// Offers the queue to the planner if that is another box, and the queue has changed or an offer is due.
     pub(crate) fn offer_queue(&mut self, now: Moment) {
         let planner = self.view.planner(now).clone();
-        if self.offering.to.as_ref() != Some(&planner) {
-            let seq = self.offering.seq;
-            self.offering =
-                Offering { to: Some(planner.clone()), seq, need_full: true, changed: true, ..Offering::default() };
+        if self.own_offers.to.as_ref() != Some(&planner) {
+            let seq = self.own_offers.seq;
+            self.own_offers =
+                OwnOffers { to: Some(planner.clone()), seq, need_full: true, changed: true, ..OwnOffers::default() };
         }
-        if planner == self.id.box_id || self.offering.in_flight.is_some_and(|until| until > now) {
+        if planner == self.id.box_id || self.own_offers.in_flight_until.is_some_and(|until| until > now) {
             return;
         }
-        let due = self.offering.last.is_none_or(|at| now.since(at) >= self.limits.offer_every);
-        if !self.offering.changed && !due {
+        let due = self.own_offers.last.is_none_or(|at| now.since(at) >= self.limits.offer_every);
+        if !self.own_offers.changed && !due {
             return;
         }
         let waiting: BTreeMap<JobId, Waiting> =
             self.jobs.waiting(now).into_iter().map(|w| (w.job.clone(), w)).collect();
         // A planner with a copy of this queue must be informed that it is empty now.
-        if waiting.is_empty() && self.offering.sent.is_empty() && !self.offering.need_full {
-            self.offering.changed = false;
+        if waiting.is_empty() && self.own_offers.sent.is_empty() && !self.own_offers.need_full {
+            self.own_offers.changed = false;
             return;
         }
         self.send_offer(&planner, waiting, now);
     }
 
     fn send_offer(&mut self, planner: &BoxId, mut waiting: BTreeMap<JobId, Waiting>, now: Moment) {
-        let full = self.offering.need_full;
+        let full = self.own_offers.need_full;
         if full {
-            self.offering.sent.clear();
+            self.own_offers.sent.clear();
         }
         let removed: Vec<JobId> =
-            self.offering.sent.iter().filter(|job| !waiting.contains_key(*job)).cloned().collect();
-        waiting.retain(|job, _| !self.offering.sent.contains(job));
+            self.own_offers.sent.iter().filter(|job| !waiting.contains_key(*job)).cloned().collect();
+        waiting.retain(|job, _| !self.own_offers.sent.contains(job));
         let mut fresh: Vec<Waiting> = waiting.into_values().collect();
         fresh.sort_by_key(|w| std::cmp::Reverse(w.waited));
-        self.offering.changed = fresh.len() > MAX_ADDED;
-        fresh.truncate(MAX_ADDED);
+        self.own_offers.changed = fresh.len() > MAX_JOBS_PER_OFFER;
+        fresh.truncate(MAX_JOBS_PER_OFFER);
         for job in &removed {
-            self.offering.sent.remove(job);
+            self.own_offers.sent.remove(job);
         }
-        self.offering.sent.extend(fresh.iter().map(|w| w.job.clone()));
-        self.offering.seq += 1;
-        self.offering.need_full = false;
-        self.offering.in_flight = Some(now + self.limits.call);
-        self.offering.last = Some(now);
+        self.own_offers.sent.extend(fresh.iter().map(|w| w.job.clone()));
+        self.own_offers.seq += 1;
+        self.own_offers.need_full = false;
+        self.own_offers.in_flight_until = Some(now + self.limits.call);
+        self.own_offers.last = Some(now);
         let req = PeerRequest::Offer {
             from: self.id.box_id.clone(),
             incarnation: self.id.incarnation,
-            seq: self.offering.seq,
+            seq: self.own_offers.seq,
             full,
             added: fresh.into_iter().map(queued).collect(),
             removed,
@@ -119,13 +119,13 @@
     }
 
     pub(crate) fn on_offer_reply(&mut self, peer: &BoxId, reply: Option<PeerReply>, _now: Moment) {
-        if self.offering.to.as_ref() != Some(peer) {
+        if self.own_offers.to.as_ref() != Some(peer) {
             return;
         }
-        self.offering.in_flight = None;
+        self.own_offers.in_flight_until = None;
         if !matches!(reply, Some(PeerReply::Offered { need_full: false })) {
-            self.offering.need_full = true;
-            self.offering.changed = true;
+            self.own_offers.need_full = true;
+            self.own_offers.changed = true;
         }
     }
 
@@ -142,15 +142,15 @@
         now: Moment,
     ) -> bool {
         // A later offer has overtaken this one, whose contents are outdated.
-        if self.offered.get(&from).is_some_and(|o| o.incarnation == incarnation && seq <= o.seq) {
+        if self.received_offers.get(&from).is_some_and(|o| o.incarnation == incarnation && seq <= o.seq) {
             return false;
         }
-        let fits = self.offered.get(&from).is_some_and(|o| o.incarnation == incarnation && o.seq + 1 == seq);
+        let fits = self.received_offers.get(&from).is_some_and(|o| o.incarnation == incarnation && o.seq + 1 == seq);
         if !full && !fits {
             return true;
         }
-        let empty = || Offered { incarnation, seq, last: now, jobs: BTreeMap::new() };
-        let offered = self.offered.entry(from).or_insert_with(empty);
+        let empty = || ReceivedOffers { incarnation, seq, last: now, jobs: BTreeMap::new() };
+        let offered = self.received_offers.entry(from).or_insert_with(empty);
         if full {
             *offered = empty();
         }
@@ -165,7 +165,7 @@
             offered.jobs.insert(queued.job.clone(), (queued, since));
         }
         if any {
-            self.planning.mark_dirty();
+            self.planning.mark_changed();
         }
         false
     }
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -7,7 +7,7 @@
 use crate::{EntryBox, PeerReply, PeerRequest, entry_box::Op};
 
 /// How long a box that did not respond is avoided if there is another.
-const SILENT_FOR: Duration = Duration::from_secs(10);
+const AVOID_UNRESPONSIVE_FOR: Duration = Duration::from_secs(10);
 
 impl EntryBox {
     /// Merges the platform's list into the directory. The list lags behind, so it removes no box; only
@@ -29,20 +29,21 @@
     pub(crate) fn any_box_of(&self, zone: &AvailabilityZoneId, now: Moment) -> Option<BoxId> {
         let here = |listed: &&ListedBox| listed.availability_zone == *zone && !listed.leaving;
         let all: Vec<&BoxId> = self.directory.values().filter(here).map(|listed| &listed.id).collect();
-        let silent = |id: &BoxId| self.silent.get(id).is_some_and(|at| now.since(*at) < SILENT_FOR);
-        let answering: Vec<&BoxId> = all.iter().copied().filter(|id| !silent(id)).collect();
+        let is_unresponsive =
+            |id: &BoxId| self.unresponsive_peers.get(id).is_some_and(|at| now.since(*at) < AVOID_UNRESPONSIVE_FOR);
+        let answering: Vec<&BoxId> = all.iter().copied().filter(|id| !is_unresponsive(id)).collect();
         let boxes = if answering.is_empty() { all } else { answering };
         // Chosen in turn, to spread the load.
-        let turn = self.ops_begun() as usize % boxes.len().max(1);
+        let turn = self.op_count() as usize % boxes.len().max(1);
         boxes.get(turn).map(|id| (*id).clone())
     }
 
     /// Records whether a box responded to a call.
-    pub(crate) fn note_answer(&mut self, peer: &BoxId, answered: bool, now: Moment) {
+    pub(crate) fn record_peer_response(&mut self, peer: &BoxId, answered: bool, now: Moment) {
         if answered {
-            self.silent.remove(peer);
+            self.unresponsive_peers.remove(peer);
         } else {
-            self.silent.insert(peer.clone(), now);
+            self.unresponsive_peers.insert(peer.clone(), now);
         }
     }
 
@@ -97,8 +98,8 @@
     }
 
     /// Records peers that are no longer live, and schedules the recovery of their durable jobs.
-    pub(crate) fn note_deaths(&mut self, now: Moment) {
-        let silent: Vec<(Holder, bool)> = self
+    pub(crate) fn detect_dead_peers(&mut self, now: Moment) {
+        let peers: Vec<(Holder, bool)> = self
             .view
             .peers()
             .iter()
@@ -107,12 +108,12 @@
                 (holder, self.view.is_live(id, now))
             })
             .collect();
-        for (holder, live) in silent {
+        for (holder, live) in peers {
             if live {
                 self.dead_since.remove(&holder);
             } else if !self.dead_since.contains_key(&holder) {
                 self.dead_since.insert(holder.clone(), now);
-                self.offered.remove(&holder.box_id);
+                self.received_offers.remove(&holder.box_id);
                 self.recover_at.get_or_insert(now + self.limits.adopt_after);
             }
         }
--- a/crates/entry/src/planning.rs
+++ b/crates/entry/src/planning.rs
@@ -11,20 +11,20 @@
 /// Longest time between two planning rounds.
 const REPLAN_AFTER: Duration = Duration::from_secs(2);
 /// Lifetime of an offer: several times the longest pause between two offers of a box with a queue.
-const OFFER_LIFE: Duration = Duration::from_secs(5);
+const OFFER_TTL: Duration = Duration::from_secs(5);
 /// Number of starts over which the time per start is averaged.
-const RATE_WINDOW: f64 = 32.0;
+const START_AVERAGE_WINDOW: f64 = 32.0;
 /// Time per start before any start was observed.
-const RATE_INITIAL: Duration = Duration::from_secs(1);
+const INITIAL_TIME_PER_START: Duration = Duration::from_secs(1);
 
 /// State of the planner. It is not stored: the next planner rebuilds it from the lease tables and offers.
 pub(crate) struct Planning {
     planner: Box<dyn Planner>,
-    dirty: bool,
-    last: Option<Moment>,
+    has_changed: bool,
+    last_round: Option<Moment>,
     granted: BTreeMap<JobId, Granted>,
     last_start: Option<Moment>,
-    time_per_start: f64,
+    time_per_start_ms: f64,
 }
 
 /// A grant whose reservations have not appeared in the lease tables yet.
@@ -37,21 +37,21 @@
     pub(crate) fn new(planner: Box<dyn Planner>) -> Planning {
         Planning {
             planner,
-            dirty: true,
-            last: None,
+            has_changed: true,
+            last_round: None,
             granted: BTreeMap::new(),
             last_start: None,
-            time_per_start: RATE_INITIAL.millis() as f64,
+            time_per_start_ms: INITIAL_TIME_PER_START.millis() as f64,
         }
     }
 
     /// Records a change that may let a job start, so that the next round is not skipped.
-    pub(crate) fn mark_dirty(&mut self) {
-        self.dirty = true;
+    pub(crate) fn mark_changed(&mut self) {
+        self.has_changed = true;
     }
 
     /// Removes grants whose reservations have appeared, or whose attempt has ended.
-    pub(crate) fn forget_granted(&mut self, leases: &[Lease]) {
+    pub(crate) fn remove_granted(&mut self, leases: &[Lease]) {
         for lease in leases {
             self.granted.remove(&lease.job);
         }
@@ -74,16 +74,16 @@
 
     /// Returns the recent average time between starts.
     pub(crate) fn time_per_start(&self) -> Duration {
-        Duration::from_millis(self.time_per_start as u64)
+        Duration::from_millis(self.time_per_start_ms as u64)
     }
 
-    fn note_starts(&mut self, starts: usize, now: Moment) {
+    fn record_starts(&mut self, starts: usize, now: Moment) {
         if starts == 0 {
             return;
         }
         if let Some(last) = self.last_start {
-            let each = now.since(last).millis() as f64 / starts as f64;
-            self.time_per_start += (each - self.time_per_start) / RATE_WINDOW;
+            let each_ms = now.since(last).millis() as f64 / starts as f64;
+            self.time_per_start_ms += (each_ms - self.time_per_start_ms) / START_AVERAGE_WINDOW;
         }
         self.last_start = Some(now);
     }
@@ -99,23 +99,23 @@
         let expired = self.planning.granted.values().any(|granted| granted.until <= now);
         if expired {
             self.planning.granted.retain(|_, granted| granted.until > now);
-            self.planning.dirty = true;
+            self.planning.has_changed = true;
         }
         // Some inputs change by time alone, such as whether a backend server counts as unresponsive.
-        let stale = self.planning.last.is_none_or(|at| now.since(at) >= REPLAN_AFTER);
-        self.planning.dirty |= stale;
-        let early = self.planning.last.is_some_and(|at| now.since(at) < self.limits.plan_gap);
-        if !self.planning.dirty || early {
+        let stale = self.planning.last_round.is_none_or(|at| now.since(at) >= REPLAN_AFTER);
+        self.planning.has_changed |= stale;
+        let early = self.planning.last_round.is_some_and(|at| now.since(at) < self.limits.plan_gap);
+        if !self.planning.has_changed || early {
             return;
         }
         let Some(snapshot) = self.snapshot(now) else { return };
-        self.planning.dirty = false;
-        self.planning.last = Some(now);
+        self.planning.has_changed = false;
+        self.planning.last_round = Some(now);
         if snapshot.queue.is_empty() {
             return;
         }
         let decisions = self.planning.planner.plan(&snapshot);
-        self.carry_out(&snapshot, decisions, now);
+        self.apply_decisions(&snapshot, decisions, now);
     }
 
     fn snapshot(&self, now: Moment) -> Option<Snapshot> {
@@ -129,17 +129,17 @@
         let granted = self.planning.granted.values().map(|granted| &granted.gang);
         running.extend(granted.filter(|gang| !known.contains(&gang.job)).cloned());
         let mut queue: Vec<Queued> = self.jobs.waiting(now).into_iter().map(queued).collect();
-        for (id, offered) in &self.offered {
+        for (id, offered) in &self.received_offers {
             // A box that no longer sends offers has an empty queue or uses another planner.
-            if self.view.is_live(id, now) && now.since(offered.last) < OFFER_LIFE {
-                queue.extend(offered.jobs.values().map(|(it, since)| aged(it, *since, now)));
+            if self.view.is_live(id, now) && now.since(offered.last) < OFFER_TTL {
+                queue.extend(offered.jobs.values().map(|(it, since)| with_current_wait(it, *since, now)));
             }
         }
         queue.retain(|it| !known.contains(&it.job) && !self.planning.granted.contains_key(&it.job));
         Some(Snapshot { file, servers, running, queue })
     }
 
-    fn carry_out(&mut self, snapshot: &Snapshot, decisions: Vec<Decision>, now: Moment) {
+    fn apply_decisions(&mut self, snapshot: &Snapshot, decisions: Vec<Decision>, now: Moment) {
         let by_job: BTreeMap<&JobId, &Queued> = snapshot.queue.iter().map(|it| (&it.job, it)).collect();
         let mut starts: Vec<(JobId, Vec<Member>)> = Vec::new();
         let mut refusals = Vec::new();
@@ -148,7 +148,7 @@
             match decision {
                 Decision::Start { job, members } => {
                     if let Some(it) = by_job.get(&job) {
-                        let granted = Granted { gang: begun(it, &members), until: now + self.limits.grant_ttl };
+                        let granted = Granted { gang: granted_gang(it, &members), until: now + self.limits.grant_ttl };
                         self.planning.granted.insert(job.clone(), granted);
                         starts.push((job, members));
                     }
@@ -160,7 +160,7 @@
                 Decision::Refuse { job, why } => refusals.push((job, why)),
             }
         }
-        self.planning.note_starts(starts.len(), now);
+        self.planning.record_starts(starts.len(), now);
         if starts.len() + preemptions + refusals.len() > 0 {
             let queued = snapshot.queue.len();
             self.observe(Observation::Planned { starts: starts.len(), preemptions, queued });
@@ -195,7 +195,7 @@
                 self.on_grant(starts, refusals, now);
                 continue;
             }
-            if let Some(offered) = self.offered.get_mut(&id) {
+            if let Some(offered) = self.received_offers.get_mut(&id) {
                 for (job, _) in &refusals {
                     offered.jobs.remove(job);
                 }
@@ -205,11 +205,11 @@
     }
 }
 
-fn aged(it: &Queued, since: Moment, now: Moment) -> Queued {
+fn with_current_wait(it: &Queued, since: Moment, now: Moment) -> Queued {
     Queued { waited: now.since(since), ..it.clone() }
 }
 
-fn begun(it: &Queued, members: &[Member]) -> Running {
+fn granted_gang(it: &Queued, members: &[Member]) -> Running {
     Running {
         job: it.job.clone(),
         customer: it.customer.clone(),
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -12,9 +12,9 @@
 
 /// Different jobs that must fail in a row before a backend server is quarantined; 1 after an earlier
 /// quarantine.
-const FAILED_JOBS: usize = 3;
+const FAILED_JOBS_TO_QUARANTINE: usize = 3;
 /// Longest quarantine before the next probe.
-const PROBE_MAX: Duration = Duration::from_secs(1800);
+const MAX_PROBE_DELAY: Duration = Duration::from_secs(1800);
 
 /// Recent failures by backend server and by job.
 #[derive(Default)]
@@ -26,23 +26,23 @@
 #[derive(Default)]
 struct Record {
     failed: BTreeSet<JobId>,
-    closed_until: Option<Moment>,
-    closings: u32,
+    quarantined_until: Option<Moment>,
+    quarantines: u32,
 }
 
 impl Quarantine {
-    pub(crate) fn is_closed(&self, server: &BackendServerId) -> bool {
-        self.by_server.get(server).is_some_and(|record| record.closed_until.is_some())
+    pub(crate) fn is_quarantined(&self, server: &BackendServerId) -> bool {
+        self.by_server.get(server).is_some_and(|record| record.quarantined_until.is_some())
     }
 
     /// Records a failure; returns whether it quarantines the backend server.
-    fn failed(&mut self, server: &BackendServerId, job: &JobId, probe_after: Duration, now: Moment) -> bool {
-        let places = self.by_job.entry(job.clone()).or_default();
-        places.insert(server.clone());
-        if places.len() > 1 {
+    fn record_failure(&mut self, server: &BackendServerId, job: &JobId, probe_after: Duration, now: Moment) -> bool {
+        let servers = self.by_job.entry(job.clone()).or_default();
+        servers.insert(server.clone());
+        if servers.len() > 1 {
             // The job is at fault: it fails on more than one backend server.
-            for place in places.iter() {
-                if let Some(record) = self.by_server.get_mut(place) {
+            for other in servers.iter() {
+                if let Some(record) = self.by_server.get_mut(other) {
                     record.failed.remove(job);
                 }
             }
@@ -50,32 +50,32 @@
         }
         let record = self.by_server.entry(server.clone()).or_default();
         record.failed.insert(job.clone());
-        let limit = if record.closings > 0 { 1 } else { FAILED_JOBS };
-        if record.failed.len() < limit || record.closed_until.is_some() {
+        let limit = if record.quarantines > 0 { 1 } else { FAILED_JOBS_TO_QUARANTINE };
+        if record.failed.len() < limit || record.quarantined_until.is_some() {
             return false;
         }
-        let wait = Duration::from_millis(probe_after.millis() << record.closings.min(8)).min(PROBE_MAX);
-        record.closed_until = Some(now + wait);
-        record.closings += 1;
+        let wait = Duration::from_millis(probe_after.millis() << record.quarantines.min(8)).min(MAX_PROBE_DELAY);
+        record.quarantined_until = Some(now + wait);
+        record.quarantines += 1;
         record.failed.clear();
         true
     }
 
     /// Records a successful run on these backend servers, which clears their earlier failures.
-    pub(crate) fn succeeded(&mut self, servers: &[BackendServerId]) {
+    pub(crate) fn record_success(&mut self, servers: &[BackendServerId]) {
         for server in servers {
-            if !self.is_closed(server) {
+            if !self.is_quarantined(server) {
                 self.by_server.remove(server);
             }
         }
     }
 
     /// Releases the backend servers whose quarantine has expired, and returns them.
-    fn take_due(&mut self, now: Moment) -> Vec<BackendServerId> {
+    fn release_due(&mut self, now: Moment) -> Vec<BackendServerId> {
         let mut due = Vec::new();
         for (id, record) in &mut self.by_server {
-            if record.closed_until.is_some_and(|until| until <= now) {
-                record.closed_until = None;
+            if record.quarantined_until.is_some_and(|until| until <= now) {
+                record.quarantined_until = None;
                 due.push(id.clone());
             }
         }
@@ -86,15 +86,15 @@
 impl EntryBox {
     pub(crate) fn on_run_failed(&mut self, server: &BackendServerId, job: &JobId, now: Moment) {
         self.observe(Observation::Count { name: "run_failed" });
-        if self.quarantine.failed(server, job, self.limits.probe_after, now) {
+        if self.quarantine.record_failure(server, job, self.limits.probe_after, now) {
             self.observe(Observation::Quarantine { server: server.clone(), on: true });
         }
     }
 
     pub(crate) fn tick_quarantine(&mut self, now: Moment) {
-        for server in self.quarantine.take_due(now) {
+        for server in self.quarantine.release_due(now) {
             self.observe(Observation::Quarantine { server, on: false });
-            self.planning.mark_dirty();
+            self.planning.mark_changed();
         }
     }
 }
--- a/crates/entry/src/replicas.rs
+++ b/crates/entry/src/replicas.rs
@@ -24,10 +24,10 @@
 }
 
 /// The holder of a request, according to the lease tables.
-pub(crate) struct Found {
+pub(crate) struct RequestHolder {
     pub(crate) holder: Holder,
     /// Whether every member of the gang has a live lease.
-    pub(crate) whole: bool,
+    pub(crate) is_whole: bool,
 }
 
 /// Replica of one backend server's lease table.
@@ -39,14 +39,14 @@
     pub(crate) info: Option<ServerInfo>,
     pub(crate) last_reply: Option<Moment>,
     /// When the watch in flight times out; `None` if there is none.
-    in_flight: Option<Moment>,
+    in_flight_until: Option<Moment>,
     retry_at: Moment,
     failures: u32,
 }
 
 impl Replicas {
     /// Adds and removes replicas to match the backend servers of the configuration.
-    pub(crate) fn keep(&mut self, servers: &BTreeSet<BackendServerId>) {
+    pub(crate) fn retain_servers(&mut self, servers: &BTreeSet<BackendServerId>) {
         self.by_server.retain(|id, _| servers.contains(id));
         for id in servers {
             self.by_server.entry(id.clone()).or_default();
@@ -65,29 +65,29 @@
         self.by_server.iter()
     }
 
-    fn lines(&self) -> impl Iterator<Item = (&BackendServerId, &Lease)> {
+    fn leases(&self) -> impl Iterator<Item = (&BackendServerId, &Lease)> {
         self.by_server.iter().flat_map(|(id, replica)| replica.leases.values().map(move |lease| (id, lease)))
     }
 
     /// Returns the holder of a request's newest attempt that has a live lease; `None` if there is none.
-    pub(crate) fn find(&self, customer: &CustomerId, request: &RequestId) -> Option<Found> {
-        let lines = self.lines().filter(|(_, l)| l.request == *request && l.customer == *customer && is_live(l));
-        let (_, newest) = lines.max_by_key(|(_, lease)| lease.token)?;
-        Some(Found { holder: newest.holder.clone(), whole: self.is_whole(&newest.job) })
+    pub(crate) fn find(&self, customer: &CustomerId, request: &RequestId) -> Option<RequestHolder> {
+        let leases = self.leases().filter(|(_, l)| l.request == *request && l.customer == *customer && is_live(l));
+        let (_, newest) = leases.max_by_key(|(_, lease)| lease.token)?;
+        Some(RequestHolder { holder: newest.holder.clone(), is_whole: self.is_whole(&newest.job) })
     }
 
     /// Returns whether every member of a gang has a live lease, so that the gang can be adopted. A gang that
     /// lost a member can't be; its remaining members end by themselves.
     pub(crate) fn is_whole(&self, job: &JobId) -> bool {
-        let line = |server: &BackendServerId| self.by_server.get(server)?.leases.get(job);
-        let Some((_, any)) = self.lines().find(|(_, lease)| lease.job == *job) else { return false };
-        any.members.iter().all(|m| line(&m.server).is_some_and(is_live))
+        let lease_on = |server: &BackendServerId| self.by_server.get(server)?.leases.get(job);
+        let Some((_, any)) = self.leases().find(|(_, lease)| lease.job == *job) else { return false };
+        any.members.iter().all(|m| lease_on(&m.server).is_some_and(is_live))
     }
 
     /// Returns the leases of every job, by backend server.
     pub(crate) fn by_job(&self) -> BTreeMap<&JobId, BTreeMap<&BackendServerId, &Lease>> {
         let mut jobs: BTreeMap<&JobId, BTreeMap<&BackendServerId, &Lease>> = BTreeMap::new();
-        for (server, lease) in self.lines() {
+        for (server, lease) in self.leases() {
             jobs.entry(&lease.job).or_default().insert(server, lease);
         }
         jobs
@@ -96,7 +96,7 @@
     /// Returns the gangs that hold resources, each once.
     pub(crate) fn running(&self) -> Vec<Running> {
         let mut gangs: BTreeMap<&JobId, Running> = BTreeMap::new();
-        for (server, lease) in self.lines().filter(|(_, lease)| lease.state.holds()) {
+        for (server, lease) in self.leases().filter(|(_, lease)| lease.state.holds()) {
             let gang = gangs.entry(&lease.job).or_insert_with(|| running(server, lease));
             gang.stopping |= lease.stopping;
             gang.ran_for = gang.ran_for.max(lease.ran_for);
@@ -137,13 +137,13 @@
     /// Sends a watch to each backend server that has none in flight and whose retry delay has passed.
     pub(crate) fn send_watches(&mut self, now: Moment) {
         let wait = self.limits.watch;
-        let give_up = now + wait + self.limits.call + self.limits.call;
+        let timeout_at = now + wait + self.limits.call + self.limits.call;
         let mut calls = Vec::new();
         for (id, replica) in &mut self.replicas.by_server {
-            if replica.in_flight.is_some_and(|until| until > now) || replica.retry_at > now {
+            if replica.in_flight_until.is_some_and(|until| until > now) || replica.retry_at > now {
                 continue;
             }
-            replica.in_flight = Some(give_up);
+            replica.in_flight_until = Some(timeout_at);
             let req = BackendRequest::Watch { table: replica.table, since: replica.version, wait };
             calls.push((id.clone(), req));
         }
@@ -154,7 +154,7 @@
 
     pub(crate) fn on_watch_reply(&mut self, server: &BackendServerId, reply: Option<BackendReply>, now: Moment) {
         let Some(replica) = self.replicas.by_server.get_mut(server) else { return };
-        replica.in_flight = None;
+        replica.in_flight_until = None;
         let Some(BackendReply::Table(update)) = reply else {
             replica.failures += 1;
             let doubled = RETRY_MIN.millis() << replica.failures.min(8);
@@ -163,11 +163,11 @@
         };
         replica.failures = 0;
         replica.last_reply = Some(now);
-        self.take_update(server, update, now);
+        self.apply_update(server, update, now);
         self.send_watches(now);
     }
 
-    fn take_update(&mut self, server: &BackendServerId, update: TableUpdate, now: Moment) {
+    fn apply_update(&mut self, server: &BackendServerId, update: TableUpdate, now: Moment) {
         let Some(replica) = self.replicas.by_server.get_mut(server) else { return };
         if update.table == replica.table && update.version < replica.version {
             return;
@@ -192,8 +192,8 @@
         replica.info = Some(update.info);
         self.jobs.on_table(server, &update.leases, update.full, now);
         if changed || info_changed {
-            self.planning.mark_dirty();
-            self.planning.forget_granted(&update.leases);
+            self.planning.mark_changed();
+            self.planning.remove_granted(&update.leases);
         }
         self.on_server_revision(server, revision, now);
     }
@@ -212,6 +212,6 @@
         let staying = replica.info.as_ref().is_some_and(|info| !info.leaving);
         let answering = replica.failures == 0
             && replica.last_reply.is_some_and(|at| now.since(at) < self.limits.watch + self.limits.silent_after);
-        entry.mode == ServerMode::Active && staying && answering && !self.quarantine.is_closed(id)
+        entry.mode == ServerMode::Active && staying && answering && !self.quarantine.is_quarantined(id)
     }
 }
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -117,7 +117,7 @@
                 let req = route.request(false);
                 self.call_peer(Op::Route(Box::new(route)), &holder.box_id, req);
             }
-            None if found.is_some_and(|found| found.whole) => self.reply(to, CallerReply::Job(moved_answer())),
+            None if found.is_some_and(|found| found.is_whole) => self.reply(to, CallerReply::Job(moved_answer())),
             None => self.query_peers(route, now),
         }
     }
@@ -163,7 +163,7 @@
             Action::Poll { .. } => {}
         }
         // The effects of a job's end come before the reply that reports it.
-        self.carry_effects(now);
+        self.apply_effects(now);
         let view = self.jobs.view(&view.job).unwrap_or(view);
         match (&view.stage, action) {
             (Stage::Ended(_), _) if self.unrecorded_outcomes.contains(&view.job) => {
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -145,7 +145,7 @@
             }
             _ => reasons.push("it has not answered yet".to_owned()),
         }
-        if self.quarantine.is_closed(&entry.id) {
+        if self.quarantine.is_quarantined(&entry.id) {
             reasons.push("in quarantine: it failed several jobs in a row".to_owned());
         }
         reasons.join("; ")
--- a/crates/entry/src/submissions.rs
+++ b/crates/entry/src/submissions.rs
@@ -13,7 +13,7 @@
 };
 
 /// Retry delay for a box that is draining or has no configuration.
-const RETRY_SOON: Duration = Duration::from_secs(1);
+const RETRY_NOT_READY: Duration = Duration::from_secs(1);
 /// Retry delay when the store is unavailable.
 const RETRY_STORE: Duration = Duration::from_secs(5);
 /// Shortest retry delay for a full queue.
@@ -26,12 +26,12 @@
     pub(crate) fn submit(&mut self, mut submission: Submission, to: Respondent, now: Moment) {
         submission.wait = self.bounded(submission.wait);
         submission.may_have_run |= submission.retry && !self.needs_claim(&submission);
-        if self.join_known(&submission, to, now) {
+        if self.join_existing(&submission, to, now) {
             return;
         }
         if let Some((reason, retry_after)) = self.refusal(&submission.spec) {
             return match submission.retry || submission.may_have_run {
-                true => self.refuse_in_doubt(to, &reason, retry_after, now),
+                true => self.refuse_with_unknown_outcome(to, &reason, retry_after, now),
                 false => self.refuse_submission(to, reason, retry_after, now),
             };
         }
@@ -39,7 +39,7 @@
             return self.submit_with_ticket(submission, ticket, to, now);
         }
         if submission.retry && !self.needs_claim(&submission) {
-            return self.look_around(submission, to, now);
+            return self.query_peers_first(submission, to, now);
         }
         self.submit_new(submission, to, now);
     }
@@ -82,7 +82,13 @@
 
     /// Refuses a request with unknown outcome: it was sent before, and an earlier try through another box may
     /// have run.
-    fn refuse_in_doubt(&mut self, to: Respondent, reason: &NotRunReason, retry_after: Option<Duration>, now: Moment) {
+    fn refuse_with_unknown_outcome(
+        &mut self,
+        to: Respondent,
+        reason: &NotRunReason,
+        retry_after: Option<Duration>,
+        now: Moment,
+    ) {
         let why = format!("not taken now: {reason}; whether an earlier try ran is not known here");
         let answer = match retry_after {
             Some(retry_after) => JobAnswer::Unsettled { why, retry_after },
@@ -99,7 +105,7 @@
         }
         let reason = NotRunReason::StoreUnavailable;
         match submission.retry || submission.may_have_run {
-            true => self.refuse_in_doubt(to, &reason, Some(RETRY_STORE), now),
+            true => self.refuse_with_unknown_outcome(to, &reason, Some(RETRY_STORE), now),
             false => self.refuse_submission(to, reason, Some(RETRY_STORE), now),
         }
     }
@@ -111,7 +117,7 @@
     }
 
     /// Attaches the submission to a job of the same name that is known here; returns whether there is one.
-    fn join_known(&mut self, submission: &Submission, to: Respondent, now: Moment) -> bool {
+    fn join_existing(&mut self, submission: &Submission, to: Respondent, now: Moment) -> bool {
         let spec = &submission.spec;
         if let Some(view) = self.jobs.find(&spec.customer, &spec.request) {
             if view.described && *view.spec != *spec {
@@ -120,7 +126,7 @@
             }
             // The new holder may no longer have a job that moved.
             let moved = matches!(view.stage, Stage::Moved(_));
-            if is_open_to_retry(&view.stage) || (moved && !self.is_held(spec, now)) {
+            if can_resubmit(&view.stage) || (moved && !self.is_held(spec, now)) {
                 return false;
             }
         } else if !self.is_held(spec, now) && !self.is_claiming(spec) {
@@ -136,16 +142,16 @@
     /// adoption.
     fn is_held(&self, spec: &JobSpec, now: Moment) -> bool {
         let found = self.replicas.find(&spec.customer, &spec.request);
-        found.is_some_and(|found| found.whole || self.is_live_holder(&found.holder, now))
+        found.is_some_and(|found| found.is_whole || self.is_live_holder(&found.holder, now))
     }
 
     /// Returns why a job is refused now, and after how long a retry may succeed (`None`: never).
     fn refusal(&self, spec: &JobSpec) -> Option<(NotRunReason, Option<Duration>)> {
         if self.draining {
-            return Some((NotRunReason::Leaving, Some(RETRY_SOON)));
+            return Some((NotRunReason::Leaving, Some(RETRY_NOT_READY)));
         }
         let Some(file) = self.current.file() else {
-            return Some((NotRunReason::NoConfiguration, Some(RETRY_SOON)));
+            return Some((NotRunReason::NoConfiguration, Some(RETRY_NOT_READY)));
         };
         if !file.customers.contains_key(&spec.customer) {
             return Some((unknown(format!("customer {}", spec.customer)), None));
@@ -159,7 +165,7 @@
         let queued = self.jobs.queue_len(spec);
         if queued >= class.queue_limit as usize {
             let reason = NotRunReason::QueueFull { class: class.id.to_string(), limit: class.queue_limit };
-            return Some((reason, Some(self.drain_time(queued))));
+            return Some((reason, Some(self.estimate_queue_time(queued))));
         }
         None
     }
@@ -176,7 +182,7 @@
     }
 
     /// Estimates how long a queue of that length takes at the recent rate of starts.
-    fn drain_time(&self, queued: usize) -> Duration {
+    fn estimate_queue_time(&self, queued: usize) -> Duration {
         let per_job = self.planning.time_per_start();
         let all = Duration::from_millis(per_job.millis().saturating_mul(queued as u64));
         all.clamp(RETRY_QUEUE_MIN, RETRY_QUEUE_MAX)
@@ -206,7 +212,7 @@
     }
 
     /// Asks the peers whether they have a repeated request before it is admitted as new.
-    fn look_around(&mut self, submission: Submission, to: Respondent, now: Moment) {
+    fn query_peers_first(&mut self, submission: Submission, to: Respondent, now: Moment) {
         let action = Action::Poll { wait: Duration::ZERO };
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
         let route = RouteOp::broadcast(action, name, to, Some(submission));
@@ -216,7 +222,7 @@
 
 /// Returns whether a job in this stage was not run, so that its request may be submitted again under the same
 /// name.
-fn is_open_to_retry(stage: &Stage) -> bool {
+fn can_resubmit(stage: &Stage) -> bool {
     matches!(stage, Stage::Void | Stage::Ended(Outcome::NotRun { .. }))
 }
 
