--- a/crates/entry/tests/common/mod.rs
+++ b/crates/entry/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share: a small deployment and jobs for it.
+//! Shared by the tests of this crate: a small deployment and jobs for it.
 
 use entry::Limits;
 use model::{AvailabilityZoneId, Duration, Gang, JobSpec, OperatorFile, Resources, Within};
@@ -6,15 +6,15 @@
 use standins::Work;
 use test_utils::Shape;
 
-/// Two availability zones of two boxes and three backend servers each.
+/// Two availability zones with two boxes and three backend servers each.
 pub(crate) const SHAPE: Shape = Shape { zones: 2, boxes: 2, servers: 3, accelerators: 4 };
 
-/// The planner under test.
+/// Returns the planner under test.
 pub(crate) fn planner(zone: &AvailabilityZoneId) -> Box<dyn Planner> {
     Box::new(policy::CellPlanner::new(zone.clone()))
 }
 
-/// Shorter than in earnest, so that lapses come within a case.
+/// Returns limits shorter than the defaults, so that leases expire within a case.
 pub(crate) fn limits() -> Limits {
     let mut limits = Limits::default();
     limits.lifecycle.lease_ttl = Duration::from_secs(9);
@@ -25,7 +25,7 @@
     limits
 }
 
-/// The operators' file of the small deployment.
+/// Returns the operators' file of the small deployment.
 pub(crate) fn operator_file() -> OperatorFile {
     let mut servers = Vec::new();
     for zone in 1..=SHAPE.zones {
@@ -49,7 +49,8 @@
     model::from_json(text.to_string().as_bytes()).expect("the file is well formed")
 }
 
-/// The `n`th job of a case.
+/// Returns the `n`th job of a case. `shape` selects the number of tasks. In `kind`, bit 0 selects the
+/// customer, bit 1 makes the job repeatable and bit 2 checkpointable; from 250 on the job fails.
 pub(crate) fn spec(n: usize, shape: u8, kind: u8, run_ms: u64) -> JobSpec {
     let tasks = [1, 1, 2, 3, 4, 6, 8, 12][usize::from(shape % 8)];
     let work = Work {
--- a/crates/entry/tests/failures.rs
+++ b/crates/entry/tests/failures.rs
@@ -1,4 +1,4 @@
-//! Failures that fuzzing found, each as a test of its own.
+//! Failures found by fuzzing, each as a test of its own.
 
 mod common;
 
@@ -16,8 +16,8 @@
     name.parse().expect("a valid id")
 }
 
-/// Ends all faults, and checks that every caller learns its end and no promise was broken.
-fn check_settles(mut cluster: Cluster) -> Cluster {
+/// Ends all faults and checks that every caller receives its outcome and that no guarantee was violated.
+fn check_all_get_outcomes(mut cluster: Cluster) -> Cluster {
     cluster.heal();
     for _ in 0..180 {
         if cluster.open_callers().is_empty() {
@@ -28,46 +28,46 @@
     }
     assert_eq!(cluster.violations(), vec![]);
     let open: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.story(id)).collect();
-    assert!(open.is_empty(), "callers without an end:\n{}\n{}", open.join("\n"), cluster.statuses());
+    assert!(open.is_empty(), "callers without an outcome:\n{}\n{}", open.join("\n"), cluster.statuses());
     cluster
 }
 
-/// A job that failed on some backend servers and cannot be placed without them waited for ever.
+/// A job that had failed on some backend servers and did not fit without them waited forever.
 #[test]
-fn a_job_that_cannot_avoid_where_it_failed_ends_as_its_own_fault() {
+fn a_job_that_cannot_avoid_where_it_failed_ends_as_failed() {
     let mut cluster = cluster(0);
     let caller = cluster.submit(spec(0, 5, 250, 20), false, &a_box("az-1-box-1"));
-    let cluster = check_settles(cluster);
+    let cluster = check_all_get_outcomes(cluster);
     assert!(matches!(cluster.outcome(caller), Some(Outcome::Failed { .. })));
 }
 
-/// A wait before another try ended, and nothing told the planner.
+/// A retry delay ended without notice to the planner, which did not place the job again.
 #[test]
 fn a_job_is_placed_again_after_its_backoff() {
     let mut cluster = cluster(1);
     cluster.cut_server(&"s21".parse().expect("a valid id"), true);
     let caller = cluster.submit(spec(0, 7, 0, 20), false, &a_box("az-2-box-1"));
     cluster.advance(Duration::from_secs(8));
-    let cluster = check_settles(cluster);
+    let cluster = check_all_get_outcomes(cluster);
     assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })));
 }
 
-/// The planner was taken for dead and came back; it went on granting a job that had ended in
-/// between, whose box had nothing left to offer.
+/// A planner declared dead became live again and kept granting a job that had ended meanwhile, since the
+/// job's box had no offers left to send.
 #[test]
-fn a_planner_that_comes_back_forgets_jobs_that_ended() {
+fn a_planner_that_recovers_drops_jobs_that_ended() {
     let mut cluster = cluster(4163212868618089775);
     cluster.pause_box(&a_box("az-2-box-1"));
     cluster.submit(spec(0, 0, 0, 7842), false, &a_box("az-2-box-2"));
     cluster.advance(Duration::from_millis(2104));
     cluster.submit(spec(1, 7, 0, 20), false, &a_box("az-2-box-1"));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A box took another for dead, began to fence its tickets and could not finish; the other one lives,
-/// and its callers were sent in circles.
+/// A box declared another dead and started to fence its tickets but could not finish. The other box was live,
+/// and its callers were redirected in circles.
 #[test]
-fn a_fenced_ticket_whose_box_lives_is_void() {
+fn a_fenced_ticket_whose_box_is_live_is_void() {
     let mut cluster = cluster(7577299314224100807);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.set_network(39, 253);
@@ -83,10 +83,10 @@
     cluster.submit(spec(4, 163, 106, 2987), false, &a_box(b[3]));
     cluster.advance(Duration::from_millis(4714));
     cluster.advance(Duration::from_millis(8388));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A durable job was cancelled while the store was down; its box died, and another ran it.
+/// A durable job was cancelled while the store was down; its box was killed, and another box ran the job.
 #[test]
 fn a_cancelled_durable_job_is_not_run_by_another_box() {
     let mut cluster = cluster(7918838987084532336);
@@ -98,13 +98,13 @@
     cluster.cancel(caller);
     cluster.advance(Duration::from_millis(7564));
     cluster.kill_box(&first);
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A box that had been paused asked the new life of a dead box whether a ticket of its old life was
+/// A box resumed from a pause asked the new incarnation of a dead box whether a ticket of the earlier one was
 /// void, took "not known" for yes, and ran a dispensing batch a second time.
 #[test]
-fn only_the_life_that_minted_a_ticket_can_call_it_void() {
+fn only_the_incarnation_that_minted_a_ticket_can_report_it_void() {
     let mut cluster = cluster(13889302518410029494);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.kill_box(&a_box(b[0]));
@@ -131,12 +131,12 @@
     cluster.advance(Duration::from_millis(8014));
     cluster.advance(Duration::from_millis(12887));
     cluster.advance(Duration::from_millis(10005));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A box gave a job up to another, which died before it could finish it.
+/// A box handed a job to another, which was killed before it could finish the job.
 #[test]
-fn a_job_whose_new_holder_died_is_settled() {
+fn a_job_whose_new_holder_died_gets_an_outcome() {
     let mut cluster = cluster(9253838553343280705);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.advance(Duration::from_millis(12500));
@@ -158,13 +158,13 @@
     cluster.advance(Duration::from_millis(8002));
     cluster.kill_box(&a_box(b[3]));
     cluster.advance(Duration::from_millis(6057));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// An adopted job was started again from what its lease line told, without its payload and as if it
+/// An adopted job was started again with the contents of its lease alone: without its payload and as if it
 /// might run only once.
 #[test]
-fn an_adopted_job_is_not_tried_again_unread() {
+fn an_adopted_job_is_not_retried_from_its_lease_alone() {
     let mut cluster = cluster(16637412281189795036);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.kill_box(&a_box(b[1]));
@@ -187,11 +187,11 @@
     cluster.pause_box(&a_box(b[0]));
     cluster.pause_box(&a_box(b[2]));
     cluster.advance(Duration::from_millis(8131));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A backend server restarted and forgot a fenced ticket, whose box then woke and ran the request a
-/// second time.
+/// A backend server lost its record of a fenced ticket in a restart; the ticket's box then resumed and ran
+/// the request a second time.
 #[test]
 fn a_young_lease_table_refuses_older_tickets() {
     let mut cluster = cluster(2029638575838532061);
@@ -208,10 +208,10 @@
     let s = cluster.server_ids()[3].clone();
     cluster.restart_server(&s);
     cluster.advance(Duration::from_millis(13202));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// An adoption that ended in another ticket was looked for under the old one, and the box stopped.
+/// An adoption that ended in another ticket was looked up under the old one, and the box stopped.
 #[test]
 fn an_adoption_may_end_in_another_ticket() {
     let mut cluster = cluster(7630067980882485598);
@@ -231,11 +231,11 @@
     cluster.advance(Duration::from_millis(13926));
     cluster.submit(spec(7, 150, 124, 8641), false, &a_box(b[3]));
     cluster.advance(Duration::from_millis(14221));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// An old offer overtook a newer one, so that the planner kept granting jobs that had ended and had
-/// no room left for those that waited.
+/// An old offer overtook a newer one, so the planner kept granting jobs that had ended and had no capacity
+/// left for waiting ones.
 #[test]
 fn an_overtaken_offer_is_dropped() {
     let mut cluster = cluster(15131582428878866453);
@@ -267,13 +267,13 @@
     cluster.pause_box(&a_box(b[1]));
     cluster.advance(Duration::from_millis(11520));
     cluster.resume_box(&a_box(b[1]));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A claim took effect, its answer was lost, and its box gave the ticket up; the caller's
-/// cancellation was sent in circles.
+/// A claim took effect, its reply was lost, and its box abandoned the ticket; the caller's cancellation was
+/// redirected in circles.
 #[test]
-fn a_claim_that_was_given_up_can_be_cancelled() {
+fn a_claim_that_was_abandoned_can_be_cancelled() {
     let mut cluster = cluster(9662536676347374336);
     let first = a_box("az-1-box-2");
     let caller = cluster.submit(spec(1, 0, 0, 20), false, &first);
@@ -282,13 +282,13 @@
     cluster.advance(Duration::from_millis(10));
     cluster.cut_box_from_platform(&first, true);
     cluster.advance(Duration::from_millis(9996));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// Two claims of one box for the same request: the second found the first's ticket in the store,
-/// took it for given up since the answer was still on its way, and the request ran twice.
+/// One box made two claims for the same request. The second found the first's ticket in the store and took it
+/// for abandoned while its reply was in flight, and the request ran twice.
 #[test]
-fn a_claim_on_its_way_is_not_given_up() {
+fn a_claim_in_flight_is_not_taken_for_abandoned() {
     let mut cluster = cluster(15059078604556363222);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.advance(Duration::from_millis(1724));
@@ -308,11 +308,11 @@
     cluster.kill_box(&a_box(b[1]));
     cluster.submit(spec(8, 180, 156, 596), true, &a_box(b[2]));
     cluster.advance(Duration::from_millis(13124));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A box adopted the gang of an old ticket of a request that it had finished under a newer one, and
-/// no longer found the answer.
+/// A box adopted the gang of an old ticket of a request that it had finished under a newer one, and no longer
+/// found the answer.
 #[test]
 fn an_old_ticket_does_not_hide_the_answer_of_a_newer_one() {
     let mut cluster = cluster(152692497636566649);
@@ -331,13 +331,13 @@
     let s = cluster.server_ids()[1].clone();
     cluster.leave_server(&s, true);
     cluster.drain_box(&a_box(b[0]));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// Two boxes were leaving at once, each planned with what the other had offered long ago, and the
-/// ghosts of those jobs kept the room that the last waiting job needed.
+/// Two boxes drained at once. Each planned with outdated offers of the other, and these jobs kept the
+/// capacity that the last waiting job needed.
 #[test]
-fn offers_that_are_no_longer_made_do_not_count() {
+fn offers_that_are_no_longer_sent_do_not_count() {
     let mut cluster = cluster(5424817390085647602);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.submit(spec(1, 74, 0, 15063), false, &a_box(b[2]));
@@ -362,13 +362,13 @@
     cluster.submit(spec(6, 242, 98, 15288), false, &a_box(b[0]));
     cluster.drain_box(&a_box(b[2]));
     cluster.advance(Duration::from_millis(1712));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A preempted job was handed over and its new box died before it went on; it was begun afresh, since
-/// nobody knew that it had run.
+/// A preempted job was handed over and its new box was killed before the job resumed. It was started from the
+/// beginning, since its claim did not record that it had run.
 #[test]
-fn a_claim_remembers_that_its_request_has_run() {
+fn a_claim_records_that_its_request_has_run() {
     let mut cluster = cluster(963152525737585236);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.submit(spec(1, 247, 172, 11547), false, &a_box(b[1]));
@@ -377,12 +377,12 @@
     cluster.drain_box(&a_box(b[1]));
     cluster.advance(Duration::from_millis(242));
     cluster.kill_box(&a_box(b[0]));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// A preempted job that was handed over could not get a ticket that a restarted backend server takes.
+/// A preempted job that was handed over could not get a ticket that a restarted backend server accepts.
 #[test]
-fn a_job_that_goes_on_from_a_checkpoint_gets_a_new_ticket() {
+fn a_job_that_resumes_from_a_checkpoint_gets_a_new_ticket() {
     let mut cluster = cluster(6202180286628862445);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.submit(spec(1, 23, 180, 5300), false, &a_box(b[3]));
@@ -396,13 +396,13 @@
     cluster.advance(Duration::from_millis(4226));
     let s = cluster.server_ids()[4].clone();
     cluster.restart_server(&s);
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
 
-/// While a preempted job was being handed over, another box asked about its claim, was told that it
-/// was not known, and began it afresh.
+/// While a preempted job was being handed over, another box asked about its claim, received the reply that it
+/// was unknown, and started the job from the beginning.
 #[test]
-fn a_job_being_handed_over_is_not_begun_afresh() {
+fn a_job_being_handed_over_is_not_started_from_the_beginning() {
     let mut cluster = cluster(8035879228453120847);
     let b = ["az-1-box-1", "az-1-box-2", "az-2-box-1", "az-2-box-2"];
     cluster.submit(spec(1, 247, 124, 12435), false, &a_box(b[0]));
@@ -413,5 +413,5 @@
     cluster.pause_box(&a_box(b[1]));
     cluster.drain_box(&a_box(b[0]));
     cluster.advance(Duration::from_millis(1977));
-    check_settles(cluster);
+    check_all_get_outcomes(cluster);
 }
--- a/crates/entry/tests/fuzz.rs
+++ b/crates/entry/tests/fuzz.rs
@@ -1,5 +1,5 @@
-//! Stateful fuzzing of whole entry boxes under faults, against an oracle that sees only what ran
-//! on the backend servers and what callers were told.
+//! Stateful fuzzing of whole entry boxes under faults. The oracle sees only what ran on the backend servers
+//! and the replies that callers received.
 //!
 //! `MARTENSCALE_FUZZ_CASES` sets the number of cases, `MARTENSCALE_FUZZ_SEED` another seed.
 
@@ -14,23 +14,23 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use test_utils::{CallerId, Cluster};
 
-/// Cases in CI.
+/// Default number of cases.
 const CASES: u32 = 150;
-/// Seed in CI.
+/// Default seed.
 const SEED: u64 = 4;
-/// Transitions of one case.
+/// Number of transitions of one case.
 const STEPS: std::ops::Range<usize> = 1..40;
-/// After all faults have ended, every caller knows its end within this.
-const SETTLING: Duration = Duration::from_secs(900);
+/// Time after the end of all faults within which every caller must receive its outcome.
+const MAX_TIME_TO_OUTCOME: Duration = Duration::from_secs(900);
 
-/// What the oracle needs to know of the past: how many callers there are.
+/// State that the reference machine keeps: the number of callers, and the seed of the case.
 #[derive(Debug, Clone)]
-struct Known {
+struct CaseState {
     seed: u64,
     callers: usize,
 }
 
-/// What may happen. Numbers name boxes, backend servers and callers, modulo how many there are.
+/// A step of a case. Numbers select boxes, backend servers and callers, modulo their count.
 #[derive(Debug, Clone)]
 enum Step {
     Submit { shape: u8, kind: u8, run_ms: u64, at: usize, durable: bool },
@@ -56,14 +56,14 @@
 struct World;
 
 impl ReferenceStateMachine for World {
-    type State = Known;
+    type State = CaseState;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<Known> {
-        any::<u64>().prop_map(|seed| Known { seed, callers: 0 }).boxed()
+    fn init_state() -> BoxedStrategy<CaseState> {
+        any::<u64>().prop_map(|seed| CaseState { seed, callers: 0 }).boxed()
     }
 
-    fn transitions(_: &Known) -> BoxedStrategy<Step> {
+    fn transitions(_: &CaseState) -> BoxedStrategy<Step> {
         let at = || 0usize..8;
         prop_oneof![
             8 => (any::<u8>(), any::<u8>(), 20u64..30_000, at(), any::<bool>())
@@ -90,7 +90,7 @@
         .boxed()
     }
 
-    fn apply(mut state: Known, step: &Step) -> Known {
+    fn apply(mut state: CaseState, step: &Step) -> CaseState {
         if matches!(step, Step::Submit { .. }) {
             state.callers += 1;
         }
@@ -104,14 +104,14 @@
     type SystemUnderTest = Boxes;
     type Reference = World;
 
-    fn init_test(known: &Known) -> Boxes {
-        let mut cluster = Cluster::new(SHAPE, operator_file(), limits(), common::planner, known.seed);
+    fn init_test(case: &CaseState) -> Boxes {
+        let mut cluster = Cluster::new(SHAPE, operator_file(), limits(), common::planner, case.seed);
         cluster.advance(Duration::from_secs(5));
         Boxes(cluster)
     }
 
-    fn apply(mut boxes: Boxes, known: &Known, step: Step) -> Boxes {
-        take_step(&mut boxes.0, known, step);
+    fn apply(mut boxes: Boxes, case: &CaseState, step: Step) -> Boxes {
+        take_step(&mut boxes.0, case, step);
         assert_eq!(boxes.0.violations(), vec![]);
         boxes
     }
@@ -119,26 +119,26 @@
     fn teardown(boxes: Boxes) {
         let mut cluster = boxes.0;
         cluster.heal();
-        let end = cluster.now() + SETTLING;
+        let end = cluster.now() + MAX_TIME_TO_OUTCOME;
         while !cluster.open_callers().is_empty() && cluster.now() < end {
-            // Boxes that have left are replaced.
+            // Restarts the boxes that have terminated.
             cluster.start_all();
             cluster.advance(Duration::from_secs(10));
         }
         assert_eq!(cluster.violations(), vec![]);
         let stories: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.story(id)).collect();
-        assert!(stories.is_empty(), "callers without an end:\n{}", stories.join("\n"));
+        assert!(stories.is_empty(), "callers without an outcome:\n{}", stories.join("\n"));
     }
 }
 
-fn take_step(cluster: &mut Cluster, known: &Known, step: Step) {
+fn take_step(cluster: &mut Cluster, case: &CaseState, step: Step) {
     let boxes = cluster.box_ids();
     let servers = cluster.server_ids();
     let a_box = |at: usize| boxes[at % boxes.len()].clone();
     let a_server = |at: usize| servers[at % servers.len()].clone();
     match step {
         Step::Submit { shape, kind, run_ms, at, durable } => {
-            let spec = spec(known.callers, shape, kind, run_ms);
+            let spec = spec(case.callers, shape, kind, run_ms);
             cluster.submit(spec, durable, &a_box(at));
         }
         Step::Cancel { caller } => {
--- a/crates/entry/tests/promises.rs
+++ b/crates/entry/tests/promises.rs
@@ -1,4 +1,4 @@
-//! Promises that fuzzing does not reach: configuration, leaving backend servers, planned stops.
+//! Guarantees that fuzzing does not reach: configuration, draining backend servers and draining boxes.
 
 mod common;
 
@@ -7,10 +7,10 @@
 use spread::Applied;
 use test_utils::Cluster;
 
-/// In force everywhere within this (letter 1).
-const IN_FORCE: Duration = Duration::from_secs(13);
-/// A leaving backend server gets no new work after this.
-const LEAVING: Duration = Duration::from_secs(3);
+/// Time within which a configuration is in force everywhere (letter 1).
+const IN_FORCE_WITHIN: Duration = Duration::from_secs(13);
+/// Time after which a draining backend server gets no new work.
+const NO_NEW_WORK_AFTER: Duration = Duration::from_secs(3);
 
 fn cluster() -> Cluster {
     let mut cluster = Cluster::new(SHAPE, operator_file(), limits(), planner, 7);
@@ -42,37 +42,38 @@
 fn a_file_is_in_force_everywhere_in_time() {
     let mut cluster = cluster();
     let operator = cluster.apply(&a_box("az-1-box-1"), "a1", Revision(1), with_share(5));
-    cluster.advance(IN_FORCE);
+    cluster.advance(IN_FORCE_WITHIN);
     assert!(is_accepted(cluster.applied(operator), 2));
     assert_eq!(cluster.lowest_revision(), Revision(2));
     assert_eq!(cluster.violations(), vec![]);
 }
 
 #[test]
-fn of_two_racing_operators_one_is_told_of_the_other() {
+fn of_two_concurrent_applies_one_gets_a_conflict() {
     let mut cluster = cluster();
     let first = cluster.apply(&a_box("az-1-box-1"), "a1", Revision(1), with_share(5));
     let second = cluster.apply(&a_box("az-2-box-1"), "a2", Revision(1), with_share(6));
-    cluster.advance(IN_FORCE);
-    let told: Vec<_> = [first, second].into_iter().filter_map(|n| cluster.applied(n)).collect();
-    let accepted = told.iter().filter(|it| is_accepted(Some(it), 2)).count();
-    let conflicts =
-        told.iter().filter(|it| matches!(it, Applied::Conflict { standing: Some(doc) } if doc.revision == Revision(2)));
-    assert_eq!((accepted, conflicts.count()), (1, 1), "{told:?}");
+    cluster.advance(IN_FORCE_WITHIN);
+    let results: Vec<_> = [first, second].into_iter().filter_map(|n| cluster.applied(n)).collect();
+    let accepted = results.iter().filter(|it| is_accepted(Some(it), 2)).count();
+    let conflicts = results
+        .iter()
+        .filter(|it| matches!(it, Applied::Conflict { standing: Some(doc) } if doc.revision == Revision(2)));
+    assert_eq!((accepted, conflicts.count()), (1, 1), "{results:?}");
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_reading_back() {
+fn a_lost_reply_is_resolved_by_reading_back() {
     let mut cluster = cluster();
-    // The answer to the read comes; the one to the write is lost.
+    // The reply to the read arrives; the reply to the write is lost.
     let operator = cluster.apply(&a_box("az-1-box-1"), "a1", Revision(1), with_share(5));
     cluster.advance(Duration::from_millis(11));
     cluster.lose_store_answers(1);
-    cluster.advance(IN_FORCE);
+    cluster.advance(IN_FORCE_WITHIN);
     assert!(is_accepted(cluster.applied(operator), 2), "{:?}", cluster.applied(operator));
-    // Sent again with the same id, it is the same apply.
+    // A repeated apply with the same id has the same result.
     let again = cluster.apply(&a_box("az-2-box-1"), "a1", Revision(1), with_share(5));
-    cluster.advance(IN_FORCE);
+    cluster.advance(IN_FORCE_WITHIN);
     assert!(is_accepted(cluster.applied(again), 2), "{:?}", cluster.applied(again));
 }
 
@@ -80,13 +81,13 @@
 fn a_restarted_box_of_a_cut_off_availability_zone_takes_its_peers_revision() {
     let mut cluster = cluster();
     cluster.apply(&a_box("az-1-box-1"), "a1", Revision(1), with_share(5));
-    cluster.advance(IN_FORCE);
+    cluster.advance(IN_FORCE_WITHIN);
     cluster.set_store_down(true);
     cluster.kill_box(&a_box("az-1-box-1"));
     cluster.start_box(&a_box("az-1-box-1"));
-    cluster.advance(IN_FORCE);
+    cluster.advance(IN_FORCE_WITHIN);
     assert_eq!(cluster.lowest_revision(), Revision(2));
-    // And the availability zone goes on serving without the platform.
+    // The availability zone continues to serve without the platform.
     let caller = cluster.submit(spec(1, 0, 2, 100), false, &a_box("az-1-box-1"));
     cluster.advance(Duration::from_secs(5));
     assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.story(caller));
@@ -102,7 +103,7 @@
     let mut file = operator_file();
     file.backend_servers.get_mut(&server).expect("it stands in the file").mode = ServerMode::Draining;
     cluster.apply(&a_box("az-1-box-2"), "a1", Revision(1), file);
-    cluster.advance(LEAVING);
+    cluster.advance(NO_NEW_WORK_AFTER);
     let since = cluster.now();
     for n in 2..20 {
         cluster.submit(spec(n, 0, 2, 3000), false, &a_box("az-1-box-1"));
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_box_that_leaves_cuts_off_nothing_and_hands_its_queue_over() {
+fn a_draining_box_finishes_its_jobs_and_hands_its_queue_over() {
     let mut cluster = cluster();
     let first = a_box("az-1-box-1");
     let running = cluster.submit(spec(1, 7, 0, 20_000), false, &first);
@@ -126,6 +127,6 @@
     for caller in [running, waiting] {
         assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.story(caller));
     }
-    // What may run only once ran once: nothing was cut off and begun again.
+    // A job that may run only once ran once: nothing was stopped and restarted.
     assert_eq!(cluster.violations(), vec![]);
 }
