--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -11,7 +11,7 @@
 //! - An *attempt* is one try to run a whole gang. Its token orders it after earlier attempts.
 //! - The *holder* of a job is the incarnation of a box that renews the leases of its gang.
 //! - The *planner* is the box that decides for its availability zone which job starts where. Other boxes send
-//!   it *offers* of their waiting jobs, and it replies with *grants* to start them.
+//!   it *offers* of their waiting jobs, and it sends them *grants* to start jobs.
 //! - A *claim* is the record in the platform's store of the ticket under which a request runs.
 //! - *Fencing* a ticket makes the backend servers refuse it from then on.
 //! - *Adoption* is the takeover of a gang whose holder has terminated.
