--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -60,7 +60,7 @@
     /// How long after a watch was due a backend server may stay unresponsive before it gets no new work.
     pub silent_after: Duration,
     /// Timeout of fencing the ticket of a box that has terminated.
-    pub settle: Duration,
+    pub fencing_timeout: Duration,
     /// How long a holder must be dead, beyond the membership limit, before its gangs are adopted.
     pub adopt_after: Duration,
     /// Longest time that the reply to a waiting caller is delayed.
@@ -81,7 +81,7 @@
             offer_every: Duration::from_secs(1),
             checkpoint: Duration::from_secs(20),
             silent_after: Duration::from_secs(5),
-            settle: Duration::from_secs(10),
+            fencing_timeout: Duration::from_secs(10),
             adopt_after: Duration::from_secs(3),
             max_wait: Duration::from_secs(60),
             probe_after: Duration::from_secs(30),
@@ -170,7 +170,7 @@
             unrecorded_outcomes: BTreeSet::new(),
             config: Default::default(),
             dead_since: BTreeMap::new(),
-            recover_at: Some(now + limits.settle),
+            recover_at: Some(now + limits.fencing_timeout),
             draining: false,
             unresponsive_peers: BTreeMap::new(),
             orphans_checked_at: None,
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -292,7 +292,7 @@
     pub(crate) fn is_orphaned(&self, job: &JobId, holder: &Holder, now: Moment) -> bool {
         let gone = self.dead_since.contains_key(holder)
             || self.view.peers().get(&holder.box_id).is_some_and(|status| status.incarnation > holder.incarnation);
-        let long_ago = self.jobs.moved_at(job).is_some_and(|at| now.since(at) >= self.limits.settle);
+        let long_ago = self.jobs.moved_at(job).is_some_and(|at| now.since(at) >= self.limits.fencing_timeout);
         (gone || long_ago) && !self.replicas.is_whole(job)
     }
 
--- a/crates/entry/src/ticket_fencing.rs
+++ b/crates/entry/src/ticket_fencing.rs
@@ -55,7 +55,7 @@
             return self.reply(then.to(), CallerReply::Job(moved_answer()));
         }
         let unanswered = self.replicas.ids();
-        let deadline = now + self.limits.settle;
+        let deadline = now + self.limits.fencing_timeout;
         let op = FencingOp { ticket, repeatable, unanswered, ran: false, resend_at: now, deadline, then };
         let id = self.new_op(Op::FenceTicket(Box::new(op)));
         self.send_fences(id, now);
