--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -58,7 +58,7 @@
     /// How long a preempted gang may take for its checkpoint before it is stopped regardless.
     pub checkpoint: Duration,
     /// How long after a watch was due a backend server may stay unresponsive before it gets no new work.
-    pub silent_after: Duration,
+    pub unresponsive_after: Duration,
     /// Timeout of fencing the ticket of a box that has terminated.
     pub fencing_timeout: Duration,
     /// How long a holder must be dead, beyond the membership limit, before its gangs are adopted.
@@ -80,7 +80,7 @@
             grant_ttl: Duration::from_secs(3),
             offer_every: Duration::from_secs(1),
             checkpoint: Duration::from_secs(20),
-            silent_after: Duration::from_secs(5),
+            unresponsive_after: Duration::from_secs(5),
             fencing_timeout: Duration::from_secs(10),
             adopt_after: Duration::from_secs(3),
             max_wait: Duration::from_secs(60),
--- a/crates/entry/src/replicas.rs
+++ b/crates/entry/src/replicas.rs
@@ -211,7 +211,7 @@
         let Some(replica) = self.replicas.get(id) else { return false };
         let staying = replica.info.as_ref().is_some_and(|info| !info.leaving);
         let answering = replica.failures == 0
-            && replica.last_reply.is_some_and(|at| now.since(at) < self.limits.watch + self.limits.silent_after);
+            && replica.last_reply.is_some_and(|at| now.since(at) < self.limits.watch + self.limits.unresponsive_after);
         entry.mode == ServerMode::Active && staying && answering && !self.quarantine.is_quarantined(id)
     }
 }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -136,7 +136,7 @@
                 if info.is_some_and(|info| info.leaving) {
                     reasons.push("it says that it is leaving".to_owned());
                 }
-                if now.since(at) > self.limits.watch + self.limits.silent_after {
+                if now.since(at) > self.limits.watch + self.limits.unresponsive_after {
                     reasons.push(format!("silent for {}", now.since(at)));
                 }
                 if revision < self.current.revision() {
