--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -17,7 +17,7 @@
 
 /// Delay before a failed watch on the store is sent again.
 const WATCH_RETRY: Duration = Duration::from_secs(1);
-/// Shortest time between two deliveries of the configuration to one backend server.
+/// Shortest time between two deliveries of a revision to one backend server, unless the first has failed.
 const CONFIGURE_RETRY: Duration = Duration::from_secs(2);
 
 /// State of the configuration's watch, fetches and deliveries.
@@ -76,7 +76,7 @@
         let zone = &self.id.availability_zone;
         let here = file.backend_servers.values().filter(|s| s.availability_zone == *zone);
         let servers: BTreeSet<BackendServerId> = here.map(|s| s.id.clone()).collect();
-        self.replicas.retain_servers(&servers);
+        self.replicas.set_servers(&servers);
         self.planning.mark_changed();
         self.out.push(crate::Output::Configured(file));
         self.observe(Observation::InForce { revision: self.current.revision() });
--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -91,15 +91,28 @@
 
 /// An operation in flight, with the state needed to continue it when the reply arrives.
 pub(crate) enum Op {
+    /// Makes a claim.
     Claim(Box<ClaimOp>),
+    /// Fences a ticket.
     FenceTicket(Box<FencingOp>),
+    /// Routes a request: a call to its holder, a round of calls to all peers, or a read of its claim.
     Route(Box<RouteOp>),
+    /// Queries one peer as part of the given `Route` operation.
     PeerQuery(OpId),
+    /// Hands a waiting job to another box.
     HandOver(Box<crate::handover::HandOver>),
+    /// Puts an operators' file into force.
     Apply(Apply, Respondent),
+    /// Records the end of a job in its claim.
     EndClaim(crate::claims::EndClaim),
-    CancelClaim { to: Respondent, outcome: String },
+    /// Records in a claim that its request was cancelled.
+    CancelClaim {
+        to: Respondent,
+        outcome: String,
+    },
+    /// Records in a claim that its job has run and resumes from a checkpoint.
     MarkClaim(model::JobId),
+    /// Lists the claims to recover durable jobs of terminated boxes.
     Recover,
     WatchConfiguration,
     FetchConfiguration,
@@ -111,10 +124,13 @@
 /// State machine of one entry box.
 pub struct EntryBox {
     pub(crate) id: Identity,
+    /// When this process started, by the monotonic clock.
     pub(crate) started_at: Moment,
     pub(crate) limits: Limits,
     pub(crate) jobs: Coordinator,
+    /// Liveness of the peers in the availability zone.
     pub(crate) view: View,
+    /// The configuration in force.
     pub(crate) current: Current,
     pub(crate) replicas: Replicas,
     pub(crate) planning: Planning,
@@ -122,23 +138,32 @@
     pub(crate) own_offers: OwnOffers,
     pub(crate) quarantine: Quarantine,
     pub(crate) waiters: Waiters,
+    /// Peers of all availability zones, as listed by the platform.
     pub(crate) directory: BTreeMap<BoxId, ListedBox>,
+    /// Operations in flight.
     pub(crate) ops: BTreeMap<OpId, Op>,
+    /// Claims of this box's own jobs.
     pub(crate) claimed: BTreeMap<model::JobId, crate::Claim>,
+    /// Ended jobs whose claims do not record the end yet, and for which no write is in flight.
     pub(crate) ends_to_write: BTreeSet<model::JobId>,
     /// Claimed jobs that were not run or were cancelled; their callers get the outcome once it is stored.
     pub(crate) unrecorded_outcomes: BTreeSet<model::JobId>,
     pub(crate) config: crate::config::ConfigState,
+    /// Incarnations of peers that stopped sending heartbeats, and when that was detected.
     pub(crate) dead_since: BTreeMap<Holder, Moment>,
+    /// When durable jobs of terminated boxes are recovered; `None` if no recovery is due.
     pub(crate) recover_at: Option<Moment>,
+    /// When gangs to adopt were last searched.
     pub(crate) orphans_checked_at: Option<Moment>,
     pub(crate) draining: bool,
     /// Boxes that did not respond to the last call, and when that call failed.
     pub(crate) unresponsive_peers: BTreeMap<BoxId, Moment>,
     /// Jobs without a caller whose claim could not be made, and when the claim is retried.
     pub(crate) claims_to_retry: Vec<(Moment, Submission)>,
+    /// Earliest time of the next handover while draining.
     pub(crate) hand_over_at: Moment,
     pub(crate) last_heartbeat: Option<Moment>,
+    /// Outputs of the input being handled.
     pub(crate) out: Vec<Output>,
     next_op: u64,
 }
--- a/crates/entry/src/replicas.rs
+++ b/crates/entry/src/replicas.rs
@@ -46,7 +46,7 @@
 
 impl Replicas {
     /// Adds and removes replicas to match the backend servers of the configuration.
-    pub(crate) fn retain_servers(&mut self, servers: &BTreeSet<BackendServerId>) {
+    pub(crate) fn set_servers(&mut self, servers: &BTreeSet<BackendServerId>) {
         self.by_server.retain(|id, _| servers.contains(id));
         for id in servers {
             self.by_server.entry(id.clone()).or_default();
--- a/crates/entry/src/ticket_fencing.rs
+++ b/crates/entry/src/ticket_fencing.rs
@@ -41,7 +41,9 @@
 pub(crate) struct FencingOp {
     ticket: JobId,
     repeatable: bool,
+    /// Backend servers that have not replied yet.
     unanswered: BTreeSet<BackendServerId>,
+    /// Whether the ticket ran, or may have: a backend server whose table is too young can't tell.
     ran: bool,
     resend_at: Moment,
     deadline: Moment,
