--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,8 +1,7 @@
 //! Claims in the platform's store.
 //!
 //! A claim records the ticket under which a request runs, for requests that may run only once or must survive
-//! their box. Boxes write it by compare-and-swap, so two boxes never start the same request under two
-//! tickets.
+//! their box. Boxes write it by compare-and-swap, so that only one ticket of a request is in force at a time.
 
 use lifecycle::Stage;
 use model::{AvailabilityZoneId, CustomerId, Duration, JobId, JobSpec, Moment, Outcome, RequestId};
