--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -1,4 +1,4 @@
-//! The entry box itself: its parts, and which of them takes which input.
+//! The entry box: its state, and the dispatch of each input to the part that handles it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,54 +18,54 @@
     BackendOp, CallerReply, CallerRequest, Input, JobAnswer, Observation, OpId, Output, PeerReply, PeerRequest,
     ReplyTo, Submission,
     claims::ClaimOp,
-    offers::{Offered, Offering},
+    offers::{OwnOffers, ReceivedOffers},
     planning::Planning,
     quarantine::Quarantine,
     replicas::Replicas,
-    route::{Ask, RouteOp},
-    settle::SettleOp,
+    route::{Action, RouteOp},
+    ticket_fencing::FencingOp,
     waiters::{Respondent, Waiters},
 };
 
-/// Who an entry box is.
+/// Identity of an entry box.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// Its box.
+    /// Name of the box.
     pub box_id: BoxId,
-    /// The life of this process.
+    /// Incarnation of this process: its start in Unix milliseconds by the wall clock.
     pub incarnation: Incarnation,
-    /// Its availability zone.
+    /// Availability zone that the box serves.
     pub availability_zone: AvailabilityZoneId,
 }
 
-/// Time limits of an entry box, those of its parts included.
+/// Time limits of an entry box and of the crates that it combines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Of jobs.
+    /// Limits of the job lifecycle.
     pub lifecycle: lifecycle::Limits,
-    /// Of membership.
+    /// Limits of the peer membership.
     pub membership: membership::Limits,
-    /// A call to a backend server or peer that does not wait for anything ends within this.
+    /// Timeout of a call to a backend server or peer, in addition to the time that the call asks to wait.
     pub call: Duration,
-    /// A watch on a lease table or the store waits this long.
+    /// How long a watch on a lease table or on the store waits for a change.
     pub watch: Duration,
-    /// Shortest time between two rounds of planning.
+    /// Shortest time between two planning rounds.
     pub plan_gap: Duration,
-    /// A grant whose reservations do not show up is forgotten after this.
+    /// How long a grant counts as running before its reservations appear in the lease tables.
     pub grant_ttl: Duration,
-    /// A queue that is not empty is offered at least this often.
+    /// Longest time between two offers of a queue that is not empty.
     pub offer_every: Duration,
-    /// A preempted gang is stopped after this, checkpoint or not.
+    /// How long a preempted gang may take for its checkpoint before it is stopped regardless.
     pub checkpoint: Duration,
-    /// A backend server that has not answered for this long is given no new work.
-    pub silent_after: Duration,
-    /// How long the fencing of a dead box's ticket may take.
-    pub settle: Duration,
-    /// A holder must be dead for this long before its gangs are adopted.
+    /// How long after a watch was due a backend server may stay unresponsive before it gets no new work.
+    pub unresponsive_after: Duration,
+    /// Timeout of fencing the ticket of a box that has terminated.
+    pub fencing_timeout: Duration,
+    /// How long a holder must be dead, beyond the membership limit, before its gangs are adopted.
     pub adopt_after: Duration,
-    /// A waiting caller's reply is held at most this long.
+    /// Longest time that the reply to a waiting caller is delayed.
     pub max_wait: Duration,
-    /// A backend server in quarantine is tried again after this; doubles each time.
+    /// First duration of a quarantine; doubles each time.
     pub probe_after: Duration,
 }
 
@@ -80,8 +80,8 @@
             grant_ttl: Duration::from_secs(3),
             offer_every: Duration::from_secs(1),
             checkpoint: Duration::from_secs(20),
-            silent_after: Duration::from_secs(5),
-            settle: Duration::from_secs(10),
+            unresponsive_after: Duration::from_secs(5),
+            fencing_timeout: Duration::from_secs(10),
             adopt_after: Duration::from_secs(3),
             max_wait: Duration::from_secs(60),
             probe_after: Duration::from_secs(30),
@@ -89,17 +89,30 @@
     }
 }
 
-/// What an operation in progress waits to go on with.
+/// An operation in flight, with the state needed to continue it when the reply arrives.
 pub(crate) enum Op {
+    /// Makes a claim.
     Claim(Box<ClaimOp>),
-    Settle(Box<SettleOp>),
+    /// Fences a ticket.
+    FenceTicket(Box<FencingOp>),
+    /// Routes a request: a call to its holder, a round of calls to all peers, or a read of its claim.
     Route(Box<RouteOp>),
-    RoutePart(OpId),
+    /// Queries one peer as part of the given `Route` operation.
+    PeerQuery(OpId),
+    /// Hands a waiting job to another box.
     HandOver(Box<crate::handover::HandOver>),
+    /// Puts an operators' file into force.
     Apply(Apply, Respondent),
+    /// Records the end of a job in its claim.
     EndClaim(crate::claims::EndClaim),
-    CancelClaim { to: Respondent, outcome: String },
+    /// Records in a claim that its request was cancelled.
+    CancelClaim {
+        to: Respondent,
+        outcome: String,
+    },
+    /// Records in a claim that its job has run and resumes from a checkpoint.
     MarkClaim(model::JobId),
+    /// Lists the claims to recover durable jobs of terminated boxes.
     Recover,
     WatchConfiguration,
     FetchConfiguration,
@@ -108,43 +121,55 @@
     Grant,
 }
 
-/// One entry box.
+/// State machine of one entry box.
 pub struct EntryBox {
     pub(crate) id: Identity,
-    pub(crate) born: Moment,
+    /// When this process started, by the monotonic clock.
+    pub(crate) started_at: Moment,
     pub(crate) limits: Limits,
     pub(crate) jobs: Coordinator,
+    /// Liveness of the peers in the availability zone.
     pub(crate) view: View,
+    /// The configuration in force.
     pub(crate) current: Current,
     pub(crate) replicas: Replicas,
     pub(crate) planning: Planning,
-    pub(crate) offered: BTreeMap<BoxId, Offered>,
-    pub(crate) offering: Offering,
+    pub(crate) received_offers: BTreeMap<BoxId, ReceivedOffers>,
+    pub(crate) own_offers: OwnOffers,
     pub(crate) quarantine: Quarantine,
     pub(crate) waiters: Waiters,
+    /// Peers of all availability zones, as listed by the platform.
     pub(crate) directory: BTreeMap<BoxId, ListedBox>,
+    /// Operations in flight.
     pub(crate) ops: BTreeMap<OpId, Op>,
+    /// Claims of this box's own jobs.
     pub(crate) claimed: BTreeMap<model::JobId, crate::Claim>,
-    pub(crate) unreported: BTreeSet<model::JobId>,
-    /// Claimed jobs that did not run, whose callers are told once that stands in the store.
-    pub(crate) unrecorded: BTreeSet<model::JobId>,
+    /// Ended jobs whose claims do not record the end yet, and for which no write is in flight.
+    pub(crate) ends_to_write: BTreeSet<model::JobId>,
+    /// Claimed jobs that were not run or were cancelled; their callers get the outcome once it is stored.
+    pub(crate) unrecorded_outcomes: BTreeSet<model::JobId>,
     pub(crate) config: crate::config::ConfigState,
+    /// Incarnations of peers that stopped sending heartbeats, and when that was detected.
     pub(crate) dead_since: BTreeMap<Holder, Moment>,
+    /// When durable jobs of terminated boxes are recovered; `None` if no recovery is due.
     pub(crate) recover_at: Option<Moment>,
-    pub(crate) adopted_at: Option<Moment>,
+    /// When gangs to adopt were last searched.
+    pub(crate) orphans_checked_at: Option<Moment>,
     pub(crate) draining: bool,
-    /// Boxes that did not answer their last call, and when that was found.
-    pub(crate) silent: BTreeMap<BoxId, Moment>,
-    /// Jobs without a caller whose claim could not be made, and when it is tried again.
-    pub(crate) unclaimed: Vec<(Moment, Submission)>,
+    /// Boxes that did not respond to the last call, and when that call failed.
+    pub(crate) unresponsive_peers: BTreeMap<BoxId, Moment>,
+    /// Jobs without a caller whose claim could not be made, and when the claim is retried.
+    pub(crate) claims_to_retry: Vec<(Moment, Submission)>,
+    /// Earliest time of the next handover while draining.
     pub(crate) hand_over_at: Moment,
     pub(crate) last_heartbeat: Option<Moment>,
+    /// Outputs of the input being handled.
     pub(crate) out: Vec<Output>,
     next_op: u64,
 }
 
 impl EntryBox {
-    /// A box that knows its peers from a list and has no configuration yet.
+    /// Creates a box that knows its peers from a list and has no configuration yet.
     pub fn new(
         id: Identity,
         limits: Limits,
@@ -159,24 +184,24 @@
             current: Current::default(),
             replicas: Replicas::default(),
             planning: Planning::new(planner),
-            offered: BTreeMap::new(),
-            offering: Offering::default(),
+            received_offers: BTreeMap::new(),
+            own_offers: OwnOffers::default(),
             quarantine: Quarantine::default(),
             waiters: Waiters::default(),
             directory: BTreeMap::new(),
             ops: BTreeMap::new(),
             claimed: BTreeMap::new(),
-            unreported: BTreeSet::new(),
-            unrecorded: BTreeSet::new(),
+            ends_to_write: BTreeSet::new(),
+            unrecorded_outcomes: BTreeSet::new(),
             config: Default::default(),
             dead_since: BTreeMap::new(),
-            recover_at: Some(now + limits.settle),
+            recover_at: Some(now + limits.fencing_timeout),
             draining: false,
-            silent: BTreeMap::new(),
-            adopted_at: None,
-            unclaimed: Vec::new(),
+            unresponsive_peers: BTreeMap::new(),
+            orphans_checked_at: None,
+            claims_to_retry: Vec::new(),
             hand_over_at: now,
-            born: now,
+            started_at: now,
             last_heartbeat: None,
             out: Vec::new(),
             next_op: 0,
@@ -187,7 +212,7 @@
         it
     }
 
-    /// Takes one input and gives what is to be done.
+    /// Handles one input and returns the actions for the host to carry out.
     pub fn handle(&mut self, input: Input, now: Moment) -> Vec<Output> {
         match input {
             Input::Tick => self.tick(now),
@@ -198,26 +223,26 @@
                 BackendOp::Job => self.jobs.on_reply(&server, &req, reply, now),
                 BackendOp::Watch => self.on_watch_reply(&server, reply, now),
                 BackendOp::Configure => self.on_configured(&server, reply, now),
-                BackendOp::Preempt => self.planning.mark_dirty(),
+                BackendOp::Preempt => self.planning.mark_changed(),
                 BackendOp::Fence(op) => self.on_fenced(op, &server, reply, now),
             },
             Input::StoreReply { op, reply } => self.on_store_reply(op, reply, now),
             Input::Listed(boxes) => self.on_listed(boxes),
             Input::Drain => self.drain(),
         }
-        self.carry_effects(now);
+        self.apply_effects(now);
         self.offer_queue(now);
         self.plan_if_due(now);
-        self.carry_effects(now);
+        self.apply_effects(now);
         mem::take(&mut self.out)
     }
 
-    /// Whether it can serve: it has a configuration and is not leaving.
+    /// Returns whether the box can serve: it has a configuration and is not draining.
     pub fn is_ready(&self) -> bool {
         !self.draining && self.current.file().is_some()
     }
 
-    /// How many of its jobs are neither over nor held elsewhere.
+    /// Returns the number of its jobs that have neither ended nor moved to another box.
     pub fn open_jobs(&self) -> usize {
         self.jobs.open_jobs()
     }
@@ -226,7 +251,7 @@
         self.view.tick(now);
         self.jobs.tick(now);
         self.send_heartbeats(now);
-        self.note_deaths(now);
+        self.detect_dead_peers(now);
         self.tick_config(now);
         self.send_watches(now);
         self.adopt_orphans(now);
@@ -242,13 +267,13 @@
         match req {
             CallerRequest::Submit(submission) => self.submit(submission, to, now),
             CallerRequest::Poll { customer, request, wait } => {
-                self.route(Ask::Poll { wait: self.bounded(wait) }, customer, request, to, now);
+                self.route(Action::Poll { wait: self.bounded(wait) }, customer, request, to, now);
             }
             CallerRequest::Cancel { customer, request } => {
-                self.route(Ask::Cancel, customer, request, to, now);
+                self.route(Action::Cancel, customer, request, to, now);
             }
             CallerRequest::Acknowledge { customer, request } => {
-                self.route(Ask::Acknowledge, customer, request, to, now);
+                self.route(Action::Acknowledge, customer, request, to, now);
             }
             CallerRequest::Mint => {
                 let ticket = self.jobs.mint(now);
@@ -283,19 +308,19 @@
                 self.out.push(Output::ToPeer { to, reply: PeerReply::Granted });
             }
             PeerRequest::Lookup { ticket: Some(ticket), .. } if !self.jobs.minted(&ticket) => {
-                // It was meant for an earlier life of this box.
+                // The lookup is meant for an earlier incarnation of this box.
                 let answer = crate::route::moved_answer();
                 self.out.push(Output::ToPeer { to, reply: PeerReply::Job(answer) });
             }
             PeerRequest::Lookup { customer, request, wait, ticket: _, pass_on } => {
-                let ask = Ask::Poll { wait: self.bounded(wait) };
-                self.answer_peer(ask, customer, request, pass_on, respondent, now);
+                let action = Action::Poll { wait: self.bounded(wait) };
+                self.answer_peer(action, customer, request, pass_on, respondent, now);
             }
             PeerRequest::Cancel { customer, request, pass_on } => {
-                self.answer_peer(Ask::Cancel, customer, request, pass_on, respondent, now);
+                self.answer_peer(Action::Cancel, customer, request, pass_on, respondent, now);
             }
             PeerRequest::Acknowledge { customer, request, pass_on } => {
-                self.answer_peer(Ask::Acknowledge, customer, request, pass_on, respondent, now);
+                self.answer_peer(Action::Acknowledge, customer, request, pass_on, respondent, now);
             }
             PeerRequest::Submit(submission) => self.submit(submission, respondent, now),
             PeerRequest::FetchConfiguration => {
@@ -306,7 +331,7 @@
     }
 
     fn on_peer_reply(&mut self, op: OpId, peer: BoxId, reply: Option<PeerReply>, now: Moment) {
-        self.note_answer(&peer, reply.is_some(), now);
+        self.record_peer_response(&peer, reply.is_some(), now);
         match (self.ops.remove(&op), reply) {
             (Some(Op::Heartbeat), Some(PeerReply::Heartbeat { incarnation, revision, leaving })) => {
                 self.on_heartbeat(&peer, incarnation, revision, leaving, now);
@@ -315,7 +340,7 @@
             (Some(Op::FetchConfiguration), reply) => self.on_fetched_configuration(reply, now),
             (Some(Op::Route(route)), reply) => self.on_route_reply(*route, reply, now),
             (Some(Op::HandOver(it)), reply) => self.on_handed_over(*it, peer, reply, now),
-            (Some(Op::RoutePart(round)), reply) => self.on_round_reply(round, &peer, reply, now),
+            (Some(Op::PeerQuery(round)), reply) => self.on_peer_query_reply(round, &peer, reply, now),
             (Some(Op::Claim(claim)), reply) => self.on_owner_reply(*claim, reply, now),
             _ => {}
         }
@@ -326,7 +351,7 @@
             Some(Op::Claim(claim)) => self.on_claim_reply(*claim, reply, now),
             Some(Op::Route(route)) => self.on_route_claim(*route, reply, now),
             Some(Op::Apply(apply, to)) => self.on_apply_reply(apply, to, reply, now),
-            Some(Op::MarkClaim(job)) => self.on_mark_reply(job, reply),
+            Some(Op::MarkClaim(job)) => self.on_mark_claim_reply(job, reply),
             Some(Op::CancelClaim { to, outcome }) => self.on_cancel_recorded(to, outcome, reply),
             Some(Op::EndClaim(end)) => self.on_end_claim_reply(end, reply, now),
             Some(Op::Recover) => self.on_recover_reply(reply, now),
@@ -335,8 +360,8 @@
         }
     }
 
-    /// Passes on what the jobs' coordinator wants done.
-    pub(crate) fn carry_effects(&mut self, now: Moment) {
+    /// Carries out the effects that the job coordinator has queued.
+    pub(crate) fn apply_effects(&mut self, now: Moment) {
         for effect in self.jobs.take_effects() {
             match effect {
                 Effect::Call { server, req } => self.call_backend(BackendOp::Job, server, req),
@@ -348,7 +373,7 @@
                 Effect::RunFailed { server, job } => self.on_run_failed(&server, &job, now),
                 Effect::Count(anomaly) => {
                     if anomaly == lifecycle::Anomaly::LateGrant {
-                        self.offer_anew();
+                        self.request_full_offer();
                     }
                     self.observe(Observation::Count { name: crate::status::anomaly_name(anomaly) });
                 }
@@ -368,13 +393,13 @@
         let (customer, class) = (view.spec.customer.clone(), view.spec.class.clone());
         self.observe(Observation::Ended { customer, class, outcome: outcome.name(), after });
         if matches!(outcome, model::Outcome::Done { .. }) {
-            self.quarantine.succeeded(&view.servers);
+            self.quarantine.record_success(&view.servers);
         }
         let must_record = matches!(outcome, model::Outcome::NotRun { .. } | model::Outcome::Cancelled { .. });
         if must_record && self.claimed.contains_key(job) {
-            // Another box may have taken this one for dead and run the request, or would once this
-            // one is gone: the claim tells.
-            self.unrecorded.insert(job.clone());
+            // Another box may have declared this one dead and run the request, or may do so later: the
+            // stored claim decides which outcome callers get.
+            self.unrecorded_outcomes.insert(job.clone());
         } else {
             let answer = JobAnswer::Ended { job: view.job.clone(), outcome };
             self.answer_waiters(&view.spec.customer, &view.spec.request, &answer);
@@ -388,17 +413,17 @@
         self.claimed.remove(job);
     }
 
-    /// Wall-clock milliseconds, carried on from the start by the monotonic clock.
+    /// Returns the wall-clock time in Unix milliseconds: the process start, advanced by the monotonic clock.
     pub(crate) fn wall_ms(&self, now: Moment) -> u64 {
-        self.id.incarnation.0 + now.since(self.born).millis()
+        self.id.incarnation.0 + now.since(self.started_at).millis()
     }
 
     pub(crate) fn file(&self) -> Option<Arc<OperatorFile>> {
         self.current.file().cloned()
     }
 
-    /// How many operations have been begun: rises with every call that is tracked.
-    pub(crate) fn ops_begun(&self) -> u64 {
+    /// Returns the number of operations started so far; rises with every tracked call.
+    pub(crate) fn op_count(&self) -> u64 {
         self.next_op
     }
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, deaths, and the directory of boxes.
+//! Heartbeats, detection of dead peers, and the directory of boxes.
 
 use backend::Holder;
 use model::{AvailabilityZoneId, BoxId, Duration, Incarnation, Moment, Revision};
@@ -6,12 +6,12 @@
 
 use crate::{EntryBox, PeerReply, PeerRequest, entry_box::Op};
 
-/// A box that did not answer is not chosen for this long if there is another.
-const SILENT_FOR: Duration = Duration::from_secs(10);
+/// How long a box that did not respond is avoided if there is another.
+const AVOID_UNRESPONSIVE_FOR: Duration = Duration::from_secs(10);
 
 impl EntryBox {
-    /// Takes the platform's list into the directory. It lags, so nobody is removed by it; silence is
-    /// what counts.
+    /// Merges the platform's list into the directory. The list lags behind, so it removes no box; only
+    /// missing heartbeats make a box count as dead.
     pub(crate) fn on_listed(&mut self, boxes: Vec<ListedBox>) {
         for listed in boxes {
             if listed.id != self.id.box_id {
@@ -20,29 +20,30 @@
         }
     }
 
-    /// Where a box takes calls.
+    /// Returns the address at which a peer takes calls; `None` if the box was never listed.
     pub fn address_of(&self, id: &BoxId) -> Option<std::net::SocketAddr> {
         self.directory.get(id).map(|listed| listed.peer_address)
     }
 
-    /// A box of another availability zone, if possible one that did not fail to answer of late.
+    /// Returns a box of another availability zone, preferably one that has not failed to respond recently.
     pub(crate) fn any_box_of(&self, zone: &AvailabilityZoneId, now: Moment) -> Option<BoxId> {
         let here = |listed: &&ListedBox| listed.availability_zone == *zone && !listed.leaving;
         let all: Vec<&BoxId> = self.directory.values().filter(here).map(|listed| &listed.id).collect();
-        let silent = |id: &BoxId| self.silent.get(id).is_some_and(|at| now.since(*at) < SILENT_FOR);
-        let answering: Vec<&BoxId> = all.iter().copied().filter(|id| !silent(id)).collect();
+        let is_unresponsive =
+            |id: &BoxId| self.unresponsive_peers.get(id).is_some_and(|at| now.since(*at) < AVOID_UNRESPONSIVE_FOR);
+        let answering: Vec<&BoxId> = all.iter().copied().filter(|id| !is_unresponsive(id)).collect();
         let boxes = if answering.is_empty() { all } else { answering };
-        // In turn, so that no box gets all of it.
-        let turn = self.ops_begun() as usize % boxes.len().max(1);
+        // Chosen in turn, to spread the load.
+        let turn = self.op_count() as usize % boxes.len().max(1);
         boxes.get(turn).map(|id| (*id).clone())
     }
 
-    /// Notes whether a box answered a call.
-    pub(crate) fn note_answer(&mut self, peer: &BoxId, answered: bool, now: Moment) {
+    /// Records whether a box responded to a call.
+    pub(crate) fn record_peer_response(&mut self, peer: &BoxId, answered: bool, now: Moment) {
         if answered {
-            self.silent.remove(peer);
+            self.unresponsive_peers.remove(peer);
         } else {
-            self.silent.insert(peer.clone(), now);
+            self.unresponsive_peers.insert(peer.clone(), now);
         }
     }
 
@@ -60,7 +61,7 @@
             return;
         }
         self.last_heartbeat = Some(now);
-        // An answer that did not come by now never will: forget that it was asked for.
+        // Heartbeats that are still unanswered are abandoned.
         self.ops.retain(|_, op| !matches!(op, Op::Heartbeat));
         let same_zone = |b: &&ListedBox| b.availability_zone == self.id.availability_zone;
         let peers: Vec<BoxId> = self.directory.values().filter(same_zone).map(|b| b.id.clone()).collect();
@@ -86,7 +87,7 @@
         let before = self.view.peers().get(peer).map(|s| s.incarnation);
         self.view.record_heartbeat(peer, incarnation, leaving, now);
         if before.is_some_and(|it| it < incarnation) {
-            // A new life: what the old one held is orphaned.
+            // The box has a new incarnation: jobs of the earlier one are orphaned.
             self.recover_at.get_or_insert(now + self.limits.adopt_after);
         }
         if self.current.hear_of(revision) {
@@ -96,9 +97,9 @@
         self.dead_since.remove(&holder);
     }
 
-    /// Notes boxes that fell silent, so that their durable jobs are looked for.
-    pub(crate) fn note_deaths(&mut self, now: Moment) {
-        let silent: Vec<(Holder, bool)> = self
+    /// Records peers that are no longer live, and schedules the recovery of their durable jobs.
+    pub(crate) fn detect_dead_peers(&mut self, now: Moment) {
+        let peers: Vec<(Holder, bool)> = self
             .view
             .peers()
             .iter()
@@ -107,12 +108,12 @@
                 (holder, self.view.is_live(id, now))
             })
             .collect();
-        for (holder, live) in silent {
+        for (holder, live) in peers {
             if live {
                 self.dead_since.remove(&holder);
             } else if !self.dead_since.contains_key(&holder) {
                 self.dead_since.insert(holder.clone(), now);
-                self.offered.remove(&holder.box_id);
+                self.received_offers.remove(&holder.box_id);
                 self.recover_at.get_or_insert(now + self.limits.adopt_after);
             }
         }
--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/submissions.rs
@@ -1,4 +1,4 @@
-//! Taking jobs in: what is refused at once, what is known already, and what needs a claim.
+//! Admission of jobs: refusals, requests that are already known, and requests that need a claim first.
 
 use lifecycle::{Origin, Stage};
 use model::{Duration, JobId, JobSpec, Moment, NotRunReason, OperatorFile, Outcome};
@@ -7,31 +7,31 @@
 use crate::{
     CallerReply, EntryBox, JobAnswer, PeerRequest, Submission,
     entry_box::Op,
-    route::{Ask, RouteOp},
-    settle::Afterwards,
+    route::{Action, RouteOp},
+    ticket_fencing::AfterFencing,
     waiters::Respondent,
 };
 
-/// When to come back to a box that cannot take work just now.
-const RETRY_SOON: Duration = Duration::from_secs(1);
-/// When to come back if the store is out.
+/// Retry delay for a box that is draining or has no configuration.
+const RETRY_NOT_READY: Duration = Duration::from_secs(1);
+/// Retry delay when the store is unavailable.
 const RETRY_STORE: Duration = Duration::from_secs(5);
-/// Shortest time named to a caller whose queue is full.
+/// Shortest retry delay for a full queue.
 const RETRY_QUEUE_MIN: Duration = Duration::from_secs(1);
-/// Longest time named to a caller whose queue is full.
+/// Longest retry delay for a full queue.
 const RETRY_QUEUE_MAX: Duration = Duration::from_secs(600);
 
 impl EntryBox {
-    /// Takes a job, or says at once why not.
+    /// Admits a job, or replies at once with the reason for the refusal.
     pub(crate) fn submit(&mut self, mut submission: Submission, to: Respondent, now: Moment) {
         submission.wait = self.bounded(submission.wait);
         submission.may_have_run |= submission.retry && !self.needs_claim(&submission);
-        if self.join_known(&submission, to, now) {
+        if self.join_existing(&submission, to, now) {
             return;
         }
         if let Some((reason, retry_after)) = self.refusal(&submission.spec) {
             return match submission.retry || submission.may_have_run {
-                true => self.refuse_in_doubt(to, &reason, retry_after, now),
+                true => self.refuse_with_unknown_outcome(to, &reason, retry_after, now),
                 false => self.refuse_submission(to, reason, retry_after, now),
             };
         }
@@ -39,12 +39,12 @@
             return self.submit_with_ticket(submission, ticket, to, now);
         }
         if submission.retry && !self.needs_claim(&submission) {
-            return self.look_around(submission, to, now);
+            return self.query_peers_first(submission, to, now);
         }
         self.submit_new(submission, to, now);
     }
 
-    /// Takes a job that is known nowhere else, as far as can be told.
+    /// Admits a job that is not known elsewhere, as far as this box can tell.
     pub(crate) fn submit_new(&mut self, submission: Submission, to: Respondent, now: Moment) {
         if self.needs_claim(&submission) {
             return self.begin_claim(submission, to, now);
@@ -53,7 +53,8 @@
         self.accept(submission, job, to, now);
     }
 
-    /// Puts a job into the queue and lets its caller wait, or tells the caller its ticket.
+    /// Queues a job. Delays the reply until the job ends if the caller waits, otherwise replies with the
+    /// ticket.
     pub(crate) fn accept(&mut self, submission: Submission, job: JobId, to: Respondent, now: Moment) {
         let Submission { spec, wait, resume, may_have_run, .. } = submission;
         let origin = Origin { resume, certain: !may_have_run };
@@ -73,14 +74,21 @@
         retry_after: Option<Duration>,
         now: Moment,
     ) {
-        // The ticket is used up by saying that it was not run.
+        // A new ticket names the refused request; it is never started.
         let job = self.jobs.mint(now);
         let answer = JobAnswer::Ended { job, outcome: Outcome::NotRun { reason, retry_after } };
         self.reply(to, CallerReply::Job(answer));
     }
 
-    /// Refuses a request that was sent before: an earlier try, through another box, may have run.
-    fn refuse_in_doubt(&mut self, to: Respondent, reason: &NotRunReason, retry_after: Option<Duration>, now: Moment) {
+    /// Refuses a request with unknown outcome: it was sent before, and an earlier try through another box may
+    /// have run.
+    fn refuse_with_unknown_outcome(
+        &mut self,
+        to: Respondent,
+        reason: &NotRunReason,
+        retry_after: Option<Duration>,
+        now: Moment,
+    ) {
         let why = format!("not taken now: {reason}; whether an earlier try ran is not known here");
         let answer = match retry_after {
             Some(retry_after) => JobAnswer::Unsettled { why, retry_after },
@@ -91,57 +99,59 @@
 
     pub(crate) fn refuse_for_store(&mut self, submission: &Submission, to: Respondent, now: Moment) {
         if to == Respondent::Nobody {
-            // Nobody would send it again.
-            self.unclaimed.push((now + RETRY_STORE, submission.clone()));
+            // There is no caller to send it again, so this box retries.
+            self.claims_to_retry.push((now + RETRY_STORE, submission.clone()));
             return;
         }
         let reason = NotRunReason::StoreUnavailable;
         match submission.retry || submission.may_have_run {
-            true => self.refuse_in_doubt(to, &reason, Some(RETRY_STORE), now),
+            true => self.refuse_with_unknown_outcome(to, &reason, Some(RETRY_STORE), now),
             false => self.refuse_submission(to, reason, Some(RETRY_STORE), now),
         }
     }
 
-    /// A request that may run only once, or must outlive this box, is claimed in the platform's store.
+    /// Returns whether a request must be claimed in the platform's store: it may run only once or must
+    /// survive this box, and has no ticket.
     fn needs_claim(&self, submission: &Submission) -> bool {
         submission.ticket.is_none() && (!submission.spec.repeatable || submission.durable)
     }
 
-    /// Joins the submission to a job of the same name that this box has; says whether there is one.
-    fn join_known(&mut self, submission: &Submission, to: Respondent, now: Moment) -> bool {
+    /// Attaches the submission to a job of the same name that is known here; returns whether there is one.
+    fn join_existing(&mut self, submission: &Submission, to: Respondent, now: Moment) -> bool {
         let spec = &submission.spec;
         if let Some(view) = self.jobs.find(&spec.customer, &spec.request) {
             if view.described && *view.spec != *spec {
                 self.reply(to, CallerReply::Job(JobAnswer::NameInUse));
                 return true;
             }
-            // A job that moved may be known to its new holder no more.
+            // The new holder may no longer have a job that moved.
             let moved = matches!(view.stage, Stage::Moved(_));
-            if is_open_to_retry(&view.stage) || (moved && !self.is_held(spec, now)) {
+            if can_resubmit(&view.stage) || (moved && !self.is_held(spec, now)) {
                 return false;
             }
         } else if !self.is_held(spec, now) && !self.is_claiming(spec) {
             return false;
         }
-        let ask = Ask::Poll { wait: submission.wait };
+        let action = Action::Poll { wait: submission.wait };
         let name = (spec.customer.clone(), spec.request.clone());
-        self.route_or_submit(RouteOp::around(ask, name, to, Some(submission.clone())), now);
+        self.route_or_submit(RouteOp::broadcast(action, name, to, Some(submission.clone())), now);
         true
     }
 
-    /// Whether the lease tables show a request with a live holder, or whole and waiting for adoption.
+    /// Returns whether the lease tables show the request with a live holder, or as a whole gang that awaits
+    /// adoption.
     fn is_held(&self, spec: &JobSpec, now: Moment) -> bool {
         let found = self.replicas.find(&spec.customer, &spec.request);
-        found.is_some_and(|found| found.whole || self.is_live_holder(&found.holder, now))
+        found.is_some_and(|found| found.is_whole || self.is_live_holder(&found.holder, now))
     }
 
-    /// Why a job is not taken now, and when to come back.
+    /// Returns why a job is refused now, and after how long a retry may succeed (`None`: never).
     fn refusal(&self, spec: &JobSpec) -> Option<(NotRunReason, Option<Duration>)> {
         if self.draining {
-            return Some((NotRunReason::Leaving, Some(RETRY_SOON)));
+            return Some((NotRunReason::Leaving, Some(RETRY_NOT_READY)));
         }
         let Some(file) = self.current.file() else {
-            return Some((NotRunReason::NoConfiguration, Some(RETRY_SOON)));
+            return Some((NotRunReason::NoConfiguration, Some(RETRY_NOT_READY)));
         };
         if !file.customers.contains_key(&spec.customer) {
             return Some((unknown(format!("customer {}", spec.customer)), None));
@@ -155,7 +165,7 @@
         let queued = self.jobs.queue_len(spec);
         if queued >= class.queue_limit as usize {
             let reason = NotRunReason::QueueFull { class: class.id.to_string(), limit: class.queue_limit };
-            return Some((reason, Some(self.drain_time(queued))));
+            return Some((reason, Some(self.estimate_queue_time(queued))));
         }
         None
     }
@@ -171,8 +181,8 @@
         Room::empty(&servers).check_ever_fits(&spec.gang).err().map(|e| e.to_string())
     }
 
-    /// How long a queue of that length takes at the rate of late.
-    fn drain_time(&self, queued: usize) -> Duration {
+    /// Estimates how long a queue of that length takes at the recent rate of starts.
+    fn estimate_queue_time(&self, queued: usize) -> Duration {
         let per_job = self.planning.time_per_start();
         let all = Duration::from_millis(per_job.millis().saturating_mul(queued as u64));
         all.clamp(RETRY_QUEUE_MIN, RETRY_QUEUE_MAX)
@@ -183,9 +193,9 @@
             return match self.jobs.view(&ticket) {
                 None => self.accept(submission, ticket, to, now),
                 Some(view) if *view.spec == submission.spec => {
-                    let ask = Ask::Poll { wait: submission.wait };
+                    let action = Action::Poll { wait: submission.wait };
                     let JobSpec { customer, request, .. } = submission.spec;
-                    self.route(ask, customer, request, to, now);
+                    self.route(action, customer, request, to, now);
                 }
                 Some(_) => self.reply(to, CallerReply::Job(JobAnswer::NameInUse)),
             };
@@ -198,20 +208,21 @@
             let route = RouteOp::forward(submission.clone(), to);
             return self.call_peer(Op::Route(Box::new(route)), &minter, PeerRequest::Submit(submission));
         }
-        self.begin_settle(ticket, submission.spec.repeatable, Afterwards::TicketVoid { to }, now);
+        self.begin_fencing(ticket, submission.spec.repeatable, AfterFencing::TicketVoid { to }, now);
     }
 
-    /// Asks the peers whether a repeated request is theirs before it is taken as new.
-    fn look_around(&mut self, submission: Submission, to: Respondent, now: Moment) {
-        let ask = Ask::Poll { wait: Duration::ZERO };
+    /// Asks the peers whether they have a repeated request before it is admitted as new.
+    fn query_peers_first(&mut self, submission: Submission, to: Respondent, now: Moment) {
+        let action = Action::Poll { wait: Duration::ZERO };
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
-        let route = RouteOp::around(ask, name, to, Some(submission));
-        self.ask_peers(route, now);
+        let route = RouteOp::broadcast(action, name, to, Some(submission));
+        self.query_peers(route, now);
     }
 }
 
-/// A request that was not run may be sent again under its name.
-fn is_open_to_retry(stage: &Stage) -> bool {
+/// Returns whether a job in this stage was not run, so that its request may be submitted again under the same
+/// name.
+fn can_resubmit(stage: &Stage) -> bool {
     matches!(stage, Stage::Void | Stage::Ended(Outcome::NotRun { .. }))
 }
 
