--- a/crates/policy/src/cell_planner.rs
+++ b/crates/policy/src/cell_planner.rs
@@ -1,4 +1,5 @@
-//! The planner: cells for guarantees, borrowing for all else, dated places for large gangs.
+//! The planner in production use: cells for guarantees, borrowing of unused cells, shadow reservations for large
+//! gangs.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,14 +9,14 @@
     Decision, Planner, Queued, Snapshot,
     cells::Cells,
     estimate::{Estimates, Finished},
-    order::{Standing, key},
+    order::{OrderFactors, key},
     round::Round,
 };
 
-/// Waiting jobs that one round looks at, in order; the rest waits for a later round.
-const MAX_LOOKED_AT: usize = 4096;
+/// Number of waiting jobs that one round considers, in order; the rest waits for a later round.
+const MAX_JOBS_PER_ROUND: usize = 4096;
 
-/// Plans one availability zone.
+/// Planner for one availability zone.
 #[derive(Debug)]
 pub struct CellPlanner {
     zone: AvailabilityZoneId,
@@ -24,14 +25,14 @@
 }
 
 impl CellPlanner {
-    /// A planner that has learned nothing yet.
+    /// Returns a planner that has no estimates yet.
     pub fn new(zone: AvailabilityZoneId) -> CellPlanner {
         CellPlanner { zone, estimates: Estimates::default(), cells: None }
     }
 
     fn cells(&mut self, snapshot: &Snapshot) -> Arc<Cells> {
         match &self.cells {
-            Some(cells) if cells.fits(&snapshot.file, &snapshot.servers) => Arc::clone(cells),
+            Some(cells) if cells.is_valid_for(&snapshot.file, &snapshot.servers) => Arc::clone(cells),
             _ => {
                 let cells = Arc::new(Cells::place(&snapshot.file, &self.zone, &snapshot.servers));
                 self.cells = Some(Arc::clone(&cells));
@@ -61,11 +62,11 @@
 fn ordered<'a>(snapshot: &'a Snapshot, round: &Round<'_>) -> Vec<&'a Queued> {
     let shares: f64 = snapshot.file.customers.values().map(|c| f64::from(c.share)).sum();
     let used = f64::from(round.used_accelerators().max(1));
-    let standing = |queued: &Queued| {
+    let factors = |queued: &Queued| {
         let customer = snapshot.file.customers.get(&queued.customer);
         let share = customer.map_or(1.0, |c| f64::from(c.share)) / shares.max(1.0);
-        Standing {
-            claim: round.claim(queued),
+        OrderFactors {
+            precedence: round.precedence(queued),
             waited: queued.waited,
             likely: round.likely(queued),
             tasks: queued.gang.tasks,
@@ -73,9 +74,9 @@
         }
     };
     let weights = &snapshot.file.weights;
-    let mut order: Vec<_> = snapshot.queue.iter().map(|queued| (key(&standing(queued), weights), queued)).collect();
-    order.sort_by(|((claim, score), queued), ((other_claim, other_score), other)| {
-        claim.cmp(other_claim).then(score.total_cmp(other_score)).then_with(|| queued.job.cmp(&other.job))
+    let mut order: Vec<_> = snapshot.queue.iter().map(|queued| (key(&factors(queued), weights), queued)).collect();
+    order.sort_by(|((precedence, score), queued), ((other_precedence, other_score), other)| {
+        precedence.cmp(other_precedence).then(score.total_cmp(other_score)).then_with(|| queued.job.cmp(&other.job))
     });
-    order.into_iter().take(MAX_LOOKED_AT).map(|(_, queued)| queued).collect()
+    order.into_iter().take(MAX_JOBS_PER_ROUND).map(|(_, queued)| queued).collect()
 }
--- a/crates/policy/src/cells.rs
+++ b/crates/policy/src/cells.rs
@@ -1,7 +1,7 @@
-//! Guarantees as placeable shapes: every gang of every guarantee has a *cell*, a place of its own.
+//! Guarantees as placeable shapes: every gang of every guarantee has a *cell*, a placement assigned to it.
 //!
-//! That a guarantee names shapes rather than counts, and that its cells are fixed so that others
-//! can only borrow them, is after HiveD (Zhao et al., OSDI 2020).
+//! As in HiveD (Zhao et al., OSDI 2020), a guarantee names shapes rather than counts, and its cells are fixed, so
+//! that other customers can only borrow them.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -10,30 +10,30 @@
 
 use crate::{Room, Server, place::best_fit};
 
-/// Why the guarantees of a file cannot all be held at once.
+/// The first gang of a guarantee that can't be placed beside the other guarantees of a file.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display(
     "customers.{customer}.guarantees: gang {number} of {gangs}, {gang}, has no place in {availability_zone}: \
      {placed} of {total} accelerators are taken by guarantees before it, and no {} has room for it", gang.within
 )]
 pub struct GuaranteeError {
-    /// Whose.
+    /// Customer that the guarantee belongs to.
     pub customer: CustomerId,
-    /// Where.
+    /// Availability zone that the guarantee is for.
     pub availability_zone: AvailabilityZoneId,
-    /// The shape.
+    /// Shape of the gang without a placement.
     pub gang: Gang,
-    /// Which of the guarantee's gangs, from 1.
+    /// Number of the gang within the guarantee, from 1.
     pub number: u32,
-    /// How many the guarantee has.
+    /// Number of gangs of the guarantee.
     pub gangs: u32,
-    /// Accelerators of guarantees that were placed before it.
+    /// Accelerators taken by guarantees that were placed before it.
     pub placed: u32,
-    /// Accelerators of the availability zone.
+    /// Accelerators of all active backend servers in the availability zone.
     pub total: u32,
 }
 
-/// One guaranteed gang and its place.
+/// One guaranteed gang and its placement.
 #[derive(Debug, Clone)]
 pub(crate) struct Cell {
     pub(crate) customer: usize,
@@ -47,28 +47,28 @@
     file: Arc<OperatorFile>,
     open: Vec<bool>,
     pub(crate) cells: Vec<Cell>,
-    /// Guaranteed gangs without a place while backend servers are closed.
+    /// Number of guaranteed gangs without a placement, for instance while backend servers are closed.
     pub(crate) unplaced: usize,
-    /// By backend server: what each customer is assigned there.
+    /// Resources assigned to each customer, by backend server.
     pub(crate) assigned: Vec<Vec<(usize, Resources)>>,
 }
 
 impl Cells {
-    /// Whether these cells were made for the same file and the same open backend servers.
-    pub(crate) fn fits(&self, file: &Arc<OperatorFile>, servers: &[Server]) -> bool {
+    /// Whether these cells were computed for the same file and the same open backend servers.
+    pub(crate) fn is_valid_for(&self, file: &Arc<OperatorFile>, servers: &[Server]) -> bool {
         Arc::ptr_eq(&self.file, file) && self.open.iter().copied().eq(servers.iter().map(|s| s.open))
     }
 
-    /// Places all guarantees; large gangs first, since small ones fit into what they leave.
+    /// Places all guarantees of an availability zone. Large gangs come first, since small ones fit into the gaps.
     pub(crate) fn place(file: &Arc<OperatorFile>, zone: &AvailabilityZoneId, servers: &[Server]) -> Cells {
         let mut room = Room::empty(servers);
-        let mut wanted: Vec<(usize, Gang)> = Vec::new();
+        let mut guaranteed: Vec<(usize, Gang)> = Vec::new();
         for (n, customer) in file.customers.values().enumerate() {
             for guarantee in customer.guarantees.iter().filter(|g| g.availability_zone == *zone) {
-                wanted.extend((0..guarantee.gangs).map(|_| (n, guarantee.gang)));
+                guaranteed.extend((0..guarantee.gangs).map(|_| (n, guarantee.gang)));
             }
         }
-        wanted.sort_by_key(|(n, gang)| (std::cmp::Reverse(gang.total().accelerators), *n));
+        guaranteed.sort_by_key(|(n, gang)| (std::cmp::Reverse(gang.total().accelerators), *n));
         let mut it = Cells {
             file: Arc::clone(file),
             open: servers.iter().map(|s| s.open).collect(),
@@ -76,7 +76,7 @@
             unplaced: 0,
             assigned: vec![Vec::new(); servers.len()],
         };
-        for (customer, gang) in wanted {
+        for (customer, gang) in guaranteed {
             let free = |i: usize| room.fits(i, &gang.per_task);
             match best_fit(&room, &gang, &BTreeSet::new(), free) {
                 Some(members) => {
@@ -101,19 +101,21 @@
         }
     }
 
-    /// What a customer is assigned on a backend server.
+    /// Returns the resources assigned to a customer on a backend server.
     pub(crate) fn assigned_to(&self, i: usize, customer: usize) -> Resources {
         self.assigned[i].iter().find(|(c, _)| *c == customer).map_or(Resources::default(), |(_, share)| *share)
     }
 
-    /// Cells of a customer whose gang is no less than this one.
+    /// Returns the cells of a customer that hold at least this many tasks of at least this size.
     pub(crate) fn for_gang(&self, customer: usize, tasks: u32, per_task: Resources) -> impl Iterator<Item = &Cell> {
         let holds = move |cell: &&Cell| cell.gang.tasks >= tasks && cell.gang.per_task.contains(&per_task);
         self.cells.iter().filter(move |cell| cell.customer == customer).filter(holds)
     }
 }
 
-/// Checks that all guarantees of a file have places at once.
+/// Checks that all guarantees of a file can be placed at once, with every active backend server open and empty.
+///
+/// Returns the first gang that can't be placed as the error.
 pub fn check_guarantees(file: &OperatorFile) -> Result<(), GuaranteeError> {
     let file = Arc::new(file.clone());
     let zones: BTreeSet<&AvailabilityZoneId> =
--- a/crates/policy/src/easy.rs
+++ b/crates/policy/src/easy.rs
@@ -1,7 +1,7 @@
-//! The second baseline: EASY backfill (Lifka 1995) in order of arrival, with best fit.
+//! EASY backfill (Lifka 1995) in order of arrival with best fit, as a baseline for comparison.
 //!
-//! The first job that does not fit gets a date by the declared times of what runs; later jobs may
-//! start before it if they end by then, or leave its place alone.
+//! The first job that does not fit gets a shadow reservation, computed from the declared times of running gangs.
+//! Later jobs may start before it if they end by then or use none of the reserved backend servers.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 
 use crate::{Decision, Planner, Queued, Room, Snapshot, place::best_fit, shadow::Shadow};
 
-/// EASY backfill with best fit.
+/// Planner that uses EASY backfill with best fit.
 #[derive(Debug, Default)]
 pub struct Easy;
 
@@ -20,15 +20,15 @@
         queue.sort_by(|a, b| b.waited.cmp(&a.waited).then_with(|| a.job.cmp(&b.job)));
         let mut decisions = Vec::new();
         let mut shadow: Option<Shadow> = None;
-        let mut failed = BTreeSet::new();
+        let mut failed_kinds = BTreeSet::new();
         for queued in queue {
             if let Err(e) = room.check_ever_fits(&queued.gang) {
                 decisions.push(Decision::Refuse { job: queued.job.clone(), why: e.to_string() });
                 continue;
             }
-            // Alike jobs fare alike within a round; only their declared times may differ.
+            // Jobs of one kind have the same result within a round, so that the others need no try.
             let kind = (queued.gang.tasks, queued.gang.per_task.accelerators, queued.declared);
-            if failed.contains(&kind) {
+            if failed_kinds.contains(&kind) {
                 continue;
             }
             let free = |i: usize| match &shadow {
@@ -40,7 +40,7 @@
                 decisions.push(Decision::Start { job: queued.job.clone(), members });
                 continue;
             }
-            failed.insert(kind);
+            failed_kinds.insert(kind);
             if shadow.is_none() {
                 let left = |gang: &crate::Running| {
                     Duration::from_millis(gang.declared.millis().saturating_sub(gang.ran_for.millis()))
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,35 +1,35 @@
-//! Run times as they are likely to be, learned from what was declared and what came.
+//! Run time estimates, learned from declared and measured run times.
 //!
-//! Callers' declarations are often far off (brief), but off in the same way for the same customer
-//! and class. Two predictors compete: the declaration times a learned factor, and the usual run
-//! time of the class whatever is declared. The one that has erred less is used.
+//! Callers' declarations are often far off (platform brief), but in the same way for the same customer and class.
+//! There are two predictors: the declaration times a learned factor, and the usual run time of the class
+//! whatever is declared. An estimate uses the one with the smaller variance so far.
 
 use std::collections::BTreeMap;
 
 use model::{ClassId, CustomerId, Duration};
 
-/// Weight of the newest run in the running averages.
+/// Weight of the newest run in the running averages, 0 to 1.
 const NEWEST: f64 = 0.1;
-/// Runs before the averages are trusted.
+/// Number of runs before the averages are used.
 const WARM_UP: u32 = 5;
-/// Largest correction either way, as a power of e: declarations off by more than about twenty
-/// times are taken for mistakes.
+/// Largest correction in either direction, as a power of e: declarations wrong by more than a factor of about
+/// twenty are treated as mistakes.
 const MAX_LOG: f64 = 3.0;
 
-/// A run that ended well.
+/// A run that succeeded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finished {
-    /// On whose behalf.
+    /// Customer that submitted the job.
     pub customer: CustomerId,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassId,
-    /// As declared.
+    /// Run time declared by the caller.
     pub declared: Duration,
-    /// As it came.
+    /// Measured run time.
     pub ran_for: Duration,
 }
 
-/// What has been learned.
+/// Learned run times by customer and class.
 #[derive(Debug, Default)]
 pub struct Estimates {
     by_kind: BTreeMap<(CustomerId, ClassId), Learned>,
@@ -38,7 +38,9 @@
 #[derive(Debug, Default, Clone, Copy)]
 struct Learned {
     runs: u32,
+    /// Measured over declared run time.
     factor: Average,
+    /// Measured run time in milliseconds.
     usual: Average,
 }
 
@@ -58,19 +60,20 @@
 }
 
 impl Estimates {
-    /// Learns from a run that ended well.
+    /// Updates the estimates with a run that succeeded.
     pub fn learn(&mut self, it: &Finished) {
         let ran = (it.ran_for.millis().max(1) as f64).ln();
         let declared = (it.declared.millis().max(1) as f64).ln();
         let learned = self.by_kind.entry((it.customer.clone(), it.class.clone())).or_default();
         learned.runs += 1;
-        // The first runs weigh equally, so that the averages start from what is seen.
+        // The first runs have equal weights, so that the averages start from measured values.
         let weight = NEWEST.max(1.0 / f64::from(learned.runs));
         learned.factor.add((ran - declared).clamp(-MAX_LOG, MAX_LOG), weight);
         learned.usual.add(ran, weight);
     }
 
-    /// How long a job is likely to run in all.
+    /// Returns the estimated run time of a job from its start. This is the declared time until enough runs of the
+    /// customer and class have ended.
     pub fn likely(&self, customer: &CustomerId, class: &ClassId, declared: Duration) -> Duration {
         let Some(learned) = self.by_kind.get(&(customer.clone(), class.clone())) else { return declared };
         if learned.runs < WARM_UP {
--- a/crates/policy/src/first_fit.rs
+++ b/crates/policy/src/first_fit.rs
@@ -1,8 +1,8 @@
-//! The baseline: first come, first served, into the first place that fits.
+//! First-come, first-served placement with first fit, as a baseline for comparison.
 
 use crate::{Decision, Planner, Queued, Room, Snapshot};
 
-/// Strict order of arrival: a job that does not fit holds up all behind it.
+/// Planner that starts jobs strictly in order of arrival: a job that does not fit blocks all later ones.
 #[derive(Debug, Default)]
 pub struct FirstFit;
 
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -1,8 +1,8 @@
-//! Who uses what on each backend server, and what may be pinned there.
+//! Use of each backend server by customer, and how much work may be pinned there.
 //!
-//! The invariant by which every guarantee can be reclaimed: on each backend server, what customers
-//! are assigned, plus what work that may not be stopped takes beyond its customer's own share,
-//! never exceeds what the worker has. All other work can be stopped.
+//! Pinned work can't be preempted. One invariant makes every guarantee reclaimable: on each backend server,
+//! the resources assigned to customers, plus the resources of pinned work beyond its customer's own share,
+//! never exceed those of the worker. All other work can be stopped.
 
 use std::collections::BTreeMap;
 
@@ -10,26 +10,27 @@
 
 use crate::{Room, Running, cells::Cells};
 
-/// Use by customer on one backend server.
+/// One customer's use of one backend server.
 #[derive(Debug, Clone, Copy, Default)]
 struct Use {
     all: Resources,
+    /// The part of `all` whose work can't be preempted.
     pinned: Resources,
 }
 
 /// Use by backend server and customer.
 #[derive(Debug, Clone)]
 pub(crate) struct Ledger {
-    by_place: Vec<BTreeMap<usize, Use>>,
+    by_server: Vec<BTreeMap<usize, Use>>,
     totals: BTreeMap<usize, Resources>,
 }
 
 impl Ledger {
-    /// The use of running gangs.
+    /// Records the use of running gangs.
     pub(crate) fn of(room: &Room, running: &[Running], number: impl Fn(&CustomerId) -> Option<usize>) -> Ledger {
-        let mut it = Ledger { by_place: vec![BTreeMap::new(); room.len()], totals: BTreeMap::new() };
+        let mut it = Ledger { by_server: vec![BTreeMap::new(); room.len()], totals: BTreeMap::new() };
         for gang in running {
-            // A customer that has left the file keeps its place by a number that nobody has.
+            // Use by customers that are no longer in the file is recorded under an index that no customer has.
             let customer = number(&gang.customer).unwrap_or(usize::MAX);
             it.add(room, customer, &gang.members, &gang.per_task, gang.preemptible());
         }
@@ -48,7 +49,7 @@
         for member in members {
             let Some(i) = room.position(&member.server) else { continue };
             let taken = per_task.times(member.tasks);
-            let entry = self.by_place[i].entry(customer).or_default();
+            let entry = self.by_server[i].entry(customer).or_default();
             entry.all += taken;
             if !preemptible {
                 entry.pinned += taken;
@@ -57,35 +58,35 @@
         }
     }
 
-    /// All that a customer uses.
+    /// Returns what a customer uses in the whole availability zone.
     pub(crate) fn total(&self, customer: usize) -> Resources {
         self.totals.get(&customer).copied().unwrap_or_default()
     }
 
-    /// What a customer uses on a backend server.
+    /// Returns what a customer uses on a backend server.
     pub(crate) fn used(&self, i: usize, customer: usize) -> Resources {
-        self.by_place[i].get(&customer).map_or(Resources::default(), |it| it.all)
+        self.by_server[i].get(&customer).map_or(Resources::default(), |it| it.all)
     }
 
-    /// How much more work that may not be stopped a customer may place on a backend server.
+    /// Returns how much more work that can't be preempted a customer may place on a backend server.
     pub(crate) fn may_pin(&self, room: &Room, cells: &Cells, i: usize, customer: usize) -> Resources {
-        let mut spoken_for = Resources::default();
+        let mut committed = Resources::default();
         for (other, assigned) in &cells.assigned[i] {
             if *other != customer {
-                let pinned = self.by_place[i].get(other).map_or(Resources::default(), |it| it.pinned);
-                spoken_for += larger(assigned, &pinned);
+                let pinned = self.by_server[i].get(other).map_or(Resources::default(), |it| it.pinned);
+                committed += larger(assigned, &pinned);
             }
         }
-        for (other, it) in &self.by_place[i] {
+        for (other, it) in &self.by_server[i] {
             let has_cell = cells.assigned[i].iter().any(|(c, _)| c == other);
             if *other != customer && !has_cell {
-                spoken_for += it.pinned;
+                committed += it.pinned;
             }
         }
-        if let Some(own) = self.by_place[i].get(&customer) {
-            spoken_for += own.pinned;
+        if let Some(own) = self.by_server[i].get(&customer) {
+            committed += own.pinned;
         }
-        room.capacity(i).saturating_sub(&spoken_for)
+        room.capacity(i).saturating_sub(&committed)
     }
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,8 +1,8 @@
 //! Where and when jobs run: pure decisions over a snapshot of one availability zone.
 //!
-//! No I/O, no clock, no randomness: the same [`Snapshot`] always gives the same [`Decision`]s.
-//! A planner's decisions are proposals; backend servers accept or refuse each reservation
-//! themselves, so that two planners at once waste work and break nothing.
+//! Planning does no I/O, reads no clock and draws no random numbers: equal [`Snapshot`]s give equal
+//! [`Decision`]s. Decisions are proposals, since each backend server accepts or refuses a reservation
+//! itself. Two planners that are active at once therefore waste work but break no invariant.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/policy/src/place.rs
+++ b/crates/policy/src/place.rs
@@ -1,4 +1,4 @@
-//! Best fit: the fullest extent that still holds a gang, and in it the fullest workers first.
+//! Best-fit placement: the fullest extent that still holds a gang, and in it the fullest workers first.
 
 use std::collections::BTreeSet;
 
@@ -6,15 +6,16 @@
 
 use crate::Room;
 
-/// Places a gang where it leaves the least behind. `free` says how many of its tasks a place takes.
+/// Places a gang where the least resources stay free, or returns `None` if it does not fit. `free` returns how
+/// many of its tasks can be placed on the backend server with the given index.
 pub(crate) fn best_fit(
     room: &Room,
     gang: &Gang,
     avoid: &BTreeSet<BackendServerId>,
     free: impl Fn(usize) -> u32,
 ) -> Option<Vec<Member>> {
-    let heed = room.can_avoid(gang, avoid);
-    let fits = |i: usize| if heed && avoid.contains(room.id(i)) { 0 } else { free(i) };
+    let can_avoid = room.can_avoid(gang, avoid);
+    let fits = |i: usize| if can_avoid && avoid.contains(room.id(i)) { 0 } else { free(i) };
     match gang.within {
         Within::Worker => best_worker(room, gang, fits),
         Within::Rack if gang.tasks == 1 => best_worker(room, gang, fits),
@@ -24,7 +25,7 @@
     }
 }
 
-/// What is free at a place in the size that counts for this gang.
+/// Returns what is free on a backend server, in accelerators if the gang needs them and in cores otherwise.
 fn amount(room: &Room, gang: &Gang, i: usize) -> u32 {
     let free = room.free(i);
     if gang.per_task.accelerators > 0 { free.accelerators } else { free.cores }
@@ -59,8 +60,8 @@
     fill(room, gang, order.collect(), fits)
 }
 
-fn fullest_first(room: &Room, gang: &Gang, places: &[usize]) -> Vec<usize> {
-    let mut order = places.to_vec();
+fn fullest_first(room: &Room, gang: &Gang, servers: &[usize]) -> Vec<usize> {
+    let mut order = servers.to_vec();
     order.sort_by_key(|i| (amount(room, gang, *i), *i));
     order
 }
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -1,33 +1,36 @@
-//! Choosing which gangs to stop so that another fits: the cheapest set that frees its shape.
+//! Selects preemption victims: the cheapest set of running gangs whose stop lets another gang fit.
 
 use model::{Gang, Member, Resources, Within};
 
 use crate::{Room, Running, place::best_fit};
 
-/// Seconds of work that stopping costs per accelerator, even with a checkpoint.
-const RESTART_COST: f64 = 30.0;
+/// Seconds of work lost per accelerator by stopping a gang, even with a checkpoint.
+const RESTART_COST_SECS: f64 = 30.0;
 
-/// What stopping a gang loses, in accelerator-seconds.
+/// Returns the work lost by stopping a gang, in accelerator-seconds. A gang without checkpoints also
+/// repeats all that it has run so far.
 pub(crate) fn cost(gang: &Running) -> f64 {
     let accelerators = f64::from(gang.members.iter().map(|m| m.tasks).sum::<u32>() * weight(&gang.per_task));
     let redone = if gang.checkpointable { 0.0 } else { gang.ran_for.secs_f64() };
-    accelerators * (RESTART_COST + redone)
+    accelerators * (RESTART_COST_SECS + redone)
 }
 
 fn weight(per_task: &Resources) -> u32 {
     per_task.accelerators.max(1)
 }
 
-/// A set of gangs to stop, and the place that this opens.
+/// A set of gangs to stop, and the placement that this makes possible.
 pub(crate) struct Reclaim {
-    /// Indices into the list of candidates that was given.
+    /// Indices into the list of candidates.
     pub(crate) victims: Vec<usize>,
     pub(crate) members: Vec<Member>,
     cost: f64,
 }
 
-/// The cheapest set of candidates whose end lets a gang fit. `usable` says which backend servers
-/// count; `room` has free what is free now or soon anyway.
+/// Returns the cheapest set of candidates whose end lets a gang fit, or `None` if no set does.
+///
+/// Only backend servers for which `usable` returns true count. `room` holds the resources that are free
+/// now or will be once gangs that are already stopping have ended.
 pub(crate) fn cheapest(
     room: &Room,
     candidates: &[&Running],
@@ -59,7 +62,7 @@
     usable: &dyn Fn(usize) -> bool,
 ) -> Option<Reclaim> {
     let inside = |i: usize| usable(i) && extent.contains(&i);
-    // What a candidate frees in this extent, per cost.
+    // Accelerators (or tasks without them) that a candidate frees in this extent.
     let gain = |it: &Running| -> u32 {
         let here = it.members.iter().filter(|m| room.position(&m.server).is_some_and(inside));
         here.map(|m| m.tasks * weight(&it.per_task)).sum()
@@ -82,15 +85,20 @@
         later.give(&candidates[n].members, &candidates[n].per_task);
         victims.push(n);
     }
-    spare(&mut victims, &mut later, candidates, |later| count(later) >= gang.tasks);
+    drop_unneeded_victims(&mut victims, &mut later, candidates, |later| count(later) >= gang.tasks);
     let free = |i: usize| if inside(i) { later.fits(i, &gang.per_task) } else { 0 };
     let members = best_fit(&later, gang, &Default::default(), free)?;
     let cost = victims.iter().map(|n| cost(candidates[*n])).sum();
     Some(Reclaim { victims, members, cost })
 }
 
-/// Lets go of victims that turned out not to be needed, the dearest first.
-fn spare(victims: &mut Vec<usize>, later: &mut Room, candidates: &[&Running], enough: impl Fn(&Room) -> bool) {
+/// Removes victims that are not needed, the most expensive first.
+fn drop_unneeded_victims(
+    victims: &mut Vec<usize>,
+    later: &mut Room,
+    candidates: &[&Running],
+    enough: impl Fn(&Room) -> bool,
+) {
     let mut order = victims.clone();
     order.sort_by(|a, b| cost(candidates[*b]).total_cmp(&cost(candidates[*a])));
     for n in order {
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/room.rs
@@ -1,4 +1,4 @@
-//! Free resources by backend server and rack, and placing gangs into them.
+//! Free resources by backend server and rack, and whether gangs fit into them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,19 +7,22 @@
 
 use crate::{Running, Server};
 
-/// Why a gang can never run in an availability zone.
+/// A gang is larger than its extent anywhere in the availability zone, so that it can never run there.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{gang} is asked for; one {within} here holds at most {most} such tasks")]
 pub struct NeverFits {
-    /// What was asked for.
+    /// The requested gang.
     pub gang: Gang,
-    /// The extent that was looked at.
+    /// The extent that has to hold the whole gang.
     pub within: Within,
-    /// The most tasks that fit into the best one.
+    /// Number of its tasks that fit into the largest such extent.
     pub most: u32,
 }
 
-/// Free resources of one availability zone, indexed by the order of its backend servers.
+/// Free resources of one availability zone. Backend servers are identified by their index in the list that it was
+/// made from.
+///
+/// Methods that take an index `i` panic if it is not below [`Room::len`].
 #[derive(Debug, Clone)]
 pub struct Room {
     ids: Vec<BackendServerId>,
@@ -32,7 +35,7 @@
 }
 
 impl Room {
-    /// Everything free.
+    /// Returns the resources of backend servers on which nothing runs.
     pub fn empty(servers: &[Server]) -> Room {
         let mut rack_index: BTreeMap<&RackId, usize> = BTreeMap::new();
         for server in servers {
@@ -55,7 +58,7 @@
         }
     }
 
-    /// What running gangs leave.
+    /// Returns the resources that running gangs do not use.
     pub fn beside(servers: &[Server], running: &[Running]) -> Room {
         let mut room = Room::empty(servers);
         for gang in running {
@@ -64,7 +67,7 @@
         room
     }
 
-    /// Number of backend servers.
+    /// Returns the number of backend servers, open or not.
     pub fn len(&self) -> usize {
         self.ids.len()
     }
@@ -74,42 +77,42 @@
         self.ids.is_empty()
     }
 
-    /// The place of a backend server in this room's order.
+    /// Returns the index of a backend server, or `None` if it is not in the list.
     pub fn position(&self, server: &BackendServerId) -> Option<usize> {
         self.index.get(server).copied()
     }
 
-    /// The id at a place.
+    /// Returns the id of the backend server at index `i`.
     pub fn id(&self, i: usize) -> &BackendServerId {
         &self.ids[i]
     }
 
-    /// What is free at a place.
+    /// Returns what is free on a backend server, open or not.
     pub fn free(&self, i: usize) -> Resources {
         self.free[i]
     }
 
-    /// What the worker at a place has.
+    /// Returns the total resources of a backend server's worker.
     pub fn capacity(&self, i: usize) -> Resources {
         self.capacity[i]
     }
 
-    /// Whether the backend server at a place may be given new work.
+    /// Whether a backend server may be given new work.
     pub fn is_open(&self, i: usize) -> bool {
         self.open[i]
     }
 
-    /// The rack of a place.
+    /// Returns the index of a backend server's rack in [`Room::racks`].
     pub fn rack(&self, i: usize) -> usize {
         self.rack_of[i]
     }
 
-    /// Places by rack.
+    /// Returns the indices of the backend servers of each rack.
     pub fn racks(&self) -> &[Vec<usize>] {
         &self.racks
     }
 
-    /// Takes a gang's resources.
+    /// Subtracts a gang's resources. Members on unknown backend servers are ignored, and nothing falls below zero.
     pub fn take(&mut self, members: &[Member], per_task: &Resources) {
         for member in members {
             if let Some(i) = self.position(&member.server) {
@@ -118,7 +121,7 @@
         }
     }
 
-    /// Gives a gang's resources back.
+    /// Adds a gang's resources back. Members on unknown backend servers are ignored.
     pub fn give(&mut self, members: &[Member], per_task: &Resources) {
         for member in members {
             if let Some(i) = self.position(&member.server) {
@@ -127,12 +130,13 @@
         }
     }
 
-    /// How many tasks fit at a place now.
+    /// Returns how many tasks fit on a backend server now; 0 if it is not open.
     pub fn fits(&self, i: usize, per_task: &Resources) -> u32 {
         if self.open[i] { self.free[i].count_of(per_task) } else { 0 }
     }
 
-    /// Fills places in the given order until the gang is whole.
+    /// Places tasks on backend servers in the given order until the whole gang is placed. Returns the members by id,
+    /// or `None` if the gang does not fit.
     pub fn fill(&self, order: impl Iterator<Item = usize>, gang: &Gang) -> Option<Vec<Member>> {
         let mut left = gang.tasks;
         let mut members = Vec::new();
@@ -150,13 +154,13 @@
         None
     }
 
-    /// Whether a gang could ever be placed without the backend servers that it is to avoid. If it
-    /// could not, they are not avoided: a job must not wait for ever for having failed somewhere.
+    /// Whether a gang could be placed on an empty availability zone without the backend servers in `avoid`. If it could
+    /// not, they are not avoided: a job must not wait for ever because it has failed somewhere.
     pub fn can_avoid(&self, gang: &Gang, avoid: &BTreeSet<BackendServerId>) -> bool {
         avoid.is_empty() || self.most(gang, |i| self.open[i] && !avoid.contains(&self.ids[i])) >= gang.tasks
     }
 
-    /// The first placement in the order of ids.
+    /// Returns the first placement in the order of indices, or `None` if the gang does not fit.
     pub fn first_fit(&self, gang: &Gang, avoid: &BTreeSet<BackendServerId>) -> Option<Vec<Member>> {
         let heed = self.can_avoid(gang, avoid);
         let allowed = |i: &usize| !heed || !avoid.contains(&self.ids[*i]);
@@ -167,7 +171,7 @@
         }
     }
 
-    /// Checks that a gang would fit if everything were free and open.
+    /// Checks that a gang would fit if all resources were free and all backend servers open.
     pub fn check_ever_fits(&self, gang: &Gang) -> Result<(), NeverFits> {
         let most = self.most(gang, |_| true);
         if most >= gang.tasks {
@@ -176,7 +180,7 @@
         Err(NeverFits { gang: *gang, within: gang.within, most })
     }
 
-    /// The most tasks of a gang's kind that its extent holds when everything that is allowed is free.
+    /// Returns the largest number of the gang's tasks that one extent holds when all allowed backend servers are empty.
     fn most(&self, gang: &Gang, allowed: impl Fn(usize) -> bool) -> u32 {
         let count = |i: usize| if allowed(i) { self.capacity[i].count_of(&gang.per_task) } else { 0 };
         let add = |places: &[usize]| places.iter().fold(0u32, |sum, i| sum.saturating_add(count(*i)));
--- a/crates/policy/src/round.rs
+++ b/crates/policy/src/round.rs
@@ -1,4 +1,7 @@
-//! One round of planning.
+//! One planning round: it decides on the waiting jobs one after another and updates free resources as it goes.
+//!
+//! A job starts where it fits. Otherwise it waits for gangs that are already stopping, or has others stopped if
+//! a guarantee, urgency or a long wait entitles it to that.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
@@ -14,52 +17,53 @@
     shadow::Shadow,
 };
 
-/// A gang that takes at least this part of the largest rack is large: it gets a dated place.
-const LARGE_PART: f64 = 0.25;
-/// Dated places held at once.
+/// A gang is large if it takes at least this fraction of the largest rack. A large gang gets a shadow reservation.
+const LARGE_RACK_FRACTION: f64 = 0.25;
+/// Shadow reservations that may exist at once.
 const MAX_SHADOWS: usize = 1;
-/// A large gang bears being passed over for this part of its likely run time ...
-const PATIENCE: f64 = 0.1;
-/// ... and at least so long, so that it does not stop others for a gap that opens by itself.
-const PATIENCE_MIN: Duration = Duration::from_secs(30);
-/// ... and at most so long.
-const PATIENCE_MAX: Duration = Duration::from_secs(300);
-
-/// How strong a job's claim to a place is, the strongest first.
+/// A large gang is overdue after it has waited for this fraction of its estimated run time, within the bounds below.
+const OVERDUE_FRACTION: f64 = 0.1;
+/// Shortest wait before a large gang is overdue, so that it does not stop others for a gap that opens by itself.
+const OVERDUE_WAIT_MIN: Duration = Duration::from_secs(30);
+/// Longest wait before a large gang is overdue.
+const OVERDUE_WAIT_MAX: Duration = Duration::from_secs(300);
+
+/// Precedence of a job over others, the highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Claim {
-    /// It fits a guaranteed shape that its customer does not use.
+pub(crate) enum Precedence {
+    /// The job fits a guaranteed shape that its customer does not use.
     Guaranteed,
-    /// Its class is urgent.
+    /// The job's class is urgent.
     Urgent,
-    /// It is large and has been passed over for long enough.
+    /// The job is large and has waited for long enough.
     Overdue,
-    /// None beyond its turn.
+    /// The job only has its position in the queue.
     None,
 }
 
-/// A gang that began less than this ago is not stopped for an overdue one.
-const MIN_RUN: Duration = Duration::from_secs(60);
+/// A gang that started less than this ago is not stopped for an overdue one.
+const MIN_RUN_BEFORE_STOP: Duration = Duration::from_secs(60);
 
-/// What jobs that fare alike within a round have in common.
+/// Properties that decide whether a job can be placed: within a round, once one job of a kind has failed to be
+/// placed, the others of its kind are skipped.
 type Kind = (CustomerId, u32, Resources, model::Within, bool, bool);
 
-/// The state of a round.
+/// The state of a planning round.
 pub(crate) struct Round<'a> {
     snapshot: &'a Snapshot,
     cells: &'a Cells,
     estimates: &'a Estimates,
     numbers: &'a BTreeMap<&'a CustomerId, usize>,
-    /// What is free now.
+    /// Resources that are free now.
     room: Room,
-    /// What is free now or once gangs that are stopping have ended.
-    soon: Room,
+    /// Resources that are free now or once gangs that are stopping have ended.
+    free_soon: Room,
     ledger: Ledger,
     stopped: Vec<bool>,
-    /// Accelerators, or cores if there are none, from which on a gang is large.
-    large: f64,
+    /// Size from which on a gang is large, in accelerators, or in cores if it needs none.
+    large_size: f64,
     shadows: Vec<Shadow>,
-    failed: HashSet<Kind>,
+    failed_kinds: HashSet<Kind>,
     pub(crate) decisions: Vec<Decision>,
 }
 
@@ -71,14 +75,14 @@
         numbers: &'a BTreeMap<&'a CustomerId, usize>,
     ) -> Round<'a> {
         let room = Room::beside(&snapshot.servers, &snapshot.running);
-        let mut soon = room.clone();
+        let mut free_soon = room.clone();
         for gang in snapshot.running.iter().filter(|gang| gang.stopping) {
-            soon.give(&gang.members, &gang.per_task);
+            free_soon.give(&gang.members, &gang.per_task);
         }
         let ledger = Ledger::of(&room, &snapshot.running, |customer| numbers.get(customer).copied());
         let rack_size = |rack: &Vec<usize>| rack.iter().map(|i| size(&room.capacity(*i))).sum::<u32>();
         let largest = room.racks().iter().map(rack_size).max().unwrap_or(0);
-        let large = f64::from(largest) * LARGE_PART;
+        let large_size = f64::from(largest) * LARGE_RACK_FRACTION;
         let stopped = snapshot.running.iter().map(|gang| gang.stopping).collect();
         Round {
             snapshot,
@@ -86,12 +90,12 @@
             estimates,
             numbers,
             room,
-            soon,
+            free_soon,
             ledger,
             stopped,
-            large,
+            large_size,
             shadows: Vec::new(),
-            failed: HashSet::new(),
+            failed_kinds: HashSet::new(),
             decisions: Vec::new(),
         }
     }
@@ -116,7 +120,7 @@
         self.numbers.get(customer).copied()
     }
 
-    /// Decides on one waiting job.
+    /// Decides on one waiting job and records the decision, if there is one.
     pub(crate) fn consider(&mut self, queued: &Queued) {
         let Some(customer) = self.number(&queued.customer) else { return };
         if let Err(e) = self.room.check_ever_fits(&queued.gang) {
@@ -128,34 +132,35 @@
         }
         let overdue = self.is_overdue(queued);
         let kind = kind(queued, overdue);
-        if self.failed.contains(&kind) {
+        if self.failed_kinds.contains(&kind) {
             return;
         }
         if let Some(members) = self.place(customer, queued) {
             return self.start(customer, queued, members);
         }
-        // A place that opens once others have stopped is kept for this job.
-        if let Some(members) = self.place_soon(queued) {
-            return self.hold(queued, &members);
+        // Keeps resources that become free once others have stopped for this job.
+        if let Some(members) = self.place_when_stopped(queued) {
+            return self.reserve(queued, &members);
         }
         if let Some((reclaim, among)) = self.reclaim(customer, queued, overdue) {
             return self.stop_for(queued, &reclaim, &among);
         }
-        self.failed.insert(kind);
+        self.failed_kinds.insert(kind);
         if self.is_large(queued) && self.shadows.len() < MAX_SHADOWS {
-            self.date(queued);
+            self.add_shadow(queued);
         }
     }
 
-    /// How strong a job's claim is: the weaker may not take what was freed for the stronger.
-    pub(crate) fn claim(&self, queued: &Queued) -> Claim {
+    /// Returns the precedence of a job. Jobs of lower precedence are considered later, so that they can't take what was
+    /// freed for one of higher precedence.
+    pub(crate) fn precedence(&self, queued: &Queued) -> Precedence {
         if self.has_unused_cell(queued) {
-            return Claim::Guaranteed;
+            return Precedence::Guaranteed;
         }
         if self.is_urgent(queued) {
-            return Claim::Urgent;
+            return Precedence::Urgent;
         }
-        if self.is_overdue(queued) { Claim::Overdue } else { Claim::None }
+        if self.is_overdue(queued) { Precedence::Overdue } else { Precedence::None }
     }
 
     fn within_quota(&self, customer: usize, queued: &Queued) -> bool {
@@ -168,19 +173,19 @@
     }
 
     fn is_large(&self, queued: &Queued) -> bool {
-        f64::from(size(&queued.gang.total())) >= self.large
+        f64::from(size(&queued.gang.total())) >= self.large_size
     }
 
-    /// Whether a large gang has been passed over for long enough to stop those that overtook it.
+    /// Whether a large gang has waited for long enough to stop gangs that overtook it.
     fn is_overdue(&self, queued: &Queued) -> bool {
-        let patience = self.likely(queued).scaled(PATIENCE).clamp(PATIENCE_MIN, PATIENCE_MAX);
-        self.is_large(queued) && queued.waited >= patience
+        let overdue_wait = self.likely(queued).scaled(OVERDUE_FRACTION).clamp(OVERDUE_WAIT_MIN, OVERDUE_WAIT_MAX);
+        self.is_large(queued) && queued.waited >= overdue_wait
     }
 
-    /// How many of a job's tasks a backend server takes now.
-    fn takes(&self, customer: usize, queued: &Queued, likely: Duration, i: usize) -> u32 {
+    /// Returns how many of a job's tasks can be placed on a backend server now.
+    fn tasks_accepted(&self, customer: usize, queued: &Queued, likely: Duration, i: usize) -> u32 {
         let fits = self.room.fits(i, &queued.gang.per_task);
-        if fits == 0 || self.is_kept_for_another(queued, likely, i) {
+        if fits == 0 || self.is_reserved_for_another(queued, likely, i) {
             return 0;
         }
         if queued.preemptible() {
@@ -189,9 +194,9 @@
         fits.min(self.ledger.may_pin(&self.room, self.cells, i, customer).count_of(&queued.gang.per_task))
     }
 
-    /// Whether a dated place takes in a backend server, and the job would not be gone by then.
-    fn is_kept_for_another(&self, queued: &Queued, likely: Duration, i: usize) -> bool {
-        // What can be checkpointed may borrow the place until it is due.
+    /// Whether a shadow reservation covers a backend server and the job would probably still run when it is due.
+    fn is_reserved_for_another(&self, queued: &Queued, likely: Duration, i: usize) -> bool {
+        // A checkpointable job may use the reserved resources until the reservation is due.
         if self.is_urgent(queued) || queued.checkpointable {
             return false;
         }
@@ -200,30 +205,30 @@
 
     fn place(&self, customer: usize, queued: &Queued) -> Option<Vec<Member>> {
         let likely = self.likely(queued);
-        best_fit(&self.room, &queued.gang, &queued.avoid, |i| self.takes(customer, queued, likely, i))
+        best_fit(&self.room, &queued.gang, &queued.avoid, |i| self.tasks_accepted(customer, queued, likely, i))
     }
 
-    fn place_soon(&self, queued: &Queued) -> Option<Vec<Member>> {
+    fn place_when_stopped(&self, queued: &Queued) -> Option<Vec<Member>> {
         if !queued.preemptible() {
             return None;
         }
-        best_fit(&self.soon, &queued.gang, &queued.avoid, |i| self.soon.fits(i, &queued.gang.per_task))
+        best_fit(&self.free_soon, &queued.gang, &queued.avoid, |i| self.free_soon.fits(i, &queued.gang.per_task))
     }
 
     fn start(&mut self, customer: usize, queued: &Queued, members: Vec<Member>) {
         let per_task = queued.gang.per_task;
         self.room.take(&members, &per_task);
-        self.soon.take(&members, &per_task);
+        self.free_soon.take(&members, &per_task);
         self.ledger.add(&self.room, customer, &members, &per_task, queued.preemptible());
         self.decisions.push(Decision::Start { job: queued.job.clone(), members });
     }
 
-    fn hold(&mut self, queued: &Queued, members: &[Member]) {
+    fn reserve(&mut self, queued: &Queued, members: &[Member]) {
         self.room.take(members, &queued.gang.per_task);
-        self.soon.take(members, &queued.gang.per_task);
+        self.free_soon.take(members, &queued.gang.per_task);
     }
 
-    /// Whom to stop for a job that has a right to it: the cheapest of what its rights allow.
+    /// Selects the gangs to stop for a job: the cheapest set that its guarantee, urgency or waiting time allows.
     fn reclaim(&self, customer: usize, queued: &Queued, overdue: bool) -> Option<(Reclaim, Vec<usize>)> {
         if let Some(found) = self.reclaim_cell(customer, queued) {
             return Some(found);
@@ -232,17 +237,17 @@
             return self.reclaim_from(queued, |it| !self.is_urgent_gang(it));
         }
         if overdue {
-            // Those that came after this job have overtaken it. That goes by age alone, so that no
-            // two jobs can ever stop each other.
+            // Gangs that were accepted after this job have overtaken it. Only age counts here, so that
+            // no two jobs can stop each other.
             return self.reclaim_from(queued, |it| {
-                let overtook = it.age < queued.waited && it.ran_for >= MIN_RUN;
+                let overtook = it.age < queued.waited && it.ran_for >= MIN_RUN_BEFORE_STOP;
                 overtook && it.checkpointable && !self.is_urgent_gang(it)
             });
         }
         None
     }
 
-    /// Places of cells that a gang may take back: its customer does not use them yet.
+    /// Returns the backend servers of each cell that a gang of the customer fits and the customer does not use.
     fn unused_cells<'b>(
         &'b self,
         customer: usize,
@@ -266,20 +271,20 @@
         self.unused_cells(customer, queued.gang.tasks, queued.gang.per_task).next().is_some()
     }
 
-    /// Whether a gang, once stopped, would have a right to a cell and so outrank whoever stopped it.
-    fn would_claim_a_cell(&self, it: &Running) -> bool {
+    /// Whether a gang would be entitled to a cell once stopped, and so take precedence over the job that stopped it.
+    fn would_be_entitled_to_cell(&self, it: &Running) -> bool {
         let Some(customer) = self.number(&it.customer) else { return false };
         let tasks = it.members.iter().map(|m| m.tasks).sum();
         self.unused_cells(customer, tasks, it.per_task).next().is_some()
     }
 
-    /// A guaranteed shape is taken back from whoever borrows it.
+    /// Selects the gangs of other customers to stop so that a guaranteed shape becomes free for its owner.
     fn reclaim_cell(&self, customer: usize, queued: &Queued) -> Option<(Reclaim, Vec<usize>)> {
         for inside in self.unused_cells(customer, queued.gang.tasks, queued.gang.per_task) {
             let among = self.stoppable(|it| it.customer != queued.customer && !self.is_on_own_cell(it));
             let candidates: Vec<&Running> = among.iter().map(|n| &self.snapshot.running[*n]).collect();
             let usable = |i: usize| inside.contains(&i);
-            if let Some(found) = reclaim::cheapest(&self.soon, &candidates, &queued.gang, &usable) {
+            if let Some(found) = reclaim::cheapest(&self.free_soon, &candidates, &queued.gang, &usable) {
                 return Some((found, among));
             }
         }
@@ -290,9 +295,9 @@
         if !queued.preemptible() {
             return None;
         }
-        let among = self.stoppable(|it| allowed(it) && !self.is_on_own_cell(it) && !self.would_claim_a_cell(it));
+        let among = self.stoppable(|it| allowed(it) && !self.is_on_own_cell(it) && !self.would_be_entitled_to_cell(it));
         let candidates: Vec<&Running> = among.iter().map(|n| &self.snapshot.running[*n]).collect();
-        let found = reclaim::cheapest(&self.soon, &candidates, &queued.gang, &|i| self.room.is_open(i))?;
+        let found = reclaim::cheapest(&self.free_soon, &candidates, &queued.gang, &|i| self.room.is_open(i))?;
         Some((found, among))
     }
 
@@ -305,7 +310,7 @@
         self.snapshot.file.classes.get(&it.class).is_some_and(|class| class.urgent)
     }
 
-    /// Whether a gang runs within what its customer is assigned, so that it borrows from nobody.
+    /// Whether a gang runs within its customer's own cells, so that it borrows from no other customer.
     fn is_on_own_cell(&self, it: &Running) -> bool {
         let Some(customer) = self.number(&it.customer) else { return false };
         it.members.iter().filter_map(|m| self.room.position(&m.server)).all(|i| {
@@ -319,14 +324,14 @@
             let n = among[*victim];
             let gang = &self.snapshot.running[n];
             self.stopped[n] = true;
-            self.soon.give(&gang.members, &gang.per_task);
+            self.free_soon.give(&gang.members, &gang.per_task);
             self.decisions.push(Decision::Preempt { job: gang.job.clone(), for_job: queued.job.clone() });
         }
-        self.hold(queued, &found.members);
+        self.reserve(queued, &found.members);
     }
 
-    /// Keeps the place that opens first for a large gang.
-    fn date(&mut self, queued: &Queued) {
+    /// Reserves the placement that becomes possible first for a large gang.
+    fn add_shadow(&mut self, queued: &Queued) {
         let left = |gang: &Running| {
             let likely = self.estimates.likely(&gang.customer, &gang.class, gang.declared);
             Duration::from_millis(likely.millis().saturating_sub(gang.ran_for.millis()))
@@ -343,12 +348,12 @@
     (customer, gang.tasks, gang.per_task, gang.within, queued.preemptible(), overdue)
 }
 
-/// The size that counts: accelerators, or cores where there are none.
+/// Returns the size that planning compares: accelerators, or cores where there are none.
 fn size(it: &Resources) -> u32 {
     if it.accelerators > 0 { it.accelerators } else { it.cores }
 }
 
-/// The first of a cell's members that together take so many tasks.
+/// Returns the leading members of a cell, reduced to the given number of tasks.
 fn shrink(members: &[Member], tasks: u32) -> Vec<Member> {
     let mut left = tasks;
     let mut taken = Vec::new();
--- a/crates/policy/src/shadow.rs
+++ b/crates/policy/src/shadow.rs
@@ -1,19 +1,20 @@
-//! A dated reservation: where and when a gang that does not fit now will.
+//! Shadow reservations, as in EASY backfill: where and when a gang that does not fit now will probably fit.
 
 use model::{Duration, Gang};
 
 use crate::{Room, Running, place::best_fit};
 
-/// The place and the date of a waiting gang.
+/// The reserved backend servers and the start time of a waiting gang.
 #[derive(Debug, Clone)]
 pub(crate) struct Shadow {
-    places: Vec<bool>,
-    /// From now on until it can start.
+    reserved: Vec<bool>,
+    /// Time from now until the gang can start.
     pub(crate) after: Duration,
 }
 
 impl Shadow {
-    /// Lets running gangs end one by one, by how long each has left, until the gang fits.
+    /// Simulates the end of running gangs, ordered by the time that `left` returns for each, until the gang fits.
+    /// Returns `None` if it does not fit after all have ended.
     pub(crate) fn of(
         room: &Room,
         running: &[Running],
@@ -25,27 +26,27 @@
         let mut later = room.clone();
         for (at, ended) in ends {
             later.give(&ended.members, &ended.per_task);
-            // A place can only open where the last gang ended; other extents were tried before.
+            // The gang can only newly fit where the last gang ended; other extents were tried before.
             if !may_fit_near(&later, ended, gang) {
                 continue;
             }
             let free = |i: usize| later.fits(i, &gang.per_task);
             if let Some(members) = best_fit(&later, gang, &Default::default(), free) {
-                let mut places = vec![false; room.len()];
+                let mut reserved = vec![false; room.len()];
                 for member in &members {
                     if let Some(i) = room.position(&member.server) {
-                        places[i] = true;
+                        reserved[i] = true;
                     }
                 }
-                return Some(Shadow { places, after: at });
+                return Some(Shadow { reserved, after: at });
             }
         }
         None
     }
 
-    /// Whether the place takes in a backend server.
+    /// Whether the reservation includes a backend server.
     pub(crate) fn covers(&self, i: usize) -> bool {
-        self.places[i]
+        self.reserved[i]
     }
 }
 
--- a/crates/policy/src/snapshot.rs
+++ b/crates/policy/src/snapshot.rs
@@ -1,52 +1,54 @@
-//! What a planner sees, and what it decides.
+//! Input and output of a planner: a snapshot of one availability zone, and decisions on its jobs.
 
 use std::{collections::BTreeSet, sync::Arc};
 
 use crate::Finished;
 use model::{BackendServerId, ClassId, CustomerId, Duration, Gang, JobId, Member, OperatorFile, RackId, Resources};
 
-/// A backend server.
+/// A backend server as a planner sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Server {
-    /// Its id.
+    /// Id of the backend server.
     pub id: BackendServerId,
-    /// Its rack.
+    /// Rack that the backend server is in.
     pub rack: RackId,
-    /// What its worker has.
+    /// Total resources of its worker.
     pub resources: Resources,
-    /// Whether it may be given new work: not leaving, not draining, not quarantined, and answering.
+    /// Whether it may be given new work: it responds and is neither leaving, draining nor quarantined.
     pub open: bool,
 }
 
 /// A gang that holds resources, from its first reservation on.
+///
+/// Durations are measured up to the moment of the snapshot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Running {
     /// The job.
     pub job: JobId,
-    /// On whose behalf.
+    /// Customer that submitted the job.
     pub customer: CustomerId,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassId,
-    /// What each of its tasks takes.
+    /// Resources that each task takes.
     pub per_task: Resources,
-    /// Where it runs.
+    /// Backend servers that hold its tasks, with the number of tasks on each.
     pub members: Vec<Member>,
-    /// Since its start.
+    /// Time since the gang started.
     pub ran_for: Duration,
-    /// Since its acceptance.
+    /// Time since the job was accepted.
     pub age: Duration,
-    /// As declared by the caller.
+    /// Run time declared by the caller.
     pub declared: Duration,
-    /// Whether it may run more than once.
+    /// Whether the job may run more than once.
     pub repeatable: bool,
-    /// Whether it can go on from a checkpoint.
+    /// Whether the job can resume from a checkpoint.
     pub checkpointable: bool,
-    /// Whether it has been told to stop.
+    /// Whether a stop has been requested.
     pub stopping: bool,
 }
 
 impl Running {
-    /// Whether it may be stopped for another job.
+    /// Whether the gang may be stopped for another job.
     pub fn preemptible(&self) -> bool {
         self.repeatable || self.checkpointable
     }
@@ -57,32 +59,32 @@
 pub struct Queued {
     /// The job.
     pub job: JobId,
-    /// On whose behalf.
+    /// Customer that submitted the job.
     pub customer: CustomerId,
-    /// Its class.
+    /// Class of the job.
     pub class: ClassId,
-    /// What it needs.
+    /// Number of tasks, resources per task, and the extent that must hold them all.
     pub gang: Gang,
-    /// As declared by the caller.
+    /// Run time declared by the caller.
     pub declared: Duration,
-    /// Since its acceptance.
+    /// Time since the job was accepted.
     pub waited: Duration,
-    /// Whether it may run more than once.
+    /// Whether the job may run more than once.
     pub repeatable: bool,
-    /// Whether it can go on from a checkpoint.
+    /// Whether the job can resume from a checkpoint.
     pub checkpointable: bool,
-    /// Backend servers on which it has failed.
+    /// Backend servers on which earlier attempts failed.
     pub avoid: BTreeSet<BackendServerId>,
 }
 
 impl Queued {
-    /// Whether it may be stopped for another job once it runs.
+    /// Whether the job may be stopped for another one once it runs.
     pub fn preemptible(&self) -> bool {
         self.repeatable || self.checkpointable
     }
 }
 
-/// One availability zone at one moment.
+/// The state of one availability zone at one moment.
 #[derive(Debug, Clone)]
 pub struct Snapshot {
     /// The configuration in force.
@@ -95,37 +97,37 @@
     pub queue: Vec<Queued>,
 }
 
-/// What is to be done.
+/// A planner's proposal for one job.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Begin an attempt of a waiting job.
+    /// Starts an attempt of a waiting job.
     Start {
         /// The job.
         job: JobId,
-        /// Where, in the order of the backend servers' ids.
+        /// Placement of its tasks, ordered by backend server id.
         members: Vec<Member>,
     },
-    /// Checkpoint and stop a running gang.
+    /// Checkpoints and stops a running gang.
     Preempt {
         /// The gang to stop.
         job: JobId,
-        /// The job that needs its place.
+        /// The job that needs its resources.
         for_job: JobId,
     },
-    /// End a waiting job: it can never run.
+    /// Ends a waiting job that can never run.
     Refuse {
         /// The job.
         job: JobId,
-        /// The arithmetic.
+        /// Explanation for the caller, with the number of tasks requested and possible.
         why: String,
     },
 }
 
-/// Decides; what it learns on the way is soft and may be lost with the box.
+/// Decides where and when jobs run. A planner's learned state is a cache and may be lost with its box.
 pub trait Planner: Send {
     /// Decides on one snapshot.
     fn plan(&mut self, snapshot: &Snapshot) -> Vec<Decision>;
 
-    /// Learns from a gang that ended well.
+    /// Updates the planner's estimates with a run that succeeded. Does nothing by default.
     fn learn(&mut self, _: &Finished) {}
 }
--- a/crates/policy/tests/planner.rs
+++ b/crates/policy/tests/planner.rs
@@ -1,4 +1,4 @@
-//! What the planner promises, over random availability zones.
+//! Properties of the planner, checked on random jobs in a small availability zone.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -39,7 +39,7 @@
 }
 
 #[derive(Debug, Clone)]
-struct Ask {
+struct JobRequest {
     court: bool,
     urgent: bool,
     tasks: u32,
@@ -49,9 +49,9 @@
     waited: u64,
 }
 
-fn ask() -> impl Strategy<Value = Ask> {
+fn job_request() -> impl Strategy<Value = JobRequest> {
     (any::<bool>(), any::<bool>(), 1u32..13, any::<bool>(), any::<bool>(), any::<bool>(), 0u64..5000).prop_map(
-        |(court, urgent, tasks, rack, repeatable, checkpointable, waited)| Ask {
+        |(court, urgent, tasks, rack, repeatable, checkpointable, waited)| JobRequest {
             court,
             urgent,
             tasks,
@@ -63,25 +63,25 @@
     )
 }
 
-fn queued(n: usize, ask: &Ask) -> Queued {
+fn queued(n: usize, job_request: &JobRequest) -> Queued {
     Queued {
         job: job(n),
-        customer: if ask.court { "court" } else { "council" }.parse().expect("a valid id"),
-        class: if ask.urgent { "urgent" } else { "batch" }.parse().expect("a valid id"),
+        customer: if job_request.court { "court" } else { "council" }.parse().expect("a valid id"),
+        class: if job_request.urgent { "urgent" } else { "batch" }.parse().expect("a valid id"),
         gang: Gang {
-            tasks: ask.tasks,
+            tasks: job_request.tasks,
             per_task: Resources::new(1, 1, 1),
-            within: if ask.rack { Within::Rack } else { Within::AvailabilityZone },
+            within: if job_request.rack { Within::Rack } else { Within::AvailabilityZone },
         },
         declared: Duration::from_secs(600),
-        waited: Duration::from_secs(ask.waited),
-        repeatable: ask.repeatable,
-        checkpointable: ask.checkpointable,
+        waited: Duration::from_secs(job_request.waited),
+        repeatable: job_request.repeatable,
+        checkpointable: job_request.checkpointable,
         avoid: Default::default(),
     }
 }
 
-/// A small model of what runs, kept by the test alone.
+/// A model of the running gangs, independent of the planner's own accounting.
 struct World {
     file: Arc<OperatorFile>,
     running: BTreeMap<JobId, (Queued, Vec<Member>, bool)>,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Takes decisions in, checking each.
-    fn take(&mut self, queue: &[Queued], decisions: Vec<Decision>) {
+    /// Checks and applies decisions.
+    fn apply(&mut self, queue: &[Queued], decisions: Vec<Decision>) {
         for decision in decisions {
             match decision {
                 Decision::Start { job, members } => self.start(queue, &job, members),
@@ -158,44 +158,44 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(2), failure_persistence: None, cases: 400, ..ProptestConfig::default() })]
 
-    /// Whatever others run, a customer that holds nothing gets its guaranteed shape once those that
-    /// were told to stop have stopped.
+    /// Whatever other customers run, a customer without running gangs gets its guaranteed shape once the gangs
+    /// that were asked to stop have stopped.
     #[test]
-    fn a_guaranteed_shape_can_always_be_reclaimed(asks in proptest::collection::vec(ask(), 0..25)) {
+    fn a_guaranteed_shape_can_always_be_reclaimed(job_requests in proptest::collection::vec(job_request(), 0..25)) {
         let mut zone = World { file: file(), running: BTreeMap::new() };
         let mut planner = CellPlanner::new("z".parse().expect("a valid id"));
-        for (n, ask) in asks.iter().enumerate() {
-            let queue = vec![queued(n, &Ask { court: false, ..ask.clone() })];
+        for (n, job_request) in job_requests.iter().enumerate() {
+            let queue = vec![queued(n, &JobRequest { court: false, ..job_request.clone() })];
             let decisions = planner.plan(&zone.snapshot(queue.clone()));
-            zone.take(&queue, decisions);
+            zone.apply(&queue, decisions);
         }
         zone.end_stopping();
         prop_assert!(!zone.holds_any_of("court"));
-        let wanted = Ask {
+        let wanted = JobRequest {
             court: true, urgent: false, tasks: 8, rack: true, repeatable: false, checkpointable: false, waited: 0,
         };
         let queue = vec![queued(1000, &wanted)];
         let decisions = planner.plan(&zone.snapshot(queue.clone()));
-        zone.take(&queue, decisions);
+        zone.apply(&queue, decisions);
         if !zone.holds_any_of("court") {
             zone.end_stopping();
             let decisions = planner.plan(&zone.snapshot(queue.clone()));
-            zone.take(&queue, decisions);
+            zone.apply(&queue, decisions);
         }
         prop_assert!(zone.holds_any_of("court"), "the guaranteed gang has no place");
     }
 
-    /// Every decision can be carried out, and the same snapshot gives the same decisions.
+    /// Every decision can be carried out, and equal snapshots give equal decisions.
     #[test]
-    fn decisions_can_be_carried_out(asks in proptest::collection::vec(ask(), 1..30)) {
+    fn decisions_can_be_carried_out(job_requests in proptest::collection::vec(job_request(), 1..30)) {
         let mut zone = World { file: file(), running: BTreeMap::new() };
         let mut planner = CellPlanner::new("z".parse().expect("a valid id"));
-        let mut queue: Vec<Queued> = asks.iter().enumerate().map(|(n, ask)| queued(n, ask)).collect();
+        let mut queue: Vec<Queued> = job_requests.iter().enumerate().map(|(n, job_request)| queued(n, job_request)).collect();
         for _ in 0..5 {
             let snapshot = zone.snapshot(queue.clone());
             let decisions = planner.plan(&snapshot);
             prop_assert_eq!(&decisions, &planner.plan(&snapshot));
-            zone.take(&queue, decisions);
+            zone.apply(&queue, decisions);
             queue.retain(|it| !zone.running.contains_key(&it.job));
             zone.end_stopping();
         }
