--- a/crates/policy/tests/planner.rs
+++ b/crates/policy/tests/planner.rs
@@ -161,10 +161,10 @@
     /// Whatever other customers run, a customer without running gangs gets its guaranteed shape once the gangs
     /// that were asked to stop have stopped.
     #[test]
-    fn a_guaranteed_shape_can_always_be_reclaimed(job_requests in proptest::collection::vec(job_request(), 0..25)) {
+    fn a_guaranteed_shape_can_always_be_reclaimed(requests in proptest::collection::vec(job_request(), 0..25)) {
         let mut zone = World { file: file(), running: BTreeMap::new() };
         let mut planner = CellPlanner::new("z".parse().expect("a valid id"));
-        for (n, job_request) in job_requests.iter().enumerate() {
+        for (n, job_request) in requests.iter().enumerate() {
             let queue = vec![queued(n, &JobRequest { court: false, ..job_request.clone() })];
             let decisions = planner.plan(&zone.snapshot(queue.clone()));
             zone.apply(&queue, decisions);
@@ -187,10 +187,10 @@
 
     /// Every decision can be carried out, and equal snapshots give equal decisions.
     #[test]
-    fn decisions_can_be_carried_out(job_requests in proptest::collection::vec(job_request(), 1..30)) {
+    fn decisions_can_be_carried_out(requests in proptest::collection::vec(job_request(), 1..30)) {
         let mut zone = World { file: file(), running: BTreeMap::new() };
         let mut planner = CellPlanner::new("z".parse().expect("a valid id"));
-        let mut queue: Vec<Queued> = job_requests.iter().enumerate().map(|(n, job_request)| queued(n, job_request)).collect();
+        let mut queue: Vec<Queued> = requests.iter().enumerate().map(|(n, request)| queued(n, request)).collect();
         for _ in 0..5 {
             let snapshot = zone.snapshot(queue.clone());
             let decisions = planner.plan(&snapshot);
