--- a/crates/entry/src/intake.rs
+++ b/crates/entry/src/intake.rs
@@ -2,7 +2,7 @@
 
 use lifecycle::{Origin, Stage};
 use model::{Duration, JobId, JobSpec, Moment, NotRunReason, OperatorFile, Outcome};
-use policy::Room;
+use policy::FreeCapacity;
 
 use crate::{
     CallerReply, EntryBox, JobAnswer, PeerRequest, Submission,
@@ -168,7 +168,7 @@
             return Some(format!("{} is asked for; the customer's quota is {quota}", spec.gang.total()));
         }
         let servers = self.servers_of(file);
-        Room::empty(&servers).check_ever_fits(&spec.gang).err().map(|e| e.to_string())
+        FreeCapacity::empty(&servers).check_ever_fits(&spec.gang).err().map(|e| e.to_string())
     }
 
     /// How long a queue of that length takes at the rate of late.
--- a/crates/policy/src/cells.rs
+++ b/crates/policy/src/cells.rs
@@ -8,7 +8,7 @@
 use derive_more::{Display, Error};
 use model::{AvailabilityZoneId, CustomerId, Gang, Member, OperatorFile, Resources, ServerMode};
 
-use crate::{Room, Server, place::best_fit};
+use crate::{FreeCapacity, Server, place::best_fit};
 
 /// The first gang of a guarantee that can't be placed beside the other guarantees of a file.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
@@ -61,7 +61,7 @@
 
     /// Places all guarantees of an availability zone. Large gangs come first, since small ones fit into the gaps.
     pub(crate) fn place(file: &Arc<OperatorFile>, zone: &AvailabilityZoneId, servers: &[Server]) -> Cells {
-        let mut room = Room::empty(servers);
+        let mut free_capacity = FreeCapacity::empty(servers);
         let mut guaranteed: Vec<(usize, Gang)> = Vec::new();
         for (n, customer) in file.customers.values().enumerate() {
             for guarantee in customer.guarantees.iter().filter(|g| g.availability_zone == *zone) {
@@ -77,11 +77,11 @@
             assigned: vec![Vec::new(); servers.len()],
         };
         for (customer, gang) in guaranteed {
-            let free = |i: usize| room.fits(i, &gang.per_task);
-            match best_fit(&room, &gang, &BTreeSet::new(), free) {
+            let free = |i: usize| free_capacity.fits(i, &gang.per_task);
+            match best_fit(&free_capacity, &gang, &BTreeSet::new(), free) {
                 Some(members) => {
-                    room.take(&members, &gang.per_task);
-                    it.assign(&room, customer, &members, &gang);
+                    free_capacity.take(&members, &gang.per_task);
+                    it.assign(&free_capacity, customer, &members, &gang);
                     it.cells.push(Cell { customer, gang, members });
                 }
                 None => it.unplaced += 1,
@@ -90,9 +90,9 @@
         it
     }
 
-    fn assign(&mut self, room: &Room, customer: usize, members: &[Member], gang: &Gang) {
+    fn assign(&mut self, free_capacity: &FreeCapacity, customer: usize, members: &[Member], gang: &Gang) {
         for member in members {
-            let Some(i) = room.position(&member.server) else { continue };
+            let Some(i) = free_capacity.position(&member.server) else { continue };
             let share = gang.per_task.times(member.tasks);
             match self.assigned[i].iter_mut().find(|(c, _)| *c == customer) {
                 Some((_, sum)) => *sum += share,
--- a/crates/policy/src/easy.rs
+++ b/crates/policy/src/easy.rs
@@ -7,7 +7,7 @@
 
 use model::Duration;
 
-use crate::{Decision, Planner, Queued, Room, Snapshot, place::best_fit, shadow::Shadow};
+use crate::{Decision, FreeCapacity, Planner, Queued, Snapshot, place::best_fit, shadow::Shadow};
 
 /// Planner that uses EASY backfill with best fit.
 #[derive(Debug, Default)]
@@ -15,14 +15,14 @@
 
 impl Planner for Easy {
     fn plan(&mut self, snapshot: &Snapshot) -> Vec<Decision> {
-        let mut room = Room::beside(&snapshot.servers, &snapshot.running);
+        let mut free_capacity = FreeCapacity::remaining(&snapshot.servers, &snapshot.running);
         let mut queue: Vec<&Queued> = snapshot.queue.iter().collect();
         queue.sort_by(|a, b| b.waited.cmp(&a.waited).then_with(|| a.job.cmp(&b.job)));
         let mut decisions = Vec::new();
         let mut shadow: Option<Shadow> = None;
         let mut failed_kinds = BTreeSet::new();
         for queued in queue {
-            if let Err(e) = room.check_ever_fits(&queued.gang) {
+            if let Err(e) = free_capacity.check_ever_fits(&queued.gang) {
                 decisions.push(Decision::Refuse { job: queued.job.clone(), why: e.to_string() });
                 continue;
             }
@@ -33,10 +33,10 @@
             }
             let free = |i: usize| match &shadow {
                 Some(shadow) if shadow.covers(i) && queued.declared > shadow.after => 0,
-                _ => room.fits(i, &queued.gang.per_task),
+                _ => free_capacity.fits(i, &queued.gang.per_task),
             };
-            if let Some(members) = best_fit(&room, &queued.gang, &queued.avoid, free) {
-                room.take(&members, &queued.gang.per_task);
+            if let Some(members) = best_fit(&free_capacity, &queued.gang, &queued.avoid, free) {
+                free_capacity.take(&members, &queued.gang.per_task);
                 decisions.push(Decision::Start { job: queued.job.clone(), members });
                 continue;
             }
@@ -45,7 +45,7 @@
                 let left = |gang: &crate::Running| {
                     Duration::from_millis(gang.declared.millis().saturating_sub(gang.ran_for.millis()))
                 };
-                shadow = Shadow::of(&room, &snapshot.running, &queued.gang, left);
+                shadow = Shadow::of(&free_capacity, &snapshot.running, &queued.gang, left);
             }
         }
         decisions
--- a/crates/policy/src/room.rs
+++ b/crates/policy/src/free_capacity.rs
@@ -22,9 +22,9 @@
 /// Free resources of one availability zone. Backend servers are identified by their index in the list that it was
 /// made from.
 ///
-/// Methods that take an index `i` panic if it is not below [`Room::len`].
+/// Methods that take an index `i` panic if it is not below [`FreeCapacity::len`].
 #[derive(Debug, Clone)]
-pub struct Room {
+pub struct FreeCapacity {
     ids: Vec<BackendServerId>,
     racks: Vec<Vec<usize>>,
     rack_of: Vec<usize>,
@@ -34,9 +34,9 @@
     index: BTreeMap<BackendServerId, usize>,
 }
 
-impl Room {
+impl FreeCapacity {
     /// Returns the resources of backend servers on which nothing runs.
-    pub fn empty(servers: &[Server]) -> Room {
+    pub fn empty(servers: &[Server]) -> FreeCapacity {
         let mut rack_index: BTreeMap<&RackId, usize> = BTreeMap::new();
         for server in servers {
             let next = rack_index.len();
@@ -47,7 +47,7 @@
         for (i, rack) in rack_of.iter().enumerate() {
             racks[*rack].push(i);
         }
-        Room {
+        FreeCapacity {
             ids: servers.iter().map(|s| s.id.clone()).collect(),
             racks,
             rack_of,
@@ -59,12 +59,12 @@
     }
 
     /// Returns the resources that running gangs do not use.
-    pub fn beside(servers: &[Server], running: &[Running]) -> Room {
-        let mut room = Room::empty(servers);
+    pub fn remaining(servers: &[Server], running: &[Running]) -> FreeCapacity {
+        let mut free_capacity = FreeCapacity::empty(servers);
         for gang in running {
-            room.take(&gang.members, &gang.per_task);
+            free_capacity.take(&gang.members, &gang.per_task);
         }
-        room
+        free_capacity
     }
 
     /// Returns the number of backend servers, open or not.
@@ -102,7 +102,7 @@
         self.open[i]
     }
 
-    /// Returns the index of a backend server's rack in [`Room::racks`].
+    /// Returns the index of a backend server's rack in [`FreeCapacity::racks`].
     pub fn rack(&self, i: usize) -> usize {
         self.rack_of[i]
     }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -8,7 +8,7 @@
 
 use model::{CustomerId, Member, Resources};
 
-use crate::{Room, Running, cells::Cells};
+use crate::{FreeCapacity, Running, cells::Cells};
 
 /// One customer's use of one backend server.
 #[derive(Debug, Clone, Copy, Default)]
@@ -27,12 +27,16 @@
 
 impl Ledger {
     /// Records the use of running gangs.
-    pub(crate) fn of(room: &Room, running: &[Running], number: impl Fn(&CustomerId) -> Option<usize>) -> Ledger {
-        let mut it = Ledger { by_server: vec![BTreeMap::new(); room.len()], totals: BTreeMap::new() };
+    pub(crate) fn of(
+        free_capacity: &FreeCapacity,
+        running: &[Running],
+        number: impl Fn(&CustomerId) -> Option<usize>,
+    ) -> Ledger {
+        let mut it = Ledger { by_server: vec![BTreeMap::new(); free_capacity.len()], totals: BTreeMap::new() };
         for gang in running {
             // Use by customers that are no longer in the file is recorded under an index that no customer has.
             let customer = number(&gang.customer).unwrap_or(usize::MAX);
-            it.add(room, customer, &gang.members, &gang.per_task, gang.preemptible());
+            it.add(free_capacity, customer, &gang.members, &gang.per_task, gang.preemptible());
         }
         it
     }
@@ -40,14 +44,14 @@
     /// Adds a gang.
     pub(crate) fn add(
         &mut self,
-        room: &Room,
+        free_capacity: &FreeCapacity,
         customer: usize,
         members: &[Member],
         per_task: &Resources,
         preemptible: bool,
     ) {
         for member in members {
-            let Some(i) = room.position(&member.server) else { continue };
+            let Some(i) = free_capacity.position(&member.server) else { continue };
             let taken = per_task.times(member.tasks);
             let entry = self.by_server[i].entry(customer).or_default();
             entry.all += taken;
@@ -69,7 +73,7 @@
     }
 
     /// Returns how much more work that can't be preempted a customer may place on a backend server.
-    pub(crate) fn may_pin(&self, room: &Room, cells: &Cells, i: usize, customer: usize) -> Resources {
+    pub(crate) fn may_pin(&self, free_capacity: &FreeCapacity, cells: &Cells, i: usize, customer: usize) -> Resources {
         let mut committed = Resources::default();
         for (other, assigned) in &cells.assigned[i] {
             if *other != customer {
@@ -86,7 +90,7 @@
         if let Some(own) = self.by_server[i].get(&customer) {
             committed += own.pinned;
         }
-        room.capacity(i).saturating_sub(&committed)
+        free_capacity.capacity(i).saturating_sub(&committed)
     }
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -47,11 +47,11 @@
 mod easy;
 mod estimate;
 mod first_fit;
+mod free_capacity;
 mod ledger;
 mod order;
 mod place;
 mod reclaim;
-mod room;
 mod round;
 mod shadow;
 mod snapshot;
@@ -62,6 +62,6 @@
     easy::Easy,
     estimate::{Estimates, Finished},
     first_fit::FirstFit,
-    room::{NeverFits, Room},
+    free_capacity::{FreeCapacity, NeverFits},
     snapshot::{Decision, Planner, Queued, Running, Server, Snapshot},
 };
--- a/crates/policy/src/reclaim.rs
+++ b/crates/policy/src/reclaim.rs
@@ -2,7 +2,7 @@
 
 use model::{Gang, Member, Resources, Within};
 
-use crate::{Room, Running, place::best_fit};
+use crate::{FreeCapacity, Running, place::best_fit};
 
 /// Seconds of work lost per accelerator by stopping a gang, even with a checkpoint.
 const RESTART_COST_SECS: f64 = 30.0;
@@ -29,22 +29,22 @@
 
 /// Returns the cheapest set of candidates whose end lets a gang fit, or `None` if no set does.
 ///
-/// Only backend servers for which `usable` returns true count. `room` holds the resources that are free
+/// Only backend servers for which `usable` returns true count. `free_capacity` holds the resources that are free
 /// now or will be once gangs that are already stopping have ended.
 pub(crate) fn cheapest(
-    room: &Room,
+    free_capacity: &FreeCapacity,
     candidates: &[&Running],
     gang: &Gang,
     usable: &dyn Fn(usize) -> bool,
 ) -> Option<Reclaim> {
     let extents: Vec<Vec<usize>> = match gang.within {
-        Within::AvailabilityZone => vec![(0..room.len()).collect()],
-        Within::Rack => room.racks().to_vec(),
-        Within::Worker => (0..room.len()).map(|i| vec![i]).collect(),
+        Within::AvailabilityZone => vec![(0..free_capacity.len()).collect()],
+        Within::Rack => free_capacity.racks().to_vec(),
+        Within::Worker => (0..free_capacity.len()).map(|i| vec![i]).collect(),
     };
     let mut best: Option<Reclaim> = None;
     for extent in extents {
-        let found = cheapest_in(room, candidates, gang, &extent, usable);
+        let found = cheapest_in(free_capacity, candidates, gang, &extent, usable);
         if let Some(found) = found
             && best.as_ref().is_none_or(|best| found.cost < best.cost)
         {
@@ -55,7 +55,7 @@
 }
 
 fn cheapest_in(
-    room: &Room,
+    free_capacity: &FreeCapacity,
     candidates: &[&Running],
     gang: &Gang,
     extent: &[usize],
@@ -64,7 +64,7 @@
     let inside = |i: usize| usable(i) && extent.contains(&i);
     // Accelerators (or tasks without them) that a candidate frees in this extent.
     let gain = |it: &Running| -> u32 {
-        let here = it.members.iter().filter(|m| room.position(&m.server).is_some_and(inside));
+        let here = it.members.iter().filter(|m| free_capacity.position(&m.server).is_some_and(inside));
         here.map(|m| m.tasks * weight(&it.per_task)).sum()
     };
     let mut order: Vec<(usize, f64)> = candidates
@@ -74,8 +74,8 @@
         .map(|(n, it)| (n, cost(it) / f64::from(gain(it))))
         .collect();
     order.sort_by(|a, b| a.1.total_cmp(&b.1).then(a.0.cmp(&b.0)));
-    let mut later = room.clone();
-    let count = |later: &Room| {
+    let mut later = free_capacity.clone();
+    let count = |later: &FreeCapacity| {
         extent.iter().filter(|i| inside(**i)).map(|i| later.fits(*i, &gang.per_task)).fold(0u32, u32::saturating_add)
     };
     let mut victims = Vec::new();
@@ -95,9 +95,9 @@
 /// Removes victims that are not needed, the most expensive first.
 fn drop_unneeded_victims(
     victims: &mut Vec<usize>,
-    later: &mut Room,
+    later: &mut FreeCapacity,
     candidates: &[&Running],
-    enough: impl Fn(&Room) -> bool,
+    enough: impl Fn(&FreeCapacity) -> bool,
 ) {
     let mut order = victims.clone();
     order.sort_by(|a, b| cost(candidates[*b]).total_cmp(&cost(candidates[*a])));
--- a/crates/policy/src/round.rs
+++ b/crates/policy/src/round.rs
@@ -8,7 +8,7 @@
 use model::{CustomerId, Duration, Member, Resources};
 
 use crate::{
-    Decision, Queued, Room, Running, Snapshot,
+    Decision, FreeCapacity, Queued, Running, Snapshot,
     cells::Cells,
     estimate::Estimates,
     ledger::Ledger,
@@ -55,9 +55,9 @@
     estimates: &'a Estimates,
     numbers: &'a BTreeMap<&'a CustomerId, usize>,
     /// Resources that are free now.
-    room: Room,
+    free_capacity: FreeCapacity,
     /// Resources that are free now or once gangs that are stopping have ended.
-    free_soon: Room,
+    free_soon: FreeCapacity,
     ledger: Ledger,
     stopped: Vec<bool>,
     /// Size from which on a gang is large, in accelerators, or in cores if it needs none.
@@ -74,14 +74,14 @@
         estimates: &'a Estimates,
         numbers: &'a BTreeMap<&'a CustomerId, usize>,
     ) -> Round<'a> {
-        let room = Room::beside(&snapshot.servers, &snapshot.running);
-        let mut free_soon = room.clone();
+        let free_capacity = FreeCapacity::remaining(&snapshot.servers, &snapshot.running);
+        let mut free_soon = free_capacity.clone();
         for gang in snapshot.running.iter().filter(|gang| gang.stopping) {
             free_soon.give(&gang.members, &gang.per_task);
         }
-        let ledger = Ledger::of(&room, &snapshot.running, |customer| numbers.get(customer).copied());
-        let rack_size = |rack: &Vec<usize>| rack.iter().map(|i| size(&room.capacity(*i))).sum::<u32>();
-        let largest = room.racks().iter().map(rack_size).max().unwrap_or(0);
+        let ledger = Ledger::of(&free_capacity, &snapshot.running, |customer| numbers.get(customer).copied());
+        let rack_size = |rack: &Vec<usize>| rack.iter().map(|i| size(&free_capacity.capacity(*i))).sum::<u32>();
+        let largest = free_capacity.racks().iter().map(rack_size).max().unwrap_or(0);
         let large_size = f64::from(largest) * LARGE_RACK_FRACTION;
         let stopped = snapshot.running.iter().map(|gang| gang.stopping).collect();
         Round {
@@ -89,7 +89,7 @@
             cells,
             estimates,
             numbers,
-            room,
+            free_capacity,
             free_soon,
             ledger,
             stopped,
@@ -123,7 +123,7 @@
     /// Decides on one waiting job and records the decision, if there is one.
     pub(crate) fn consider(&mut self, queued: &Queued) {
         let Some(customer) = self.number(&queued.customer) else { return };
-        if let Err(e) = self.room.check_ever_fits(&queued.gang) {
+        if let Err(e) = self.free_capacity.check_ever_fits(&queued.gang) {
             self.decisions.push(Decision::Refuse { job: queued.job.clone(), why: e.to_string() });
             return;
         }
@@ -184,14 +184,14 @@
 
     /// Returns how many of a job's tasks can be placed on a backend server now.
     fn tasks_accepted(&self, customer: usize, queued: &Queued, likely: Duration, i: usize) -> u32 {
-        let fits = self.room.fits(i, &queued.gang.per_task);
+        let fits = self.free_capacity.fits(i, &queued.gang.per_task);
         if fits == 0 || self.is_reserved_for_another(queued, likely, i) {
             return 0;
         }
         if queued.preemptible() {
             return fits;
         }
-        fits.min(self.ledger.may_pin(&self.room, self.cells, i, customer).count_of(&queued.gang.per_task))
+        fits.min(self.ledger.may_pin(&self.free_capacity, self.cells, i, customer).count_of(&queued.gang.per_task))
     }
 
     /// Whether a shadow reservation covers a backend server and the job would probably still run when it is due.
@@ -205,7 +205,7 @@
 
     fn place(&self, customer: usize, queued: &Queued) -> Option<Vec<Member>> {
         let likely = self.likely(queued);
-        best_fit(&self.room, &queued.gang, &queued.avoid, |i| self.tasks_accepted(customer, queued, likely, i))
+        best_fit(&self.free_capacity, &queued.gang, &queued.avoid, |i| self.tasks_accepted(customer, queued, likely, i))
     }
 
     fn place_when_stopped(&self, queued: &Queued) -> Option<Vec<Member>> {
@@ -217,14 +217,14 @@
 
     fn start(&mut self, customer: usize, queued: &Queued, members: Vec<Member>) {
         let per_task = queued.gang.per_task;
-        self.room.take(&members, &per_task);
+        self.free_capacity.take(&members, &per_task);
         self.free_soon.take(&members, &per_task);
-        self.ledger.add(&self.room, customer, &members, &per_task, queued.preemptible());
+        self.ledger.add(&self.free_capacity, customer, &members, &per_task, queued.preemptible());
         self.decisions.push(Decision::Start { job: queued.job.clone(), members });
     }
 
     fn reserve(&mut self, queued: &Queued, members: &[Member]) {
-        self.room.take(members, &queued.gang.per_task);
+        self.free_capacity.take(members, &queued.gang.per_task);
         self.free_soon.take(members, &queued.gang.per_task);
     }
 
@@ -257,7 +257,7 @@
         self.cells.for_gang(customer, tasks, per_task).filter_map(move |cell| {
             let members = shrink(&cell.members, tasks);
             let places: Vec<(usize, u32)> =
-                members.iter().filter_map(|m| Some((self.room.position(&m.server)?, m.tasks))).collect();
+                members.iter().filter_map(|m| Some((self.free_capacity.position(&m.server)?, m.tasks))).collect();
             let unused = places.iter().all(|(i, tasks)| {
                 let after = self.ledger.used(*i, customer) + per_task.times(*tasks);
                 self.cells.assigned_to(*i, customer).contains(&after)
@@ -297,7 +297,7 @@
         }
         let among = self.stoppable(|it| allowed(it) && !self.is_on_own_cell(it) && !self.would_be_entitled_to_cell(it));
         let candidates: Vec<&Running> = among.iter().map(|n| &self.snapshot.running[*n]).collect();
-        let found = reclaim::cheapest(&self.free_soon, &candidates, &queued.gang, &|i| self.room.is_open(i))?;
+        let found = reclaim::cheapest(&self.free_soon, &candidates, &queued.gang, &|i| self.free_capacity.is_open(i))?;
         Some((found, among))
     }
 
@@ -313,7 +313,7 @@
     /// Whether a gang runs within its customer's own cells, so that it borrows from no other customer.
     fn is_on_own_cell(&self, it: &Running) -> bool {
         let Some(customer) = self.number(&it.customer) else { return false };
-        it.members.iter().filter_map(|m| self.room.position(&m.server)).all(|i| {
+        it.members.iter().filter_map(|m| self.free_capacity.position(&m.server)).all(|i| {
             let assigned = self.cells.assigned_to(i, customer);
             assigned != Resources::default() && assigned.contains(&self.ledger.used(i, customer))
         })
@@ -336,7 +336,7 @@
             let likely = self.estimates.likely(&gang.customer, &gang.class, gang.declared);
             Duration::from_millis(likely.millis().saturating_sub(gang.ran_for.millis()))
         };
-        if let Some(shadow) = Shadow::of(&self.room, &self.snapshot.running, &queued.gang, left) {
+        if let Some(shadow) = Shadow::of(&self.free_capacity, &self.snapshot.running, &queued.gang, left) {
             self.shadows.push(shadow);
         }
     }
--- a/crates/policy/src/shadow.rs
+++ b/crates/policy/src/shadow.rs
@@ -2,7 +2,7 @@
 
 use model::{Duration, Gang};
 
-use crate::{Room, Running, place::best_fit};
+use crate::{FreeCapacity, Running, place::best_fit};
 
 /// The reserved backend servers and the start time of a waiting gang.
 #[derive(Debug, Clone)]
@@ -16,14 +16,14 @@
     /// Simulates the end of running gangs, ordered by the time that `left` returns for each, until the gang fits.
     /// Returns `None` if it does not fit after all have ended.
     pub(crate) fn of(
-        room: &Room,
+        free_capacity: &FreeCapacity,
         running: &[Running],
         gang: &Gang,
         left: impl Fn(&Running) -> Duration,
     ) -> Option<Shadow> {
         let mut ends: Vec<(Duration, &Running)> = running.iter().map(|gang| (left(gang), gang)).collect();
         ends.sort_by(|a, b| a.0.cmp(&b.0).then_with(|| a.1.job.cmp(&b.1.job)));
-        let mut later = room.clone();
+        let mut later = free_capacity.clone();
         for (at, ended) in ends {
             later.give(&ended.members, &ended.per_task);
             // The gang can only newly fit where the last gang ended; other extents were tried before.
@@ -32,9 +32,9 @@
             }
             let free = |i: usize| later.fits(i, &gang.per_task);
             if let Some(members) = best_fit(&later, gang, &Default::default(), free) {
-                let mut reserved = vec![false; room.len()];
+                let mut reserved = vec![false; free_capacity.len()];
                 for member in &members {
-                    if let Some(i) = room.position(&member.server) {
+                    if let Some(i) = free_capacity.position(&member.server) {
                         reserved[i] = true;
                     }
                 }
@@ -50,13 +50,17 @@
     }
 }
 
-fn may_fit_near(room: &Room, ended: &Running, gang: &Gang) -> bool {
+fn may_fit_near(free_capacity: &FreeCapacity, ended: &Running, gang: &Gang) -> bool {
     let rack_fits = |rack: usize| {
-        let fits = room.racks()[rack].iter().map(|i| room.fits(*i, &gang.per_task));
+        let fits = free_capacity.racks()[rack].iter().map(|i| free_capacity.fits(*i, &gang.per_task));
         fits.fold(0u32, |sum, n| sum.saturating_add(n)) >= gang.tasks
     };
     match gang.within {
         model::Within::AvailabilityZone => true,
-        _ => ended.members.iter().filter_map(|m| room.position(&m.server)).any(|i| rack_fits(room.rack(i))),
+        _ => ended
+            .members
+            .iter()
+            .filter_map(|m| free_capacity.position(&m.server))
+            .any(|i| rack_fits(free_capacity.rack(i))),
     }
 }
--- a/crates/replay/src/sim.rs
+++ b/crates/replay/src/sim.rs
@@ -7,7 +7,7 @@
 };
 
 use model::{AvailabilityZoneId, BackendServerId, Duration, Incarnation, JobId, Member, Moment, OperatorFile, RackId};
-use policy::{Decision, Finished, Planner, Queued, Room, Running, Server, Snapshot};
+use policy::{Decision, Finished, FreeCapacity, Planner, Queued, Running, Server, Snapshot};
 
 use crate::{measure::Measures, workload::Arrival};
 
@@ -136,7 +136,7 @@
             events.push(Reverse((from, Event::Trouble(n, true))));
             events.extend(until.map(|until| Reverse((until, Event::Trouble(n, false)))));
         }
-        let empty = Room::empty(&servers);
+        let empty = FreeCapacity::empty(&servers);
         let possible = arrivals.iter().map(|it| empty.check_ever_fits(&it.gang).is_ok()).collect();
         Sim {
             file: Arc::clone(file),
@@ -425,9 +425,9 @@
         if span <= 0.0 {
             return;
         }
-        let mut room = Room::empty(&self.servers);
+        let mut free_capacity = FreeCapacity::empty(&self.servers);
         for (n, gang) in &self.running {
-            room.take(&gang.members, &self.arrivals[*n].gang.per_task);
+            free_capacity.take(&gang.members, &self.arrivals[*n].gang.per_task);
         }
         let waiting = self.waiting.keys().filter(|n| self.possible[**n]).map(|n| self.arrivals[*n].gang);
         let guaranteed =
@@ -435,9 +435,9 @@
         let largest = waiting.chain(guaranteed.map(|g| g.gang)).max_by_key(|gang| gang.total().accelerators);
         let Some(largest) = largest else { return };
         let (mut free, mut usable) = (0, 0);
-        for rack in room.racks() {
-            let here: u32 = rack.iter().map(|i| room.free(*i).accelerators).sum();
-            let tasks: u32 = rack.iter().map(|i| room.fits(*i, &largest.per_task)).sum();
+        for rack in free_capacity.racks() {
+            let here: u32 = rack.iter().map(|i| free_capacity.free(*i).accelerators).sum();
+            let tasks: u32 = rack.iter().map(|i| free_capacity.fits(*i, &largest.per_task)).sum();
             free += here;
             usable += tasks / largest.tasks * largest.total().accelerators;
         }
