--- a/crates/lifecycle/src/adoption.rs
+++ b/crates/lifecycle/src/adoption.rs
@@ -1,7 +1,7 @@
-//! Adoption: this box takes over the running gangs of a box that is gone.
+//! Adoption: this box takes over the running gangs of a box that has failed.
 //!
-//! Only gangs whose every member is armed, running or finished are taken over. A gang that was
-//! still being reserved lapses by itself; its box's callers ask again, and the ticket is fenced.
+//! Only gangs of which all members are armed, running or finished are taken over. The leases of a gang that was
+//! still being reserved expire; the callers of its box submit the request again, which fences the ticket.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,20 +14,21 @@
 };
 
 impl Coordinator {
-    /// Takes over a job of which these lines are known, by backend server. Does nothing when the
-    /// job is already held here, or when a member is not known to be armed, running or finished.
+    /// Starts to take over a job, given its lines of the lease tables by backend server. Does nothing if this
+    /// coordinator already manages the job, if a member is not known to be armed, running or finished, or if the
+    /// request is managed here under another ticket.
     pub fn adopt(&mut self, id: &JobId, lines: &BTreeMap<BackendServerId, Lease>, now: Moment) {
         let Some(first) = lines.values().next() else { return };
-        if self.is_of_account(id) || !first.members.iter().all(|m| lines.get(&m.server).is_some_and(is_adoptable)) {
+        if self.is_managed_here(id) || !first.members.iter().all(|m| lines.get(&m.server).is_some_and(is_adoptable)) {
             return;
         }
         let name = (first.customer.clone(), first.request.clone());
-        if self.by_request.get(&name).is_some_and(|other| other != id && self.is_of_account(other)) {
-            // The request has gone on here under another ticket; this gang ends with its lease.
+        if self.by_request.get(&name).is_some_and(|other| other != id && self.is_managed_here(other)) {
+            // The request continues here under another ticket; this gang ends when its leases expire.
             return;
         }
         let newest = lines.values().map(|lease| lease.token).max().unwrap_or_default();
-        let mut job = Job::new(Arc::new(placeholder(first)), now - first.ran_for);
+        let mut job = Job::new(Arc::new(spec_from_lease(first)), now - first.ran_for);
         job.attempt = newest.attempt;
         job.epoch = newest.epoch.next();
         job.adopted = true;
@@ -42,15 +43,15 @@
         self.tick_adopting(id, now);
     }
 
-    /// Whether a job is held here or has ended here, rather than given up.
-    fn is_of_account(&self, id: &JobId) -> bool {
+    /// Whether this coordinator manages a job or has recorded its end, rather than having released it.
+    fn is_managed_here(&self, id: &JobId) -> bool {
         self.jobs.get(id).is_some_and(|job| !matches!(job.phase, Phase::Moved { .. } | Phase::Void { .. }))
     }
 
     pub(crate) fn tick_adopting(&mut self, id: &JobId, now: Moment) {
         self.finish_adoption(id, now);
         let resend = now + self.limits.resend_every;
-        // The adoption may have ended in another ticket.
+        // After the call above the job may have been queued again under another ticket.
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Phase::Adopting { next, until } = &mut job.phase else { return };
         if *until <= now {
@@ -103,13 +104,13 @@
                 }
                 self.on_superseded(id, seen, holder, now);
             }
-            // The member forgot or never got as far: the gang is not whole and lapses.
+            // The member has no such lease or has not come as far, so the gang is not whole.
             BackendReply::Refused(_) => self.stop(id, Cause::MemberLost { server: server.clone() }, now),
             _ => {}
         }
     }
 
-    /// Two boxes adopted at once: the lower one goes above the other's epoch.
+    /// Resolves concurrent adoptions by two boxes: the one with the lower id retries with an epoch above the other's.
     fn adopt_again(&mut self, id: &JobId, seen: Epoch, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.epoch = seen.next();
@@ -141,7 +142,7 @@
 
     pub(crate) fn on_described(&mut self, id: &JobId, task: TaskSpec) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.adopted && !job.is_over() {
+        if job.adopted && !job.has_ended() {
             job.spec = Arc::new(task.spec);
             job.described = true;
         }
@@ -152,8 +153,8 @@
     matches!(lease.state, TaskState::Armed | TaskState::Running | TaskState::Finished { .. })
 }
 
-/// What a lease line tells of the request, until the whole of it is read.
-fn placeholder(lease: &Lease) -> JobSpec {
+/// Returns the part of a request that a lease line contains, for use until the whole request has been read.
+fn spec_from_lease(lease: &Lease) -> JobSpec {
     let tasks: u32 = lease.members.iter().map(|m| m.tasks).sum();
     let here = lease.members.first().map_or(1, |m| m.tasks);
     let per_task = model::Resources::new(
--- a/crates/lifecycle/src/commit.rs
+++ b/crates/lifecycle/src/commit.rs
@@ -1,4 +1,4 @@
-//! Gang commit: reserve, start, go.
+//! Gang commit: the steps reserve, start and go, and reading the answer of a finished gang.
 
 use backend::{BackendRequest, Renewal, TaskSpec, TaskState};
 use model::{JobId, Member, Moment};
@@ -9,13 +9,13 @@
 };
 
 impl Coordinator {
-    /// First step: resources on every member.
+    /// Begins an attempt with the first step: reserves resources on every member.
     pub(crate) fn reserve(&mut self, id: &JobId, members: Vec<Member>, now: Moment) {
         let ticket_age = self.ticket_age(id, now);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.attempt = job.attempt.next();
         job.go_sent = false;
-        job.attempt_began = now;
+        job.attempt_started = now;
         job.parts = members.iter().cloned().map(Part::new).collect();
         job.phase = Phase::Reserving { until: now + self.limits.reserve_wait };
         let calls: Vec<_> = (0..members.len())
@@ -42,23 +42,23 @@
         self.effects.push(Effect::QueueChanged);
     }
 
-    /// Gives reservations back. No start has left, so the attempt can never run.
+    /// Releases reservations and queues the job again. No start has been sent, so the attempt can never run.
     pub(crate) fn abandon_reservations(&mut self, id: &JobId, now: Moment) {
         self.send_stops(id);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        job.misses += 1;
-        let silent = job.parts.iter().filter(|p| p.state.is_none());
-        job.silent = silent.map(|p| p.member.server.clone()).collect();
+        job.failed_commits += 1;
+        let unresponsive = job.parts.iter().filter(|p| p.state.is_none());
+        job.unresponsive = unresponsive.map(|p| p.member.server.clone()).collect();
         self.requeue(id, now);
     }
 
-    /// Goes on to the next step once every member has confirmed the present one.
+    /// Continues with the next step once every member has confirmed the current one.
     pub(crate) fn advance_commit(&mut self, id: &JobId, now: Moment) {
         let job = &self.jobs[id];
         match &job.phase {
             Phase::Reserving { .. } if job.all(|s| *s == TaskState::Reserved) => self.start(id, now),
             Phase::Starting { .. } if job.all(is_armed) => self.go(id, now),
-            Phase::Running { .. } if job.all(|s| matches!(s, TaskState::Finished { .. })) => self.fetch(id, now),
+            Phase::Running { .. } if job.all(|s| matches!(s, TaskState::Finished { .. })) => self.fetch_answer(id, now),
             _ => {}
         }
     }
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Last step: every member is armed, so each may run.
+    /// Takes the last step: every member is armed, so each may run.
     pub(crate) fn go(&mut self, id: &JobId, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.phase = Phase::Running { since: now, next: now + self.limits.resend_every };
         job.go_sent = true;
         job.ran = true;
-        job.misses = 0;
+        job.failed_commits = 0;
         if job.started.is_none() {
             job.started = Some(now);
             let delay = now.since(job.submitted);
@@ -88,8 +88,8 @@
         self.send_go(id);
     }
 
-    /// Repeats `go` to members that have not confirmed it.
-    pub(crate) fn go_again(&mut self, id: &JobId, now: Moment) {
+    /// Sends `go` again to members that have not confirmed it, if that is due.
+    pub(crate) fn resend_go(&mut self, id: &JobId, now: Moment) {
         let resend = now + self.limits.resend_every;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         if let Phase::Running { next, .. } = &mut job.phase
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Renews the leases of one job with `go` set, where that is not confirmed.
+    /// Renews the leases of one job with `go` set, on members that have not confirmed it.
     pub(crate) fn send_go(&mut self, id: &JobId) {
         let ttl = self.limits.lease_ttl;
         let job = &self.jobs[id];
@@ -110,7 +110,8 @@
         }
     }
 
-    pub(crate) fn fetch(&mut self, id: &JobId, now: Moment) {
+    /// Requests the answer of a finished gang from its first member.
+    pub(crate) fn fetch_answer(&mut self, id: &JobId, now: Moment) {
         let next = now + self.limits.resend_every;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         let until = match job.phase {
@@ -122,12 +123,13 @@
         self.call(&server, BackendRequest::Fetch { job: id.clone() });
     }
 
-    pub(crate) fn fetch_again(&mut self, id: &JobId, until: Moment, now: Moment) {
+    /// Requests the answer again, or ends the attempt if `until` has passed.
+    pub(crate) fn refetch_answer(&mut self, id: &JobId, until: Moment, now: Moment) {
         if until <= now {
             let why = "the backend server that keeps the answer does not give it".to_owned();
             return self.stop(id, Cause::AnswerLost { why }, now);
         }
-        self.fetch(id, now);
+        self.fetch_answer(id, now);
     }
 }
 
--- a/crates/lifecycle/src/coordinator.rs
+++ b/crates/lifecycle/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The coordinator: its jobs, what its host may ask of it, and the passing of time.
+//! The coordinator: the jobs of one box, the operations on them, and their time limits.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -15,61 +15,60 @@
     job::{Cause, Job, Phase},
 };
 
-/// How far the tickets of a burst may run ahead of the clock.
-const MINT_AHEAD: Duration = Duration::from_millis(10);
+/// Allowance for the serial numbers of a burst of tickets, which may run ahead of the clock.
+const MINT_SKEW: Duration = Duration::from_millis(10);
 
-/// What the host is to do.
+/// An action that the caller of this crate has to take.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Ask a backend server, and pass the reply to [`Coordinator::on_reply`] with the request.
+    /// Sends a request to a backend server; the request and its reply are to be passed to [`Coordinator::on_reply`].
     Call {
-        /// Whom.
+        /// The backend server to call.
         server: BackendServerId,
-        /// What.
+        /// The request to send.
         req: BackendRequest,
     },
-    /// The queue of waiting jobs is not what it was.
+    /// The queue of waiting jobs has changed.
     QueueChanged,
-    /// The gang of a job began to run, `delay` after its acceptance.
+    /// The gang of a job started to run for the first time.
     Started {
         /// The job.
         job: JobId,
-        /// Time from acceptance.
+        /// Time from acceptance to start.
         delay: Duration,
     },
     /// A job ended.
     Ended {
         /// The job.
         job: JobId,
-        /// Time from acceptance.
+        /// Time from acceptance to end.
         after: Duration,
     },
-    /// Another box holds a job now, or its ticket is void.
+    /// Another box manages a job now, or its ticket is void.
     Moved {
         /// The job.
         job: JobId,
     },
-    /// A backend server refuses a job's ticket for being older than its lease table: the job needs a
-    /// new one.
+    /// A backend server refused a job's ticket because it is older than its lease table. The job needs a new one.
     TicketTooOld {
         /// The job.
         job: JobId,
     },
     /// A run of a job failed on a backend server.
     RunFailed {
-        /// Where.
+        /// The backend server that reported the failure.
         server: BackendServerId,
         /// The job.
         job: JobId,
     },
-    /// Something to be counted.
+    /// An anomaly to count.
     Count(Anomaly),
 }
 
-/// Events that are dropped and counted.
+/// Unexpected events, which are counted. They have no other effect, except for a partial gang, which is stopped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Anomaly {
-    /// A reply to an attempt that is over.
+    /// A reply to an attempt that has ended.
     #[display("stale_reply")]
     StaleReply,
     /// An answer of another job or attempt.
@@ -81,7 +80,7 @@
     /// A grant for a job that was not waiting.
     #[display("late_grant")]
     LateGrant,
-    /// A gang went on in part for a while because a member was lost.
+    /// A gang ran in part for a while because a member was lost.
     #[display("partial_gang")]
     PartialGang,
 }
@@ -91,18 +90,18 @@
 pub struct Waiting {
     /// The job.
     pub job: JobId,
-    /// What is asked for.
+    /// The request.
     pub spec: Arc<JobSpec>,
-    /// Since its acceptance.
+    /// Time since the job was accepted.
     pub waited: Duration,
-    /// Backend servers on which it has failed.
+    /// Backend servers on which it failed, or that did not respond to the last reservation.
     pub avoid: BTreeSet<BackendServerId>,
 }
 
-/// What a job brings along from before its ticket.
+/// State of a request from before its current ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Origin {
-    /// Whether its first attempt goes on from a checkpoint.
+    /// Whether the first attempt resumes from a checkpoint.
     pub resume: bool,
     /// Whether it is certain that the request has not run under another ticket.
     pub certain: bool,
@@ -119,13 +118,13 @@
 pub struct JobView {
     /// The job.
     pub job: JobId,
-    /// What is asked for.
+    /// The request.
     pub spec: Arc<JobSpec>,
-    /// Whether `spec` is the whole request; not so for an adopted job that could not be read yet.
+    /// Whether `spec` is the whole request. False for an adopted job whose request has not been read yet.
     pub described: bool,
-    /// Where it stands.
+    /// Its stage.
     pub stage: Stage,
-    /// The backend servers of its present or last attempt.
+    /// Backend servers of its current or last attempt; empty while it waits.
     pub servers: Vec<BackendServerId>,
 }
 
@@ -135,10 +134,10 @@
     pub(crate) limits: Limits,
     pub(crate) jobs: BTreeMap<JobId, Job>,
     pub(crate) by_request: BTreeMap<(CustomerId, RequestId), JobId>,
-    /// Tickets that went on under another one.
-    pub(crate) renamed: BTreeMap<JobId, JobId>,
-    /// When each backend server last answered.
-    pub(crate) contacts: BTreeMap<BackendServerId, Moment>,
+    /// Tickets that were replaced, with the ticket under which each job continues.
+    pub(crate) replaced_tickets: BTreeMap<JobId, JobId>,
+    /// When each backend server last responded.
+    pub(crate) last_responses: BTreeMap<BackendServerId, Moment>,
     pub(crate) next_renewal: Moment,
     pub(crate) effects: Vec<Effect>,
     last_tick: Moment,
@@ -147,15 +146,15 @@
 }
 
 impl Coordinator {
-    /// A coordinator without jobs.
+    /// Returns a coordinator without jobs that mints tickets for `me` from `born` on.
     pub fn new(me: Holder, limits: Limits, born: Moment) -> Coordinator {
         Coordinator {
             me,
             limits,
             jobs: BTreeMap::new(),
             by_request: BTreeMap::new(),
-            renamed: BTreeMap::new(),
-            contacts: BTreeMap::new(),
+            replaced_tickets: BTreeMap::new(),
+            last_responses: BTreeMap::new(),
             next_renewal: Moment::ZERO,
             effects: Vec::new(),
             last_tick: Moment::ZERO,
@@ -169,33 +168,33 @@
         &self.me
     }
 
-    /// Makes a ticket that only this coordinator may start.
+    /// Mints a ticket under which only this coordinator may start a job.
     pub fn mint(&mut self, now: Moment) -> JobId {
-        // Many tickets in a burst run ahead of the clock: a ticket then seems younger than it is by
-        // a millisecond each, which the allowance for skew covers.
+        // The serial numbers of a burst run ahead of the clock, so that a ticket seems younger than it is by a
+        // millisecond for each earlier one. `MINT_SKEW` covers that.
         self.last_serial = (self.last_serial + 1).max(now.since(self.born).millis());
         JobId { minted_by: self.me.box_id.clone(), incarnation: self.me.incarnation, serial: self.last_serial }
     }
 
-    /// How long ago this coordinator made a ticket, never too low.
+    /// Returns an upper bound of the time since this coordinator minted a ticket.
     pub(crate) fn ticket_age(&self, job: &JobId, now: Moment) -> Duration {
-        Duration::from_millis(now.since(self.born).millis().saturating_sub(job.serial)) + MINT_AHEAD
+        Duration::from_millis(now.since(self.born).millis().saturating_sub(job.serial)) + MINT_SKEW
     }
 
-    /// Whether this coordinator made the ticket.
+    /// Whether this coordinator minted the ticket.
     pub fn minted(&self, job: &JobId) -> bool {
         job.minted_by == self.me.box_id && job.incarnation == self.me.incarnation && job.serial <= self.last_serial
     }
 
-    /// Takes a job into the queue under a new ticket. The host has seen to it that the request is
-    /// not known elsewhere.
+    /// Adds a job to the queue under a new ticket, which it returns. The caller of this crate ensures that no other box
+    /// manages the request.
     pub fn submit(&mut self, spec: JobSpec, now: Moment) -> JobId {
         let job = self.mint(now);
         self.submit_as(job.clone(), spec, Origin::default(), now);
         job
     }
 
-    /// Takes a job into the queue under a ticket that this coordinator minted before.
+    /// Adds a job to the queue under a ticket that this coordinator minted before. Panics if another one minted it.
     pub fn submit_as(&mut self, job: JobId, spec: JobSpec, origin: Origin, now: Moment) {
         assert!(self.minted(&job), "only the minting process may start a ticket");
         self.by_request.insert((spec.customer.clone(), spec.request.clone()), job.clone());
@@ -204,36 +203,36 @@
         self.effects.push(Effect::QueueChanged);
     }
 
-    /// The job of a request, by the caller's name for it.
+    /// Returns the job of a request, by the caller's name for it, or `None` if there is none here.
     pub fn find(&self, customer: &CustomerId, request: &RequestId) -> Option<JobView> {
         let job = self.by_request.get(&(customer.clone(), request.clone()))?;
         self.view(job)
     }
 
-    /// A job by its ticket, also one that went on under another.
+    /// Returns a job by its ticket, also if it continues under another one, or `None` if it is not here.
     pub fn view(&self, job: &JobId) -> Option<JobView> {
-        let id = self.renamed.get(job).unwrap_or(job);
+        let id = self.replaced_tickets.get(job).unwrap_or(job);
         let job = self.jobs.get(id)?;
         Some(job.view(id))
     }
 
-    /// Every job, for status pages.
+    /// Returns every job, for status pages. Ended jobs are included until their retention time is over.
     pub fn views(&self) -> impl Iterator<Item = JobView> {
         self.jobs.iter().map(|(id, job)| job.view(id))
     }
 
-    /// Jobs that have neither ended nor moved.
+    /// Returns the number of jobs that have neither ended nor moved nor become void.
     pub fn open_jobs(&self) -> usize {
-        self.jobs.values().filter(|job| !job.is_over()).count()
+        self.jobs.values().filter(|job| !job.has_ended()).count()
     }
 
-    /// How many jobs of a customer and class are waiting.
+    /// Returns the number of waiting jobs with the same customer and class as `spec`.
     pub fn queue_len(&self, spec: &JobSpec) -> usize {
         let same = |job: &Job| job.spec.customer == spec.customer && job.spec.class == spec.class;
         self.jobs.values().filter(|job| matches!(job.phase, Phase::Waiting { .. }) && same(job)).count()
     }
 
-    /// The jobs that a planner may place now.
+    /// Returns the jobs that a planner may place now; those in a backoff are left out.
     pub fn waiting(&self, now: Moment) -> Vec<Waiting> {
         let ready = |job: &Job| matches!(job.phase, Phase::Waiting { not_before } if not_before <= now);
         let waiting = self.jobs.iter().filter(|(_, job)| ready(job));
@@ -242,12 +241,13 @@
                 job: id.clone(),
                 spec: Arc::clone(&job.spec),
                 waited: now.since(job.submitted),
-                avoid: job.failed_on.union(&job.silent).cloned().collect(),
+                avoid: job.failed_on.union(&job.unresponsive).cloned().collect(),
             })
             .collect()
     }
 
-    /// Begins an attempt on the given members. A grant for a job that is not waiting is dropped.
+    /// Begins an attempt on the given members. A grant is dropped and counted if the job is not waiting or if the
+    /// number of tasks differs.
     pub fn grant(&mut self, job: &JobId, members: Vec<Member>, now: Moment) {
         let tasks: u32 = members.iter().map(|m| m.tasks).sum();
         match self.jobs.get_mut(job) {
@@ -258,38 +258,38 @@
         }
     }
 
-    /// Gives a waiting job up to another box: it is forgotten here and its ticket is never started.
-    /// `None` if the job has to stay.
+    /// Removes a waiting job so that another box can take it; it is never started under its ticket here. Returns `None`
+    /// if the job has to stay, because it does not wait or may not run again.
     pub fn release(&mut self, job: &JobId) -> Option<(Arc<JobSpec>, Origin)> {
         let it = self.jobs.get(job)?;
-        // What has run can go on elsewhere only from a checkpoint, or if it may run again.
-        let fresh = it.resume || it.spec.repeatable || (!it.ran && it.certain);
-        if !matches!(it.phase, Phase::Waiting { .. }) || !fresh {
+        // A job that has run can continue elsewhere only from a checkpoint, or if it may run again.
+        let releasable = it.resume || it.spec.repeatable || (!it.ran && it.certain);
+        if !matches!(it.phase, Phase::Waiting { .. }) || !releasable {
             return None;
         }
         let origin = Origin { resume: it.resume, certain: it.certain && !it.ran };
         let found = (Arc::clone(&it.spec), origin);
-        self.forget(job);
+        self.remove(job);
         self.effects.push(Effect::QueueChanged);
         Some(found)
     }
 
-    /// Ends a waiting job that has never run, for instance because it can never be placed.
+    /// Ends a waiting job, for instance because it can never be placed. Does nothing if the job does not wait.
     pub fn refuse(&mut self, job: &JobId, reason: NotRunReason, retry_after: Option<Duration>, now: Moment) {
         let Some(it) = self.jobs.get(job) else { return };
         if !matches!(it.phase, Phase::Waiting { .. }) {
             return;
         }
-        let outcome = never_ran(it, reason, retry_after);
+        let outcome = waiting_outcome(it, reason, retry_after);
         self.end(job, outcome, now);
     }
 
-    /// Whether a waiting job goes on from a checkpoint.
+    /// Whether the next attempt of a job resumes from a checkpoint.
     pub fn resumes(&self, job: &JobId) -> bool {
         self.jobs.get(job).is_some_and(|it| it.resume)
     }
 
-    /// Since when another box holds a job.
+    /// Returns since when another box manages a job, or `None` if none does.
     pub fn moved_at(&self, job: &JobId) -> Option<Moment> {
         match self.jobs.get(job)?.phase {
             Phase::Moved { at, .. } => Some(at),
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Forgets how a job ended: its request has gone on under another ticket.
+    /// Discards the outcome of an ended job because its request continues under another ticket.
     pub fn void(&mut self, job: &JobId) {
         if let Some(it) = self.jobs.get_mut(job)
             && let Phase::Ended { at, .. } = it.phase
@@ -306,9 +306,10 @@
         }
     }
 
-    /// Takes a job back for its caller.
+    /// Cancels a job for its caller. A running gang is stopped first; a job that has ended or moved, or whose
+    /// answer is being read, is not affected.
     pub fn cancel(&mut self, job: &JobId, now: Moment) {
-        let id = self.renamed.get(job).unwrap_or(job).clone();
+        let id = self.replaced_tickets.get(job).unwrap_or(job).clone();
         let Some(it) = self.jobs.get_mut(&id) else { return };
         match &it.phase {
             Phase::Ended { .. } | Phase::Moved { .. } | Phase::Void { .. } | Phase::Fetching { .. } => {}
@@ -320,9 +321,9 @@
         }
     }
 
-    /// The caller has the whole answer: backend servers need not keep it.
+    /// Records that the caller has the whole answer, so that backend servers need not keep it.
     pub fn acknowledge(&mut self, job: &JobId) {
-        let id = self.renamed.get(job).unwrap_or(job).clone();
+        let id = self.replaced_tickets.get(job).unwrap_or(job).clone();
         let Some(it) = self.jobs.get(&id) else { return };
         if !matches!(it.phase, Phase::Ended { .. }) {
             return;
@@ -334,7 +335,7 @@
         self.effects.extend(calls);
     }
 
-    /// Lets time pass: deadlines, repeated calls, renewals.
+    /// Advances time to `now`: handles deadlines, repeated calls and renewals.
     pub fn tick(&mut self, now: Moment) {
         let ids: Vec<JobId> = self.jobs.keys().cloned().collect();
         for id in &ids {
@@ -344,7 +345,7 @@
         self.last_tick = now;
     }
 
-    /// What there is to do since the last call.
+    /// Returns and clears the effects since the last call.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         mem::take(&mut self.effects)
     }
@@ -360,25 +361,25 @@
             Phase::Starting { until } if *until <= now => self.stop(id, Cause::StartFailed, now),
             Phase::Running { since, .. } => {
                 let since = *since;
-                self.go_again(id, now);
-                self.check_contacts(id, since, now);
+                self.resend_go(id, now);
+                self.detect_lost_members(id, since, now);
             }
             Phase::Fetching { next, until } if *next <= now => {
                 let until = *until;
-                self.fetch_again(id, until, now);
+                self.refetch_answer(id, until, now);
             }
             Phase::Stopping { .. } => self.tick_stopping(id, now),
             Phase::Adopting { .. } => self.tick_adopting(id, now),
             Phase::Ended { at, .. } | Phase::Moved { at, .. } | Phase::Void { at }
                 if now.since(*at) > self.limits.retention =>
             {
-                self.forget(id);
+                self.remove(id);
             }
             _ => {}
         }
     }
 
-    /// `ready` says that the wait before another try has just ended.
+    /// Ends a waiting job whose deadline has passed. `ready` is true if its backoff has ended since the last tick.
     fn tick_waiting(&mut self, id: &JobId, ready: bool, now: Moment) {
         if ready {
             self.effects.push(Effect::QueueChanged);
@@ -387,22 +388,23 @@
         let waited = now.since(job.submitted);
         let limit = job.spec.deadline.unwrap_or(self.limits.max_wait).min(self.limits.max_wait);
         if waited > limit {
-            let outcome = never_ran(job, NotRunReason::DeadlinePassed, None);
+            let outcome = waiting_outcome(job, NotRunReason::DeadlinePassed, None);
             self.end(id, outcome, now);
         }
     }
 
-    fn forget(&mut self, id: &JobId) {
+    /// Removes all records of a job.
+    fn remove(&mut self, id: &JobId) {
         let Some(job) = self.jobs.remove(id) else { return };
         let name = (job.spec.customer.clone(), job.spec.request.clone());
         if self.by_request.get(&name) == Some(id) {
             self.by_request.remove(&name);
         }
-        self.renamed.retain(|_, new| new != id);
+        self.replaced_tickets.retain(|_, new| new != id);
     }
 
     pub(crate) fn end(&mut self, id: &JobId, outcome: Outcome, now: Moment) {
-        let job = self.jobs.get_mut(id).expect("only known jobs end");
+        let job = self.jobs.get_mut(id).expect("only tracked jobs end");
         job.phase = Phase::Ended { outcome, at: now };
         let after = now.since(job.submitted);
         self.effects.push(Effect::Ended { job: id.clone(), after });
@@ -410,7 +412,7 @@
     }
 
     pub(crate) fn moved(&mut self, id: &JobId, to: Holder, now: Moment) {
-        let job = self.jobs.get_mut(id).expect("only known jobs move");
+        let job = self.jobs.get_mut(id).expect("only tracked jobs move");
         job.phase = Phase::Moved { to, at: now };
         self.effects.push(Effect::Moved { job: id.clone() });
     }
@@ -420,8 +422,8 @@
     }
 }
 
-/// The outcome of a job that ends while it waits: "not run" only if that is certain.
-pub(crate) fn never_ran(job: &Job, reason: NotRunReason, retry_after: Option<Duration>) -> Outcome {
+/// Returns the outcome of a job that ends while it waits: "not run" only if that is certain.
+pub(crate) fn waiting_outcome(job: &Job, reason: NotRunReason, retry_after: Option<Duration>) -> Outcome {
     if job.ran {
         return Outcome::Failed { why: format!("it ran, was stopped, and then: {reason}") };
     }
--- a/crates/lifecycle/src/ending.rs
+++ b/crates/lifecycle/src/ending.rs
@@ -1,4 +1,4 @@
-//! Stopping a gang, and what comes after: another try, or an outcome.
+//! Stopping a gang, and the result of that: a further attempt or an outcome.
 
 use backend::{BackendRequest, TaskState};
 use model::{Duration, JobId, Moment, Outcome};
@@ -9,7 +9,7 @@
 };
 
 impl Coordinator {
-    /// Begins to stop the present attempt, unless that has begun.
+    /// Begins to stop the current attempt. If that has already begun, only a cancellation replaces the cause.
     pub(crate) fn stop(&mut self, id: &JobId, cause: Cause, now: Moment) {
         let limits = self.limits;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
@@ -21,15 +21,15 @@
             Cause::Preempted => limits.checkpoint_wait + limits.stop_wait,
             _ => limits.stop_wait,
         };
-        // A member that is writing its checkpoint is left to finish it.
+        // A member that is writing its checkpoint gets the time to finish it.
         let first = if cause == Cause::Preempted { now + limits.checkpoint_wait } else { now };
         job.phase = Phase::Stopping { cause, next: first, until: now + wait };
         self.tick_stopping(id, now);
     }
 
-    /// Sends stops that are due, and ends the stopping once it is settled.
+    /// Sends stops that are due, and completes the stop once its result is known or its time has passed.
     pub(crate) fn tick_stopping(&mut self, id: &JobId, now: Moment) {
-        if self.settle_stop(id, now) {
+        if self.try_complete_stop(id, now) {
             return;
         }
         let resend = now + self.limits.resend_every;
@@ -44,26 +44,26 @@
     pub(crate) fn send_stops(&mut self, id: &JobId) {
         let job = &self.jobs[id];
         let token = job.token();
-        let open: Vec<_> = job.parts.iter().filter(|p| !p.is_over()).map(|p| p.member.server.clone()).collect();
+        let open: Vec<_> = job.parts.iter().filter(|p| !p.has_ended()).map(|p| p.member.server.clone()).collect();
         for server in open {
             self.call(&server, BackendRequest::Stop { job: id.clone(), token });
         }
     }
 
-    /// Ends the stopping if enough is known; says whether it did.
-    pub(crate) fn settle_stop(&mut self, id: &JobId, now: Moment) -> bool {
+    /// Completes the stop if its result is known or its time has passed, and returns whether it did.
+    pub(crate) fn try_complete_stop(&mut self, id: &JobId, now: Moment) -> bool {
         let job = &self.jobs[id];
         let Phase::Stopping { cause, until, .. } = &job.phase else { return false };
         let expired = *until <= now;
-        let all_over = job.parts.iter().all(|p| p.is_over());
-        // A member that accepted the stop before it ran was never adopted, and `go` needs every
-        // member: nobody has sent it and nobody can.
-        let never_ran = !job.go_sent && !job.adopted && job.parts.iter().any(|p| p.is_over() && !p.ran());
-        if !(expired || all_over || never_ran) {
+        let all_ended = job.parts.iter().all(|p| p.has_ended());
+        // `go` needs every member. If one has accepted the stop before it ran, no coordinator has sent `go` and none
+        // can.
+        let never_ran = !job.go_sent && !job.adopted && job.parts.iter().any(|p| p.has_ended() && !p.ran());
+        if !(expired || all_ended || never_ran) {
             return false;
         }
         let cause = cause.clone();
-        let certain = all_over || never_ran;
+        let certain = all_ended || never_ran;
         self.after_stop(id, cause, certain, never_ran, now);
         true
     }
@@ -94,7 +94,7 @@
 
     fn after_failed_start(&mut self, id: &JobId, ran: bool, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        job.misses += 1;
+        job.failed_commits += 1;
         if job.spec.repeatable || (job.certain && !ran) {
             return self.requeue(id, now);
         }
@@ -130,12 +130,12 @@
         self.end(id, Outcome::Failed { why }, now);
     }
 
-    /// Counts a run that lost a backend server. A job that loses one each time it begins is at fault itself: it would take one after
-    /// the other down, without an end.
+    /// Counts a run that lost a backend server, and returns whether the job has to end. A job that loses one at each
+    /// start is itself treated as the cause, since further attempts would make one backend server after another fail.
     fn lost_too_often(&mut self, id: &JobId, now: Moment) -> bool {
         let Limits { early_loss, max_failures, .. } = self.limits;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        let early = now.since(job.attempt_began) <= early_loss;
+        let early = now.since(job.attempt_started) <= early_loss;
         job.early_losses = if early { job.early_losses + 1 } else { 0 };
         job.spec.repeatable && job.early_losses >= max_failures
     }
@@ -149,28 +149,29 @@
         self.end(id, outcome, now);
     }
 
-    /// Back into the queue. A job that was adopted goes on under a ticket of this box, since the
-    /// box that minted the old one may wake and try again under that.
+    /// Puts a job back into the queue. An adopted job continues under a ticket of this box, since the box that minted
+    /// the old one may recover and start the job under it.
     pub(crate) fn requeue(&mut self, id: &JobId, now: Moment) {
         let job = &self.jobs[id];
-        // What may run only once and has not run is for its claim to decide on, not for an adopter.
-        let for_claim = job.adopted && !job.spec.repeatable && !job.ran;
-        if !job.described || for_claim {
-            return self.give_up_adopted(id, now);
+        // Whether a job that may run only once and has not run is started again depends on its claim in the store, not
+        // on the box that adopted it.
+        let decided_by_claim = job.adopted && !job.spec.repeatable && !job.ran;
+        if !job.described || decided_by_claim {
+            return self.abandon_adopted(id, now);
         }
         let backoff = self.backoff(&self.jobs[id]);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.phase = Phase::Waiting { not_before: now + backoff };
         job.parts.clear();
         if job.adopted {
-            self.rename(id, now);
+            self.replace_ticket(id, now);
         }
         self.effects.push(Effect::QueueChanged);
     }
 
-    /// An adopted job that cannot be tried again here: its caller sends it again, unless it may run
-    /// only once and has.
-    fn give_up_adopted(&mut self, id: &JobId, now: Moment) {
+    /// Abandons an adopted job that can't be started again here. Its caller submits it again, unless the job may run
+    /// only once and has run: then its outcome is unknown.
+    fn abandon_adopted(&mut self, id: &JobId, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         if job.ran && !job.spec.repeatable {
             let why = "its box is gone, and what was asked for could not be read".to_owned();
@@ -180,23 +181,25 @@
         self.effects.push(Effect::Moved { job: id.clone() });
     }
 
-    fn rename(&mut self, old: &JobId, now: Moment) {
+    /// Continues an adopted job under a new ticket of this box.
+    fn replace_ticket(&mut self, old: &JobId, now: Moment) {
         let new = self.mint(now);
         let mut job = self.jobs.remove(old).expect("the caller has read the job");
         job.adopted = false;
         job.attempt = model::Attempt(0);
         job.epoch = model::Epoch(0);
         self.by_request.insert((job.spec.customer.clone(), job.spec.request.clone()), new.clone());
-        for target in self.renamed.values_mut().filter(|target| *target == old) {
+        for target in self.replaced_tickets.values_mut().filter(|target| *target == old) {
             *target = new.clone();
         }
-        self.renamed.insert(old.clone(), new.clone());
+        self.replaced_tickets.insert(old.clone(), new.clone());
         self.jobs.insert(new, job);
     }
 
-    /// Doubles with each try, and is spread by the job's serial so that many do not come back at once.
+    /// Returns the wait before the next attempt. It doubles with each failed attempt, and an offset by attempt number
+    /// and time of submission keeps many jobs from retrying at once.
     fn backoff(&self, job: &Job) -> Duration {
-        let tries = job.misses + job.failures + job.early_losses;
+        let tries = job.failed_commits + job.failures + job.early_losses;
         if tries == 0 {
             return Duration::ZERO;
         }
@@ -208,8 +211,8 @@
 }
 
 impl Coordinator {
-    /// Reports a failed run, so that bad backend servers are told from bad jobs.
-    pub(crate) fn note_failure(&mut self, id: &JobId, server: &model::BackendServerId) {
+    /// Reports a failed run once per backend server, so that faulty backend servers can be told from faulty jobs.
+    pub(crate) fn record_failure(&mut self, id: &JobId, server: &model::BackendServerId) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         if job.failed_on.insert(server.clone()) {
             self.effects.push(Effect::RunFailed { server: server.clone(), job: id.clone() });
--- a/crates/lifecycle/src/job.rs
+++ b/crates/lifecycle/src/job.rs
@@ -1,4 +1,4 @@
-//! One job as its coordinator sees it.
+//! One job as its coordinator tracks it.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -7,67 +7,69 @@
 
 use crate::JobView;
 
-/// Where a job stands, for callers and operators.
+/// The stage of a job, for callers and operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Stage {
-    /// In the queue.
+    /// The job is in the queue.
     Waiting,
-    /// Reserving or starting its gang.
+    /// Its gang is being reserved or started.
     Starting,
-    /// Its gang runs.
+    /// Its gang runs, is being adopted, or has finished and its answer is being read.
     Running,
     /// Its gang is being stopped.
     Stopping,
-    /// Another box holds it now.
+    /// Another box manages the job now.
     Moved(Holder),
-    /// Its ticket was fenced before anything of it ran: it will not run under this ticket.
+    /// The job will not run under this ticket, which was fenced, replaced or abandoned. The request may continue under
+    /// another one.
     Void,
-    /// Over.
+    /// The job has ended.
     Ended(Outcome),
 }
 
-/// A job and its present attempt.
+/// A job and its current attempt.
 pub(crate) struct Job {
     pub(crate) spec: Arc<JobSpec>,
     pub(crate) submitted: Moment,
     pub(crate) attempt: Attempt,
     pub(crate) epoch: Epoch,
-    /// Whether another box made the first start, so that a further try needs a ticket of this box.
+    /// Whether another box made the first start, so that a further attempt needs a ticket of this box.
     pub(crate) adopted: bool,
-    /// Whether `spec` is the whole request rather than what a lease line tells of it.
+    /// Whether `spec` is the whole request rather than the part that a lease line contains.
     pub(crate) described: bool,
-    pub(crate) attempt_began: Moment,
-    /// The members of the present attempt.
+    pub(crate) attempt_started: Moment,
+    /// The members of the current attempt.
     pub(crate) parts: Vec<Part>,
     pub(crate) phase: Phase,
-    /// Whether `go` left this box for the present attempt.
+    /// Whether this box has sent `go` for the current attempt.
     pub(crate) go_sent: bool,
-    /// Whether any attempt ran, wholly or in part.
+    /// Whether any attempt is known to have run, wholly or in part.
     pub(crate) ran: bool,
-    /// Whether it is certain that no attempt ran other than as `ran` says.
+    /// Whether `ran` is certain: false once an attempt may have run without this box having recorded it.
     pub(crate) certain: bool,
-    /// Whether the next attempt goes on from a checkpoint.
+    /// Whether the next attempt resumes from a checkpoint.
     pub(crate) resume: bool,
-    /// Attempts that got no gang together; governs the backoff.
-    pub(crate) misses: u32,
+    /// Attempts in which not every member was reserved and started; part of the backoff.
+    pub(crate) failed_commits: u32,
     /// Attempts that ran and failed.
     pub(crate) failures: u32,
-    /// Attempts that lost a backend server as they began, since one last ran for longer.
+    /// Successive losses of a backend server within [`crate::Limits::early_loss`] of an attempt's start.
     pub(crate) early_losses: u32,
-    /// Where attempts failed.
+    /// Backend servers on which attempts failed.
     pub(crate) failed_on: BTreeSet<BackendServerId>,
-    /// Members of the last attempt that did not answer its reservations.
-    pub(crate) silent: BTreeSet<BackendServerId>,
+    /// Members of the last attempt that did not respond to its reservations.
+    pub(crate) unresponsive: BTreeSet<BackendServerId>,
+    /// When the gang first started to run.
     pub(crate) started: Option<Moment>,
 }
 
-/// One member of the present attempt.
+/// One member of the current attempt.
 #[derive(Debug, Clone)]
 pub(crate) struct Part {
     pub(crate) member: Member,
-    /// The last state heard of; `None` before the first reply.
+    /// The last state received; `None` before the first reply.
     pub(crate) state: Option<TaskState>,
-    /// Whether a stop was accepted.
+    /// Whether the backend server has accepted a stop.
     pub(crate) stopped: bool,
 }
 
@@ -76,8 +78,8 @@
         Part { member, state: None, stopped: false }
     }
 
-    /// Whether nothing of this member can still run.
-    pub(crate) fn is_over(&self) -> bool {
+    /// Whether nothing of this member can run any more.
+    pub(crate) fn has_ended(&self) -> bool {
         self.stopped || self.state.as_ref().is_some_and(|s| !s.holds())
     }
 
@@ -89,17 +91,17 @@
 /// Why a gang is being stopped.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Cause {
-    /// Not every member could be armed; `go` has not left this box.
+    /// Not every member could be armed; this box has not sent `go`.
     StartFailed,
-    /// The caller took the job back.
+    /// The caller cancelled the job.
     Cancelled,
     /// A task reported a failure.
     TaskFailed { why: String },
-    /// The gang was stopped to make room.
+    /// The gang was stopped to free resources for another job.
     Preempted,
-    /// A member stopped answering, or forgot its lease.
+    /// A member became unresponsive, or has lost its lease.
     MemberLost { server: BackendServerId },
-    /// The finished gang's answer cannot be had.
+    /// The finished gang's answer can't be read.
     AnswerLost { why: String },
 }
 
@@ -125,18 +127,18 @@
             epoch: Epoch(0),
             adopted: false,
             described: true,
-            attempt_began: now,
+            attempt_started: now,
             parts: Vec::new(),
             phase: Phase::Waiting { not_before: now },
             go_sent: false,
             ran: false,
             certain: true,
             resume: false,
-            misses: 0,
+            failed_commits: 0,
             failures: 0,
             early_losses: 0,
             failed_on: BTreeSet::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
             started: None,
         }
     }
@@ -157,12 +159,12 @@
         self.parts.iter().all(|p| p.state.as_ref().is_some_and(&f))
     }
 
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_ended(&self) -> bool {
         matches!(self.phase, Phase::Ended { .. } | Phase::Moved { .. } | Phase::Void { .. })
     }
 
-    /// Whether its leases are to be renewed.
-    pub(crate) fn is_held(&self) -> bool {
+    /// Whether its leases have to be renewed.
+    pub(crate) fn needs_renewal(&self) -> bool {
         matches!(self.phase, Phase::Starting { .. } | Phase::Running { .. })
     }
 
--- a/crates/lifecycle/src/lib.rs
+++ b/crates/lifecycle/src/lib.rs
@@ -1,14 +1,22 @@
-//! The life of a job from its acceptance to its answer, as a state machine without I/O.
+//! The state machine of jobs from acceptance to answer, without I/O.
 //!
-//! A [`Coordinator`] holds the jobs of one box. It is told of submissions, grants, replies of
-//! backend servers, lease tables and the time; it returns [`Effect`]s for its host to carry out.
-//! It reads no clock and draws no random numbers, so that several of them can be run against
-//! each other in virtual time.
+//! A [`Coordinator`] manages the jobs of one box. Its inputs are submissions, grants, replies of backend servers,
+//! lease tables and the time; its outputs are [`Effect`]s, which the caller of this crate executes. It reads no clock
+//! and draws no random numbers, so that tests can run several coordinators against each other in virtual time.
+//!
+//! # Terms
+//! - A *ticket* is a job's id ([`model::JobId`]). Only the process that minted it may make the first start under it,
+//!   so that no two boxes start it at once. A backend server that *fences* a ticket refuses every later start under it.
+//! - An *attempt* is one try to run a whole gang.
+//! - An *epoch* numbers the coordinators that have held an attempt, one after another. Attempt and epoch form the
+//!   lease token, by which backend servers refuse messages of an earlier coordinator or attempt.
+//! - A *grant* is a planner's decision to start a waiting job on given backend servers.
+//! - *Adoption* is the takeover of a running gang from a box that has failed.
 //!
 //! # Gang commit
-//! `Reserve` on every member, then `Start` on every member, then `go` (in a renewal) on every
-//! member, each step only when all members have confirmed the one before. A task runs only after
-//! `go`. See `docs/design/0002-gang-commit.md` for the argument that no gang runs in part.
+//! A gang starts in three steps: `Reserve` on every member, `Start` on every member, and `go` (in a renewal) on every
+//! member. Each step begins only when all members have confirmed the one before, and a task runs only after `go`.
+//! `docs/design/0002-gang-commit.md` argues why no gang runs in part.
 //!
 //! ```
 //! use backend::Holder;
--- a/crates/lifecycle/src/limits.rs
+++ b/crates/lifecycle/src/limits.rs
@@ -1,43 +1,44 @@
-//! How long each step of a job's life may take.
+//! Time limits of the steps that a job goes through.
 
 use model::Duration;
 
-/// The time limits of a [`crate::Coordinator`]. The reasons stand in `docs/design/0002-gang-commit.md`.
+/// Time limits of a [`crate::Coordinator`]. `docs/design/0002-gang-commit.md` gives the reasons.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// All reservations of a gang must stand within this.
+    /// Time within which all reservations of a gang must be confirmed.
     pub reserve_wait: Duration,
-    /// A reservation lapses after this; longer than `reserve_wait` plus a call.
+    /// Time after which a reservation expires; longer than `reserve_wait` plus a call.
     pub reserve_ttl: Duration,
-    /// All members must be armed within this.
+    /// Time within which all members must be armed.
     pub start_wait: Duration,
-    /// A lease lapses after this without a renewal. Long, since a lapse costs hours of work;
-    /// a dead box's leases are adopted much sooner.
+    /// Time after which a lease expires without a renewal. It is long, since an expiry costs hours of work; the
+    /// leases of a box that has failed are adopted much sooner.
     pub lease_ttl: Duration,
-    /// Leases are renewed this often.
+    /// Interval between renewals of leases.
     pub renew_every: Duration,
-    /// A lost stop, adoption or fetch is sent again after this.
+    /// Time after which an unanswered `go`, stop, adoption or fetch is sent again.
     pub resend_every: Duration,
-    /// How long a stop waits for members that do not answer.
+    /// Time that a stop waits for members that do not respond.
     pub stop_wait: Duration,
-    /// After this long in doubt about a request that may run only once, the outcome is unknown.
+    /// Longest time to find out whether a failed start of a request that may run only once has run it; after that the
+    /// outcome is unknown.
     pub doubt_limit: Duration,
-    /// How long a preempted gang may take to write its checkpoints.
+    /// Time that a preempted gang has to write its checkpoints.
     pub checkpoint_wait: Duration,
-    /// How long a finished gang's answer is asked for.
+    /// Time during which the answer of a finished gang is requested.
     pub fetch_wait: Duration,
-    /// First wait before another try; doubles with each.
+    /// Wait after the first failed attempt; doubles with each further one.
     pub backoff: Duration,
-    /// Longest wait before another try.
+    /// Longest wait before another attempt, without the offset that spreads retries.
     pub backoff_max: Duration,
-    /// Failed runs before a job is held to be at fault itself.
+    /// Number of failed runs, or of successive early losses, after which the job itself is treated as faulty.
     pub max_failures: u32,
-    /// A run that lost a backend server within this of its beginning is held to have lost it as it began: a lease, after which the loss is known at the
-    /// latest, and 10 s. Such losses count as failures.
+    /// Time from the start of a run within which the loss of a backend server counts as a failed start of the job. It
+    /// is the length of a lease, after which a loss is detected at the latest, and 10 s.
     pub early_loss: Duration,
-    /// How long the end of a job is remembered.
+    /// Time for which an ended job is kept.
     pub retention: Duration,
-    /// A job that waited this long is given up, well before backend servers forget fenced tickets.
+    /// Longest time in the queue, after which a job ends; well before backend servers remove fenced tickets.
     pub max_wait: Duration,
 }
 
--- a/crates/lifecycle/src/renewal.rs
+++ b/crates/lifecycle/src/renewal.rs
@@ -1,4 +1,4 @@
-//! Renewal of leases: one call for all leases of this box on a backend server.
+//! Renewal of leases. One call renews all leases of this box on a backend server.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 };
 
 impl Coordinator {
-    /// Renews everything when it is time.
+    /// Renews all leases if the renewal interval has passed.
     pub(crate) fn renew_due(&mut self, now: Moment) {
         if now < self.next_renewal {
             return;
@@ -25,9 +25,9 @@
 
     fn renewals(&self) -> BTreeMap<BackendServerId, Vec<Renewal>> {
         let mut by_server: BTreeMap<BackendServerId, Vec<Renewal>> = BTreeMap::new();
-        for (id, job) in self.jobs.iter().filter(|(_, job)| job.is_held()) {
+        for (id, job) in self.jobs.iter().filter(|(_, job)| job.needs_renewal()) {
             let go = matches!(job.phase, Phase::Running { .. });
-            for part in job.parts.iter().filter(|part| !part.is_over()) {
+            for part in job.parts.iter().filter(|part| !part.has_ended()) {
                 let lease = Renewal { job: id.clone(), token: job.token(), go };
                 by_server.entry(part.member.server.clone()).or_default().push(lease);
             }
@@ -35,14 +35,14 @@
         by_server
     }
 
-    /// A member that has not answered for the length of its lease is lost, and the rest is stopped.
-    pub(crate) fn check_contacts(&mut self, id: &JobId, since: Moment, now: Moment) {
+    /// Stops a gang with a member on a backend server that has not responded for the length of a lease.
+    pub(crate) fn detect_lost_members(&mut self, id: &JobId, since: Moment, now: Moment) {
         let job = &self.jobs[id];
-        let silent = |server: &BackendServerId| {
-            let last = self.contacts.get(server).copied().unwrap_or(since).max(since);
+        let unresponsive = |server: &BackendServerId| {
+            let last = self.last_responses.get(server).copied().unwrap_or(since).max(since);
             now.since(last) > self.limits.lease_ttl
         };
-        let lost = job.parts.iter().find(|part| !part.is_over() && silent(&part.member.server));
+        let lost = job.parts.iter().find(|part| !part.has_ended() && unresponsive(&part.member.server));
         if let Some(part) = lost {
             let server = part.member.server.clone();
             self.effects.push(Effect::Count(Anomaly::PartialGang));
--- a/crates/lifecycle/src/replies.rs
+++ b/crates/lifecycle/src/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of backend servers.
+//! Handling of replies from backend servers.
 
 use backend::{Answer, BackendReply, BackendRequest, Holder, Refusal, Renewal, TaskState};
 use model::{BackendServerId, JobId, LeaseToken, Moment, Outcome};
@@ -9,8 +9,8 @@
 };
 
 impl Coordinator {
-    /// Takes the reply to a request that an effect asked for. `None` when none came: the request
-    /// may or may not have taken effect, and the steps' deadlines see to it.
+    /// Handles the reply to the request of an [`Effect::Call`]. `reply` is `None` if none was received: the request may
+    /// or may not have taken effect, and the time limit of the step applies.
     pub fn on_reply(
         &mut self,
         server: &BackendServerId,
@@ -19,7 +19,7 @@
         now: Moment,
     ) {
         let Some(reply) = reply else { return };
-        self.contacts.insert(server.clone(), now);
+        self.last_responses.insert(server.clone(), now);
         match (req, reply) {
             (BackendRequest::Renew { leases, .. }, BackendReply::Renewed { results }) => {
                 for (lease, result) in leases.iter().zip(results) {
@@ -27,8 +27,8 @@
                 }
             }
             (BackendRequest::Stop { job, token }, BackendReply::Stopped { ran, remembers }) => {
-                // A table younger than the attempt cannot say that nothing ran.
-                let began = self.jobs.get(job).map_or(now, |it| it.attempt_began);
+                // A lease table that is younger than the attempt can't confirm that nothing ran.
+                let began = self.jobs.get(job).map_or(now, |it| it.attempt_started);
                 let ran = ran || remembers < now.since(began);
                 self.on_stopped(server, job, *token, ran, now);
             }
@@ -45,9 +45,9 @@
         }
     }
 
-    /// Whether a reply belongs to the present attempt; a stale one is counted.
+    /// Whether a reply belongs to the current attempt; a stale one is counted.
     fn is_current(&mut self, job: &JobId, token: LeaseToken) -> bool {
-        let current = self.jobs.get(job).is_some_and(|it| it.token() == token && !it.is_over());
+        let current = self.jobs.get(job).is_some_and(|it| it.token() == token && !it.has_ended());
         if !current {
             self.effects.push(Effect::Count(Anomaly::StaleReply));
         }
@@ -78,24 +78,25 @@
         match result {
             Ok(state) => self.on_state(server, &lease.job, state, now),
             Err(Refusal::UnknownLease) => {
-                // The backend server forgot it, by a restart: nothing of it runs there.
+                // The backend server lost the lease in a restart, and nothing of the job runs there.
                 self.on_state(server, &lease.job, TaskState::Lapsed { ran: true }, now);
             }
             Err(refusal) => self.on_refused(&lease.job, refusal, now),
         }
     }
 
-    /// Takes in where a member stands. States of an attempt only move forward.
+    /// Records the state of a member and acts on it. Within an attempt states only move forward, so an earlier one is
+    /// ignored.
     pub(crate) fn on_state(&mut self, server: &BackendServerId, id: &JobId, state: TaskState, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         let Some(part) = job.part_mut(server) else { return };
-        if part.state.as_ref().is_some_and(|old| rank(old) > rank(&state)) {
+        if part.state.as_ref().is_some_and(|old| state_rank(old) > state_rank(&state)) {
             return;
         }
         part.state = Some(state.clone());
         match state {
             TaskState::Failed { why } => {
-                self.note_failure(id, server);
+                self.record_failure(id, server);
                 self.stop_if_running(id, Cause::TaskFailed { why }, now);
             }
             TaskState::Stopped { .. } => self.stop_if_running(id, Cause::Preempted, now),
@@ -105,7 +106,7 @@
             _ => self.advance_commit(id, now),
         }
         if matches!(self.jobs.get(id).map(|job| &job.phase), Some(Phase::Stopping { .. })) {
-            self.settle_stop(id, now);
+            self.try_complete_stop(id, now);
         }
     }
 
@@ -135,7 +136,7 @@
         }
     }
 
-    /// A newer token was seen: another box has adopted the job, or fenced its ticket.
+    /// Handles a newer token: another box has adopted the job or fenced its ticket.
     pub(crate) fn on_superseded(&mut self, id: &JobId, seen: LeaseToken, holder: Option<Holder>, now: Moment) {
         match holder {
             Some(holder) if seen != LeaseToken::FENCE && holder != self.me => self.moved(id, holder, now),
@@ -143,8 +144,8 @@
         }
     }
 
-    /// The ticket can run no more. A request that may run only once is now for whoever fenced it to
-    /// decide on; any other goes on under a new ticket.
+    /// Handles a fenced ticket, under which nothing can run any more. The box that fenced it decides on a request that
+    /// may run only once; any other request continues under a new ticket.
     fn on_fenced(&mut self, id: &JobId, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         let ran = job.ran || job.go_sent || job.adopted;
@@ -166,14 +167,14 @@
         if !self.is_current(job, token) {
             return;
         }
-        let it = self.jobs.get_mut(job).expect("a current job is known");
+        let it = self.jobs.get_mut(job).expect("a current job is tracked");
         let Some(part) = it.part_mut(server) else { return };
         part.stopped = true;
-        let unheard = part.state.as_ref().is_none_or(TaskState::holds);
-        if unheard {
+        let is_unreported = part.state.as_ref().is_none_or(TaskState::holds);
+        if is_unreported {
             part.state = Some(TaskState::Stopped { ran, checkpointed: false });
         }
-        self.settle_stop(job, now);
+        self.try_complete_stop(job, now);
     }
 
     fn on_answer(&mut self, id: &JobId, answer: Answer, now: Moment) {
@@ -195,8 +196,8 @@
     }
 }
 
-/// The order in which a lease passes its states.
-fn rank(state: &TaskState) -> u8 {
+/// Returns the position of a state in the order in which a lease passes through them.
+fn state_rank(state: &TaskState) -> u8 {
     match state {
         TaskState::Reserved => 0,
         TaskState::Armed => 1,
--- a/crates/lifecycle/src/tables.rs
+++ b/crates/lifecycle/src/tables.rs
@@ -1,4 +1,4 @@
-//! What lease tables say of this box's jobs.
+//! Evaluation of backend servers' lease tables for the jobs of this box.
 
 use std::collections::BTreeSet;
 
@@ -8,11 +8,12 @@
 use crate::{Coordinator, job::Phase};
 
 impl Coordinator {
-    /// Takes in changed lines of a backend server's table. `full` says that the table has no others.
+    /// Applies changed lines of a backend server's lease table. `full` means that the table has no others.
     ///
-    /// A table may be older than a reply that came before it, so only news is taken from it.
+    /// A table may be older than a reply that was received before it, so states that are earlier than the recorded
+    /// ones are ignored.
     pub fn on_table(&mut self, server: &BackendServerId, leases: &[Lease], full: bool, now: Moment) {
-        self.contacts.insert(server.clone(), now);
+        self.last_responses.insert(server.clone(), now);
         for lease in leases {
             self.on_lease(server, lease, now);
         }
@@ -23,7 +24,7 @@
 
     fn on_lease(&mut self, server: &BackendServerId, lease: &Lease, now: Moment) {
         let Some(job) = self.jobs.get(&lease.job) else { return };
-        if job.is_over() || matches!(job.phase, Phase::Waiting { .. }) {
+        if job.has_ended() || matches!(job.phase, Phase::Waiting { .. }) {
             return;
         }
         if lease.token > job.token() && lease.holder != self.me {
@@ -34,7 +35,7 @@
         }
     }
 
-    /// A running member whose line is gone from the table was forgotten by a restart.
+    /// Handles running members without a line in the table: a restart of the backend server has lost them.
     fn on_missing(&mut self, server: &BackendServerId, leases: &[Lease], now: Moment) {
         let listed: BTreeSet<&JobId> = leases.iter().map(|lease| &lease.job).collect();
         let running = |state: &Option<TaskState>| matches!(state, Some(TaskState::Running));
