--- a/crates/backend/src/http.rs
+++ b/crates/backend/src/http.rs
@@ -1,4 +1,4 @@
-//! Backend servers over HTTP/1 and JSON.
+//! Calls to backend servers over HTTP/1 with JSON bodies.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::RwLock};
 
@@ -7,10 +7,10 @@
 
 use crate::{BackendReply, BackendRequest, Backends};
 
-/// Where a backend server takes requests.
+/// Path at which a backend server accepts [`BackendRequest`]s by POST.
 pub const PATH: &str = "/v1/leases";
 
-/// Backend servers by address; the addresses come from the operators' file.
+/// HTTP client for backend servers, with the addresses that the operators' file gives.
 #[derive(Default)]
 pub struct HttpBackend {
     client: Client,
@@ -18,9 +18,10 @@
 }
 
 impl HttpBackend {
-    /// Takes over the addresses of a new configuration.
+    /// Replaces the addresses by those of a new configuration. Later calls to a backend server that is not among them
+    /// fail with [`NetError::Unsent`].
     pub fn set_addresses(&self, addresses: BTreeMap<BackendServerId, SocketAddr>) {
-        *self.addresses.write().expect("no holder panics") = addresses;
+        *self.addresses.write().expect("no thread panics while it holds this lock") = addresses;
     }
 }
 
@@ -31,7 +32,7 @@
         req: BackendRequest,
         limit: Duration,
     ) -> BoxFuture<'static, Result<BackendReply, NetError>> {
-        let addr = self.addresses.read().expect("no holder panics").get(server).copied();
+        let addr = self.addresses.read().expect("no thread panics while it holds this lock").get(server).copied();
         let client = self.client.clone();
         let server = server.clone();
         Box::pin(async move {
--- a/crates/backend/src/lib.rs
+++ b/crates/backend/src/lib.rs
@@ -1,9 +1,12 @@
-//! The border to backend servers: what they are asked, what they answer, and how it is carried.
+//! Interface to backend servers: request and reply messages, and their transport over HTTP.
 //!
-//! A backend server keeps a *lease table*, which is the truth about who runs on its worker. Every
-//! request carries (job, attempt, epoch), and what is older than the table has seen is refused.
-//! The trait has one method over typed messages, so that a fake in a test or another protocol can
-//! take the place of [`HttpBackend`].
+//! A backend server keeps a *lease table*, the authoritative record of which jobs its worker runs. Every request that
+//! changes a lease carries the job and a *lease token* of attempt and epoch. An attempt is one try to run a whole gang;
+//! an epoch numbers the boxes that have held the attempt, one after another. A request with a token older than the
+//! newest that the table has seen is refused, so that a box that was superseded can't interfere.
+//!
+//! The trait has one method over typed messages, so that a fake in a test or another protocol can replace
+//! [`HttpBackend`].
 
 mod http;
 mod message;
@@ -19,9 +22,11 @@
     },
 };
 
-/// Backend servers, as their callers see them.
+/// Transport for requests to backend servers.
 pub trait Backends: Send + Sync + 'static {
-    /// Asks one backend server. `limit` bounds the whole call.
+    /// Sends a request to one backend server and returns its reply. `limit` bounds the whole call.
+    ///
+    /// After [`NetError::Lost`] the request may have taken effect; after any other error it was not sent.
     fn call(
         &self,
         server: &BackendServerId,
--- a/crates/backend/src/message.rs
+++ b/crates/backend/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages between boxes and backend servers.
+//! Messages between boxes and backend servers, in the JSON form in which they are sent.
 
 use derive_more::Display;
 use model::{
@@ -7,46 +7,47 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// The process that holds an attempt.
+/// The process that holds the leases of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize, Display)]
 #[display("{box_id}.{:x}", incarnation.0)]
 pub struct Holder {
-    /// Its box.
+    /// Box that the process belongs to.
     pub box_id: BoxId,
-    /// That box's life.
+    /// Incarnation of the box.
     pub incarnation: Incarnation,
 }
 
-/// What one backend server needs to know to run its part of a gang.
+/// Specification of one member's tasks, from which a backend server runs its part of a gang.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskSpec {
     /// The whole request.
     pub spec: JobSpec,
-    /// Every member of the gang; the first one gives the answer.
+    /// All members of the gang; the first one keeps the answer.
     pub members: Vec<Member>,
-    /// Which of the members this is, from 0.
+    /// Index of this member in `members`, from 0.
     pub index: usize,
-    /// Whether to go on from the checkpoint of an earlier attempt.
+    /// Whether to resume from the checkpoint of an earlier attempt.
     pub resume: bool,
-    /// How long the job had waited since its acceptance when this attempt began.
+    /// Time from the acceptance of the job to the beginning of this attempt.
     pub waited: Duration,
 }
 
 impl TaskSpec {
-    /// What this member takes on its backend server.
+    /// Returns the resources that this member takes on its backend server. Panics if `index` is not below the length of
+    /// `members`.
     pub fn resources(&self) -> Resources {
         self.spec.gang.per_task.times(self.members[self.index].tasks)
     }
 }
 
-/// One lease to be renewed.
+/// The renewal of one lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Renewal {
     /// The job.
     pub job: JobId,
     /// Attempt and epoch.
     pub token: LeaseToken,
-    /// Whether every member is armed, so that this one may run.
+    /// Whether every member of the gang is armed, so that this one may run.
     pub go: bool,
 }
 
@@ -54,135 +55,138 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "op", rename_all = "snake_case")]
 pub enum BackendRequest {
-    /// Sets resources aside for `ttl`.
+    /// Reserves resources for a new attempt. The reply is [`BackendReply::Ok`].
     Reserve {
         /// The job.
         job: JobId,
         /// Attempt and epoch.
         token: LeaseToken,
-        /// Who asks.
+        /// Process that will hold the lease.
         holder: Holder,
-        /// What is to run.
+        /// The tasks to run.
         task: TaskSpec,
-        /// When the reservation lapses unless the start comes.
+        /// Time after which the reservation expires without a `Start`.
         ttl: Duration,
-        /// How long ago the ticket was minted. A table younger than that may have forgotten that the
-        /// ticket was fenced, and refuses it for a request that may run only once.
+        /// Upper bound of the time since the ticket (the job id, under which only its minter may make the first start)
+        /// was minted. A table that is younger may have lost the record that the ticket was fenced, so it refuses the
+        /// ticket for a request that may run only once.
         ticket_age: Duration,
     },
-    /// Readies a reserved task; it runs only once a renewal says `go`. Sent only when every member holds.
+    /// Arms a reserved task; it runs only after a renewal with `go`. Sent once every member has confirmed its
+    /// reservation.
     Start {
         /// The job.
         job: JobId,
         /// Attempt and epoch.
         token: LeaseToken,
-        /// When the lease lapses unless it is renewed.
+        /// Time after which the lease expires without a renewal.
         ttl: Duration,
     },
-    /// Renews every lease of one holder on this backend server in one call.
+    /// Renews leases of one holder on this backend server in one call. The reply is [`BackendReply::Renewed`].
     Renew {
-        /// The leases.
+        /// The leases to renew.
         leases: Vec<Renewal>,
-        /// When they lapse unless renewed again.
+        /// Time after which they expire without another renewal.
         ttl: Duration,
     },
-    /// Has a running task write a checkpoint and end; it is stopped after `stop_after` in any case.
+    /// Asks a running task to write a checkpoint and end. It is stopped after `stop_after` in any case.
     Checkpoint {
         /// The job.
         job: JobId,
         /// Attempt and epoch, as read from the lease table.
         token: LeaseToken,
-        /// Longest time until the stop.
+        /// Time after which the task is stopped even without a checkpoint.
         stop_after: Duration,
     },
-    /// Lets a task use only part of its processor time.
+    /// Limits a task to a part of its processor time.
     Throttle {
         /// The job.
         job: JobId,
         /// Attempt and epoch.
         token: LeaseToken,
-        /// 1 to 100 per cent.
+        /// Part of the processor time in per cent, 1 to 100.
         percent: u8,
     },
-    /// Ends the attempt and refuses it and all older ones from now on, also where none was seen.
+    /// Ends the attempt, and has it and all older ones refused from now on, even if the backend server has not seen it.
     Stop {
         /// The job.
         job: JobId,
         /// Attempt and epoch.
         token: LeaseToken,
     },
-    /// Makes another box the holder of a lease.
+    /// Makes another process the holder of a lease, for the adoption of a running gang.
     Adopt {
         /// The job.
         job: JobId,
-        /// The attempt, with an epoch above the table's.
+        /// Attempt of the lease, and an epoch above the one in the table.
         token: LeaseToken,
-        /// The new holder.
+        /// Process that becomes the holder.
         holder: Holder,
-        /// When the lease lapses unless it is renewed.
+        /// Time after which the lease expires without a renewal.
         ttl: Duration,
     },
-    /// Gives the request that a lease was made for.
+    /// Requests the specification that a lease was made for. The reply is [`BackendReply::Described`].
     Describe {
         /// The job.
         job: JobId,
     },
-    /// Gives the kept answer.
+    /// Requests the kept answer. The reply is [`BackendReply::Answer`].
     Fetch {
         /// The job.
         job: JobId,
     },
-    /// The caller has the answer: it need not be kept.
+    /// Reports that the caller has the answer, so that it need not be kept.
     Acknowledge {
         /// The job.
         job: JobId,
     },
-    /// Waits up to `wait` for the table to differ from version `since` of its life `table`.
+    /// Waits for up to `wait` until the table differs from version `since` of its incarnation `table`. The reply is
+    /// [`BackendReply::Table`].
     Watch {
-        /// The table's life, 0 if none is known.
+        /// Incarnation of the table that the caller knows, 0 if none.
         table: u64,
-        /// The version known, 0 if none.
+        /// Version that the caller knows, 0 if none.
         since: u64,
-        /// How long the call may wait.
+        /// Longest time that the call may wait.
         wait: Duration,
     },
-    /// Tells the configuration to match; an older revision is refused.
+    /// Distributes the configuration. A revision older than the one in force is refused.
     Configure {
-        /// Its revision.
+        /// Revision of the configuration.
         revision: Revision,
-        /// The whole document, kept for boxes that start while the platform cannot be reached.
+        /// The whole document. Backend servers keep it for boxes that start while the platform is unreachable.
         document: String,
     },
 }
 
-/// Where a lease stands.
+/// State of a lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum TaskState {
-    /// Resources are set aside.
+    /// Resources are reserved.
     #[display("reserved")]
     Reserved,
-    /// Ready to run, waiting for `go`.
+    /// The task is ready to run and waits for `go`.
     #[display("armed")]
     Armed,
-    /// It runs.
+    /// The task runs.
     #[display("running")]
     Running,
-    /// It ended well; the first member keeps the answer.
+    /// The task succeeded; the first member of the gang keeps the answer.
     #[display("finished")]
     Finished {
-        /// The answer's length in bytes.
+        /// Length of the answer in bytes.
         len: u64,
-        /// The answer's digest.
+        /// Digest of the answer.
         digest: Digest,
     },
-    /// It ended badly.
+    /// The task failed.
     #[display("failed: {why}")]
     Failed {
-        /// What it reported.
+        /// Error that the task reported.
         why: String,
     },
-    /// It was stopped.
+    /// The task was stopped.
     #[display("stopped")]
     Stopped {
         /// Whether it had run.
@@ -190,7 +194,7 @@
         /// Whether a checkpoint was written.
         checkpointed: bool,
     },
-    /// Its lease ran out.
+    /// The lease expired without a renewal.
     #[display("lapsed")]
     Lapsed {
         /// Whether it had run.
@@ -199,7 +203,7 @@
 }
 
 impl TaskState {
-    /// Whether the lease holds resources.
+    /// Whether a lease in this state holds resources.
     pub fn holds(&self) -> bool {
         matches!(self, TaskState::Reserved | TaskState::Armed | TaskState::Running)
     }
@@ -214,178 +218,178 @@
     }
 }
 
-/// One line of a lease table.
+/// One line of a lease table: a member of a gang on the backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
     /// The job.
     pub job: JobId,
     /// Attempt and epoch.
     pub token: LeaseToken,
-    /// Who holds it.
+    /// Process that holds the lease.
     pub holder: Holder,
-    /// On whose behalf.
+    /// Customer that submitted the job.
     pub customer: CustomerId,
     /// The caller's name for the job.
     pub request: RequestId,
     /// The job's class.
     pub class: ClassId,
-    /// What it takes here.
+    /// Resources that the member takes on this backend server.
     pub resources: Resources,
-    /// The whole gang.
+    /// All members of the gang.
     pub members: Vec<Member>,
-    /// Where it stands.
+    /// State of the lease.
     pub state: TaskState,
-    /// The declared run time.
+    /// Run time declared by the caller.
     pub declared: Duration,
-    /// How long it has run here.
+    /// Time for which it has run on this backend server.
     pub ran_for: Duration,
-    /// How long the job had waited since its acceptance when the attempt began.
+    /// Time from the acceptance of the job to the beginning of the attempt.
     pub waited: Duration,
-    /// Whether it may run more than once.
+    /// Whether the job may run more than once.
     pub repeatable: bool,
-    /// Whether it can go on from a checkpoint.
+    /// Whether the job can resume from a checkpoint.
     pub checkpointable: bool,
-    /// Whether a checkpoint with a stop has been asked for.
+    /// Whether a checkpoint followed by a stop has been requested.
     pub stopping: bool,
-    /// Whether the answer has been acknowledged.
+    /// Whether the caller's receipt of the answer has been reported.
     pub acknowledged: bool,
 }
 
-/// What a backend server says of itself.
+/// A backend server's description of itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerInfo {
-    /// Its id.
+    /// Id of the backend server.
     pub id: BackendServerId,
-    /// Its availability zone.
+    /// Availability zone that it is in.
     pub availability_zone: AvailabilityZoneId,
-    /// What its worker has.
+    /// Total resources of its worker.
     pub resources: Resources,
-    /// Whether it is leaving and takes no new work.
+    /// Whether it is leaving and accepts no new work.
     pub leaving: bool,
-    /// The configuration it matches.
+    /// Revision of the configuration that it has applied.
     pub revision: Revision,
 }
 
-/// The part of a lease table that changed, or all of it.
+/// The changed lines of a lease table, or all of them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableUpdate {
-    /// The table's life: a restarted backend server has another.
+    /// Incarnation of the table, which differs after a restart of the backend server.
     pub table: u64,
-    /// The version that this update leads to.
+    /// Version of the table after this update.
     pub version: u64,
-    /// Whether `leases` is the whole table rather than what changed.
+    /// Whether `leases` is the whole table rather than its changed lines.
     pub full: bool,
-    /// Changed or all leases.
+    /// Changed leases, or all if `full` is set.
     pub leases: Vec<Lease>,
-    /// Jobs whose lines are gone.
+    /// Jobs whose lines were removed.
     pub removed: Vec<JobId>,
-    /// The backend server itself.
+    /// Description of the backend server.
     pub info: ServerInfo,
 }
 
-/// A kept answer.
+/// The answer of a finished job, as kept by a backend server.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// The job that it answers.
+    /// Job that produced the answer.
     pub job: JobId,
-    /// The attempt that made it.
+    /// Attempt and epoch that produced it.
     pub token: LeaseToken,
-    /// The answer.
+    /// Text of the answer.
     pub text: String,
-    /// Its length in bytes.
+    /// Length of the text in bytes.
     pub len: u64,
-    /// Its digest.
+    /// Digest of the text.
     pub digest: Digest,
 }
 
 impl Answer {
-    /// Whether the text is whole, by its length and digest.
+    /// Whether the text matches its length and digest.
     pub fn is_whole(&self) -> bool {
         self.text.len() as u64 == self.len && Digest::of(self.text.as_bytes()) == self.digest
     }
 }
 
-/// Why a backend server did not obey; nothing was changed.
+/// Reason for which a backend server refused a request without changing anything.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Display)]
 #[serde(tag = "refused", rename_all = "snake_case")]
 pub enum Refusal {
-    /// The token is older than what the table has seen.
+    /// The token is older than one that the table has seen for the job.
     #[display("stale: {seen} has been seen")]
     Stale {
-        /// The newest token seen.
+        /// Newest token that the table has seen.
         seen: LeaseToken,
-        /// Its holder, if a lease stands.
+        /// Holder of the lease, or `None` if there is no lease.
         holder: Option<Holder>,
     },
-    /// The worker has too little left.
+    /// The worker has too few free resources.
     #[display("{free} are free")]
     NoCapacity {
-        /// What is left.
+        /// Resources that are free.
         free: Resources,
     },
-    /// The table is younger than the ticket, and the request may run only once.
+    /// The lease table is younger than the ticket, and the request may run only once.
     #[display("the lease table remembers only {remembers}")]
     TooYoung {
-        /// How far back the table remembers.
+        /// Time that the records of the table go back.
         remembers: Duration,
     },
-    /// It is leaving.
+    /// The backend server is leaving and accepts no new work.
     #[display("the backend server is leaving")]
     Leaving,
-    /// No such lease stands.
+    /// The table has no such lease.
     #[display("no such lease")]
     UnknownLease,
-    /// The lease stands elsewhere than the request expects.
+    /// The lease is in a state in which the request is not allowed.
     #[display("the lease is {state}")]
     WrongState {
-        /// Where it stands.
+        /// State of the lease.
         state: TaskState,
     },
     /// The request names an older configuration.
     #[display("revision {revision} is in force")]
     OlderRevision {
-        /// The revision in force.
+        /// Revision in force.
         revision: Revision,
     },
 }
 
-/// A backend server's answer.
+/// A backend server's reply to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "reply", rename_all = "snake_case")]
 pub enum BackendReply {
-    /// To `Reserve`, `Start`, `Checkpoint`, `Throttle`, `Adopt` and `Acknowledge`: done; the lease now stands so.
+    /// Reply to `Reserve`, `Start`, `Checkpoint`, `Throttle`, `Adopt` and `Acknowledge`: the request took effect.
     Ok {
-        /// Where the lease stands.
+        /// State of the lease afterwards.
         state: TaskState,
     },
-    /// To `Renew`: for each lease in turn, its state or why it was refused.
+    /// Reply to `Renew`.
     Renewed {
-        /// One per lease.
+        /// For each lease of the request, in its order: the state of the lease, or why the renewal was refused.
         results: Vec<Result<TaskState, Refusal>>,
     },
-    /// To `Stop`: the attempt is over and cannot come back.
+    /// Reply to `Stop`: the attempt has ended and can't be started again.
     Stopped {
-        /// Whether any of it had run here, as far as the table remembers.
+        /// Whether any of it had run on this backend server, as far as the table has records.
         ran: bool,
-        /// How far back the table remembers: it cannot speak for what was before.
+        /// Time that the records of the table go back; `ran` does not cover anything earlier.
         remembers: Duration,
     },
-    /// To `Describe`.
+    /// Reply to `Describe`.
     Described {
-        /// What is to run.
+        /// The tasks that the lease was made for.
         task: Box<TaskSpec>,
         /// Attempt and epoch.
         token: LeaseToken,
     },
-    /// To `Fetch`.
+    /// Reply to `Fetch`.
     Answer(Answer),
-    /// To `Watch`.
+    /// Reply to `Watch`.
     Table(TableUpdate),
-    /// To `Configure`.
+    /// Reply to `Configure`.
     Configured {
-        /// The revision now in force.
+        /// Revision in force afterwards.
         revision: Revision,
     },
-    /// Nothing was changed.
+    /// The request was refused, and nothing was changed.
     Refused(Refusal),
 }
