--- a/crates/spread/src/apply.rs
+++ b/crates/spread/src/apply.rs
@@ -1,73 +1,72 @@
-//! Applying a file: a compare-and-swap with the revision that it was edited from.
+//! Applying an operators' file: a compare-and-swap against the revision that it was edited from.
 
 use model::{ApplyId, OperatorFile, Revision};
 use outside::{StoreReply, StoreRequest, Versioned};
 
 use crate::{CONFIG_KEY, Document};
 
-/// Reads of the store after which an apply whose answers stay lost is given up as undecided.
-const MAX_ROUNDS: u32 = 8;
+/// Number of reads of the store after which an apply without a known result ends as undecided.
+const MAX_READS: u32 = 8;
 
-/// How an apply ended.
+/// Result of an apply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Applied {
-    /// It took effect as this revision; `text` is the document that it made, if it is still the latest.
+    /// The apply took effect as `revision`.
     Accepted {
-        /// The revision that it made.
+        /// Revision that the apply created.
         revision: Revision,
-        /// The document to spread.
+        /// Latest document in the store, for distribution. A later apply may have created it.
         text: String,
     },
-    /// Another apply came first; nothing was changed.
+    /// Another apply took effect first; nothing was changed.
     Conflict {
-        /// The document that stands.
+        /// Document in the store, `None` if there is none.
         standing: Option<Document>,
     },
-    /// The store gives no answer. Asking again with the same apply id settles it.
+    /// The store did not confirm the write. Repeating the apply with the same id returns its result.
     Undecided,
-    /// What stands in the store cannot be read.
+    /// The document in the store is malformed.
     Broken {
-        /// What is wrong.
+        /// Error of the parser.
         why: String,
     },
 }
 
-/// What to do next.
+/// Next action of the caller of an [`Apply`].
 #[derive(Debug, Clone, PartialEq)]
 pub enum ApplyStep {
-    /// Make this call to the store and pass its reply on.
+    /// Send this request to the store and pass its reply to [`Apply::on_reply`].
     Call(StoreRequest),
-    /// The apply is over.
+    /// The apply has ended.
     Over(Applied),
 }
 
-/// One apply on its way. Every step reads before it writes, so that a write whose answer was lost
-/// is found by its apply id.
+/// An apply in progress. Every write follows a read, so that a write whose reply was lost is found by its apply id.
 #[derive(Debug)]
 pub struct Apply {
     id: ApplyId,
     base: Revision,
     file: OperatorFile,
-    rounds: u32,
+    reads: u32,
     written: Option<Document>,
 }
 
 impl Apply {
-    /// An apply of `file`, edited from revision `base`.
+    /// Returns an apply of `file`, which was edited from revision `base`. `id` identifies the apply in the history.
     pub fn new(id: ApplyId, base: Revision, file: OperatorFile) -> Apply {
-        Apply { id, base, file, rounds: 0, written: None }
+        Apply { id, base, file, reads: 0, written: None }
     }
 
-    /// The first step.
+    /// Returns the first step, a read of the store. Ends as undecided after too many reads.
     pub fn begin(&mut self) -> ApplyStep {
-        self.rounds += 1;
-        if self.rounds > MAX_ROUNDS {
+        self.reads += 1;
+        if self.reads > MAX_READS {
             return ApplyStep::Over(Applied::Undecided);
         }
         ApplyStep::Call(StoreRequest::Get { key: CONFIG_KEY.to_owned() })
     }
 
-    /// Takes the store's reply, `None` when none came.
+    /// Handles the store's reply, `None` if none was received, and returns the next step.
     pub fn on_reply(&mut self, reply: Option<StoreReply>) -> ApplyStep {
         match reply {
             None | Some(StoreReply::Conflict { .. } | StoreReply::Listed { .. }) => self.begin(),
--- a/crates/spread/src/current.rs
+++ b/crates/spread/src/current.rs
@@ -1,4 +1,4 @@
-//! The highest revision that a box knows of.
+//! The configuration in force on a box.
 
 use std::sync::Arc;
 
@@ -6,18 +6,18 @@
 
 use crate::Document;
 
-/// What became of a document.
+/// Result of [`Current::take`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Taken {
-    /// It is in force now.
+    /// The document is in force now.
     InForce,
-    /// It was in force already.
+    /// The document's revision was in force already.
     Known,
-    /// A higher revision is in force; it was dropped.
+    /// A higher revision is in force; the document was dropped.
     Older,
 }
 
-/// The configuration in force on a box; its revision only rises.
+/// The configuration in force on a box. Its revision never decreases.
 #[derive(Debug, Default)]
 pub struct Current {
     revision: Revision,
@@ -27,22 +27,23 @@
 }
 
 impl Current {
-    /// The revision in force, 0 for none.
+    /// Returns the revision in force, 0 if there is none.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// The document in force, as text.
+    /// Returns the text of the document in force, or `None` if there is none.
     pub fn document(&self) -> Option<&Arc<str>> {
         self.document.as_ref()
     }
 
-    /// The file in force.
+    /// Returns the operators' file in force, or `None` if there is none.
     pub fn file(&self) -> Option<&Arc<OperatorFile>> {
         self.file.as_ref()
     }
 
-    /// Takes a document from whichever source, if it is newer.
+    /// Puts a document from any source in force if its revision is higher. Returns an error, without any change, if the
+    /// text can't be parsed.
     pub fn take(&mut self, text: &str) -> Result<Taken, CheckError> {
         let doc = Document::parse(text)?;
         self.heard_of = self.heard_of.max(doc.revision);
@@ -58,19 +59,19 @@
         Ok(Taken::InForce)
     }
 
-    /// Notes that a revision exists somewhere; says whether it is newer than the one in force.
+    /// Records that a revision exists, and returns whether it is higher than the one in force.
     pub fn hear_of(&mut self, revision: Revision) -> bool {
         self.heard_of = self.heard_of.max(revision);
         revision > self.revision
     }
 
-    /// The highest revision heard of, in force here or not.
+    /// Returns the highest revision that is known to exist, in force here or not.
     pub fn heard_of(&self) -> Revision {
         self.heard_of
     }
 
-    /// Whether a newer revision is known to exist that this box does not have yet.
-    pub fn lags(&self) -> bool {
+    /// Whether a higher revision than the one in force is known to exist.
+    pub fn is_behind(&self) -> bool {
         self.heard_of > self.revision
     }
 }
--- a/crates/spread/src/document.rs
+++ b/crates/spread/src/document.rs
@@ -1,27 +1,27 @@
-//! The configuration as it stands in the platform's store.
+//! The configuration document as kept in the platform's store.
 
 use model::{ApplyId, CheckError, OperatorFile, Revision, from_json};
 use serde::{Deserialize, Serialize};
 
-/// The key of the configuration in the platform's store.
+/// Key of the configuration in the platform's store.
 pub const CONFIG_KEY: &str = "configuration";
-/// Applies that a document remembers; an operator whose answer was lost asks again well before
-/// that many others have been made.
-const HISTORY: usize = 64;
+/// Number of past applies that a document records. An operator whose reply was lost repeats the apply well before so
+/// many others have been made.
+const MAX_HISTORY_ENTRIES: usize = 64;
 
 /// A past apply.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The revision it made.
+    /// Revision that the apply created.
     pub revision: Revision,
-    /// Its nonce.
+    /// Nonce that identifies the apply.
     pub apply: ApplyId,
 }
 
-/// The operators' file with its revision and the record of past applies.
+/// The operators' file with its revision and history of applies.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Document {
-    /// Its revision.
+    /// Revision of the document; the first is 1.
     pub revision: Revision,
     /// Past applies, the latest last.
     pub history: Vec<HistoryEntry>,
@@ -30,27 +30,27 @@
 }
 
 impl Document {
-    /// Reads a document.
+    /// Parses a document from JSON. Returns an error if it is malformed or its file is invalid.
     pub fn parse(text: &str) -> Result<Document, CheckError> {
         from_json(text.as_bytes())
     }
 
-    /// The document as text.
+    /// Returns the document as JSON.
     pub fn to_text(&self) -> String {
         serde_json::to_string(self).expect("our own types always serialize")
     }
 
-    /// The revision that an apply made, if it took effect and is still remembered.
+    /// Returns the revision that an apply created, or `None` if it did not take effect or is no longer in the history.
     pub fn made_by(&self, apply: &ApplyId) -> Option<Revision> {
         self.history.iter().find(|entry| entry.apply == *apply).map(|entry| entry.revision)
     }
 
-    /// The document that follows `before` by an apply.
+    /// Returns the document that an apply of `file` creates after `before`, which is `None` for the first one.
     pub fn following(before: Option<&Document>, apply: ApplyId, file: OperatorFile) -> Document {
         let revision = before.map_or(Revision(0), |doc| doc.revision).next();
         let mut history = before.map(|doc| doc.history.clone()).unwrap_or_default();
         history.push(HistoryEntry { revision, apply });
-        let excess = history.len().saturating_sub(HISTORY);
+        let excess = history.len().saturating_sub(MAX_HISTORY_ENTRIES);
         history.drain(..excess);
         Document { revision, history, file }
     }
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' configuration on its way to every box and backend server.
+//! Distribution of the operators' configuration to boxes and backend servers.
 //!
-//! A [`Current`] holds the highest revision that its box knows of and never goes back. Documents
-//! come from the platform's store, from peers and from backend servers alike; the highest wins.
-//! [`Document`] is what stands in the store, with the record of past applies by which a lost
-//! answer is settled.
+//! A [`Current`] holds the configuration in force on a box. Documents come from the platform's store, from other boxes
+//! and from backend servers; the highest revision wins, and a box never returns to a lower one. A [`Document`] is the
+//! configuration in the store. Its history of applies tells an operator whose reply was lost whether the apply took
+//! effect. An [`Apply`] writes a new document.
 //!
 //! ```
 //! use spread::{Current, Taken};
--- a/crates/spread/tests/current.rs
+++ b/crates/spread/tests/current.rs
@@ -1,4 +1,4 @@
-//! A revision never falls, whoever sends which document in whichever order.
+//! The revision in force never decreases, whatever the order in which documents arrive.
 
 use model::{OperatorFile, Revision};
 use proptest::prelude::*;
