--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -105,7 +105,7 @@
         if revision < self.current.revision() {
             self.tell_server(server, now);
         } else {
-            self.current.hear_of(revision);
+            self.current.record_revision(revision);
         }
     }
 
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -89,7 +89,7 @@
             // A new life: what the old one held is orphaned.
             self.recover_at.get_or_insert(now + self.limits.adopt_after);
         }
-        if self.current.hear_of(revision) {
+        if self.current.record_revision(revision) {
             self.fetch_configuration(peer);
         }
         let holder = Holder { box_id: peer.clone(), incarnation };
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -96,7 +96,7 @@
             incarnation: self.id.incarnation,
             availability_zone: self.id.availability_zone.clone(),
             revision: self.current.revision(),
-            heard_of: self.current.heard_of(),
+            heard_of: self.current.highest_known_revision(),
             leaving: self.draining,
             planner: self.view.planner(now).clone(),
             boxes: peers.collect(),
--- a/crates/spread/src/current.rs
+++ b/crates/spread/src/current.rs
@@ -23,7 +23,7 @@
     revision: Revision,
     document: Option<Arc<str>>,
     file: Option<Arc<OperatorFile>>,
-    heard_of: Revision,
+    highest_known_revision: Revision,
 }
 
 impl Current {
@@ -46,7 +46,7 @@
     /// text can't be parsed.
     pub fn take(&mut self, text: &str) -> Result<Taken, CheckError> {
         let doc = Document::parse(text)?;
-        self.heard_of = self.heard_of.max(doc.revision);
+        self.highest_known_revision = self.highest_known_revision.max(doc.revision);
         if doc.revision < self.revision {
             return Ok(Taken::Older);
         }
@@ -60,18 +60,18 @@
     }
 
     /// Records that a revision exists, and returns whether it is higher than the one in force.
-    pub fn hear_of(&mut self, revision: Revision) -> bool {
-        self.heard_of = self.heard_of.max(revision);
+    pub fn record_revision(&mut self, revision: Revision) -> bool {
+        self.highest_known_revision = self.highest_known_revision.max(revision);
         revision > self.revision
     }
 
     /// Returns the highest revision that is known to exist, in force here or not.
-    pub fn heard_of(&self) -> Revision {
-        self.heard_of
+    pub fn highest_known_revision(&self) -> Revision {
+        self.highest_known_revision
     }
 
     /// Whether a higher revision than the one in force is known to exist.
     pub fn is_behind(&self) -> bool {
-        self.heard_of > self.revision
+        self.highest_known_revision > self.revision
     }
 }
