--- a/crates/entry/tests/promises.rs
+++ b/crates/entry/tests/promises.rs
@@ -57,7 +57,7 @@
     let told: Vec<_> = [first, second].into_iter().filter_map(|n| cluster.applied(n)).collect();
     let accepted = told.iter().filter(|it| is_accepted(Some(it), 2)).count();
     let conflicts =
-        told.iter().filter(|it| matches!(it, Applied::Conflict { standing: Some(doc) } if doc.revision == Revision(2)));
+        told.iter().filter(|it| matches!(it, Applied::Conflict { stored: Some(doc) } if doc.revision == Revision(2)));
     assert_eq!((accepted, conflicts.count()), (1, 1), "{told:?}");
 }
 
--- a/crates/martend/src/http_api.rs
+++ b/crates/martend/src/http_api.rs
@@ -232,8 +232,8 @@
 fn respond_applied(applied: Applied) -> Res {
     match applied {
         Applied::Accepted { revision, .. } => json_response(StatusCode::OK, &ApplyResult::Accepted { revision }),
-        Applied::Conflict { standing } => {
-            json_response(StatusCode::CONFLICT, &ApplyResult::Conflict { standing: standing.map(Box::new) })
+        Applied::Conflict { stored } => {
+            json_response(StatusCode::CONFLICT, &ApplyResult::Conflict { standing: stored.map(Box::new) })
         }
         Applied::Undecided => {
             let error = "the platform's store gives no answer; send the same apply id again to settle it".to_owned();
--- a/crates/spread/src/apply.rs
+++ b/crates/spread/src/apply.rs
@@ -21,7 +21,7 @@
     /// Another apply took effect first; nothing was changed.
     Conflict {
         /// Document in the store, `None` if there is none.
-        standing: Option<Document>,
+        stored: Option<Document>,
     },
     /// The store did not confirm the write. Repeating the apply with the same id returns its result.
     Undecided,
@@ -79,19 +79,19 @@
     }
 
     fn on_found(&mut self, value: Option<Versioned>) -> ApplyStep {
-        let standing = match value.as_ref().map(|v| Document::parse(&v.value)).transpose() {
-            Ok(standing) => standing,
+        let stored = match value.as_ref().map(|v| Document::parse(&v.value)).transpose() {
+            Ok(stored) => stored,
             Err(e) => return ApplyStep::Over(Applied::Broken { why: e.to_string() }),
         };
-        if let Some(doc) = &standing
+        if let Some(doc) = &stored
             && let Some(revision) = doc.made_by(&self.id)
         {
             return ApplyStep::Over(Applied::Accepted { revision, text: doc.to_text() });
         }
-        if standing.as_ref().map_or(Revision(0), |doc| doc.revision) != self.base {
-            return ApplyStep::Over(Applied::Conflict { standing });
+        if stored.as_ref().map_or(Revision(0), |doc| doc.revision) != self.base {
+            return ApplyStep::Over(Applied::Conflict { stored });
         }
-        let doc = Document::following(standing.as_ref(), self.id.clone(), self.file.clone());
+        let doc = Document::following(stored.as_ref(), self.id.clone(), self.file.clone());
         let text = doc.to_text();
         self.written = Some(doc);
         let key = CONFIG_KEY.to_owned();
