--- a/crates/wire/src/generated.rs
+++ b/crates/wire/src/generated.rs
@@ -133,7 +133,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct SubmitRequest {
-    /// The job as in the callers' interface, in JSON.
+    /// The job in the JSON form of the callers' interface.
     #[prost(bytes = "vec", tag = "1")]
     pub spec: ::prost::alloc::vec::Vec<u8>,
     #[prost(uint64, tag = "2")]
@@ -151,7 +151,7 @@
 }
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct JobReply {
-    /// The answer as in the callers' interface, in JSON.
+    /// The answer in the JSON form of the callers' interface.
     #[prost(bytes = "vec", tag = "1")]
     pub answer: ::prost::alloc::vec::Vec<u8>,
 }
@@ -159,7 +159,7 @@
 pub struct FetchConfigurationRequest {}
 #[derive(Clone, PartialEq, Eq, Hash, ::prost::Message)]
 pub struct FetchConfigurationReply {
-    /// Empty if there is none.
+    /// Empty if no configuration is in force.
     #[prost(string, tag = "1")]
     pub document: ::prost::alloc::string::String,
 }
@@ -272,6 +272,7 @@
             self.inner = self.inner.max_encoding_message_size(limit);
             self
         }
+        /// Reports that a box is running, with the revision of its configuration.
         pub async fn heartbeat(
             &mut self,
             request: impl tonic::IntoRequest<super::HeartbeatRequest>,
@@ -293,6 +294,7 @@
                 .insert(GrpcMethod::new("martenscale.peer.v1.Peer", "Heartbeat"));
             self.inner.unary(req, path, codec).await
         }
+        /// Sends the waiting jobs of a box, or their changes since its previous offer, to the box that plans for them.
         pub async fn offer(
             &mut self,
             request: impl tonic::IntoRequest<super::OfferRequest>,
@@ -314,6 +316,7 @@
                 .insert(GrpcMethod::new("martenscale.peer.v1.Peer", "Offer"));
             self.inner.unary(req, path, codec).await
         }
+        /// Sends the planner's decisions on offered jobs to the box that offered them.
         pub async fn grant(
             &mut self,
             request: impl tonic::IntoRequest<super::GrantRequest>,
@@ -335,6 +338,7 @@
                 .insert(GrpcMethod::new("martenscale.peer.v1.Peer", "Grant"));
             self.inner.unary(req, path, codec).await
         }
+        /// Returns the state of a request.
         pub async fn lookup(
             &mut self,
             request: impl tonic::IntoRequest<super::LookupRequest>,
@@ -356,6 +360,7 @@
                 .insert(GrpcMethod::new("martenscale.peer.v1.Peer", "Lookup"));
             self.inner.unary(req, path, codec).await
         }
+        /// Cancels the job of a request.
         pub async fn cancel(
             &mut self,
             request: impl tonic::IntoRequest<super::NameRequest>,
@@ -377,6 +382,7 @@
                 .insert(GrpcMethod::new("martenscale.peer.v1.Peer", "Cancel"));
             self.inner.unary(req, path, codec).await
         }
+        /// Reports that the caller has received the answer of a request.
         pub async fn acknowledge(
             &mut self,
             request: impl tonic::IntoRequest<super::NameRequest>,
@@ -398,6 +404,7 @@
                 .insert(GrpcMethod::new("martenscale.peer.v1.Peer", "Acknowledge"));
             self.inner.unary(req, path, codec).await
         }
+        /// Submits a job to the box that minted its ticket or whose availability zone its claim belongs to.
         pub async fn submit(
             &mut self,
             request: impl tonic::IntoRequest<super::SubmitRequest>,
@@ -419,6 +426,7 @@
                 .insert(GrpcMethod::new("martenscale.peer.v1.Peer", "Submit"));
             self.inner.unary(req, path, codec).await
         }
+        /// Returns the configuration document in force on the box.
         pub async fn fetch_configuration(
             &mut self,
             request: impl tonic::IntoRequest<super::FetchConfigurationRequest>,
@@ -460,34 +468,42 @@
     /// Generated trait containing gRPC methods that should be implemented for use with PeerServer.
     #[async_trait]
     pub trait Peer: std::marker::Send + std::marker::Sync + 'static {
+        /// Reports that a box is running, with the revision of its configuration.
         async fn heartbeat(
             &self,
             request: tonic::Request<super::HeartbeatRequest>,
         ) -> std::result::Result<tonic::Response<super::HeartbeatReply>, tonic::Status>;
+        /// Sends the waiting jobs of a box, or their changes since its previous offer, to the box that plans for them.
         async fn offer(
             &self,
             request: tonic::Request<super::OfferRequest>,
         ) -> std::result::Result<tonic::Response<super::OfferReply>, tonic::Status>;
+        /// Sends the planner's decisions on offered jobs to the box that offered them.
         async fn grant(
             &self,
             request: tonic::Request<super::GrantRequest>,
         ) -> std::result::Result<tonic::Response<super::GrantReply>, tonic::Status>;
+        /// Returns the state of a request.
         async fn lookup(
             &self,
             request: tonic::Request<super::LookupRequest>,
         ) -> std::result::Result<tonic::Response<super::JobReply>, tonic::Status>;
+        /// Cancels the job of a request.
         async fn cancel(
             &self,
             request: tonic::Request<super::NameRequest>,
         ) -> std::result::Result<tonic::Response<super::JobReply>, tonic::Status>;
+        /// Reports that the caller has received the answer of a request.
         async fn acknowledge(
             &self,
             request: tonic::Request<super::NameRequest>,
         ) -> std::result::Result<tonic::Response<super::JobReply>, tonic::Status>;
+        /// Submits a job to the box that minted its ticket or whose availability zone its claim belongs to.
         async fn submit(
             &self,
             request: tonic::Request<super::SubmitRequest>,
         ) -> std::result::Result<tonic::Response<super::JobReply>, tonic::Status>;
+        /// Returns the configuration document in force on the box.
         async fn fetch_configuration(
             &self,
             request: tonic::Request<super::FetchConfigurationRequest>,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,4 +1,4 @@
-//! The calls between boxes as they go over the wire: gRPC, generated from `proto/`.
+//! gRPC messages and services for calls between boxes, generated from `proto/` by `cargo xtask codegen`.
 
 #[allow(missing_docs, unreachable_pub, clippy::all, clippy::unwrap_used)]
 #[rustfmt::skip]
@@ -6,7 +6,7 @@
 
 pub use generated::*;
 
-/// Calls between boxes whose jobs are kept in the platform's store.
+/// Calls between boxes of a deployment that keeps its jobs in the platform's store.
 #[allow(missing_docs, unreachable_pub, clippy::all, clippy::unwrap_used)]
 #[rustfmt::skip]
 #[path = "relay_generated.rs"]
