--- a/crates/policy/src/cell_planner.rs
+++ b/crates/policy/src/cell_planner.rs
@@ -45,9 +45,9 @@
 impl Planner for CellPlanner {
     fn plan(&mut self, snapshot: &Snapshot) -> Vec<Decision> {
         let cells = self.cells(snapshot);
-        let numbers: BTreeMap<&CustomerId, usize> =
+        let customer_indices: BTreeMap<&CustomerId, usize> =
             snapshot.file.customers.keys().enumerate().map(|(n, id)| (id, n)).collect();
-        let mut round = Round::new(snapshot, &cells, &self.estimates, &numbers);
+        let mut round = Round::new(snapshot, &cells, &self.estimates, &customer_indices);
         for queued in ordered(snapshot, &round) {
             round.consider(queued);
         }
--- a/crates/policy/src/ledger.rs
+++ b/crates/policy/src/ledger.rs
@@ -30,12 +30,12 @@
     pub(crate) fn of(
         free_capacity: &FreeCapacity,
         running: &[Running],
-        number: impl Fn(&CustomerId) -> Option<usize>,
+        customer_index: impl Fn(&CustomerId) -> Option<usize>,
     ) -> Ledger {
         let mut it = Ledger { by_server: vec![BTreeMap::new(); free_capacity.len()], totals: BTreeMap::new() };
         for gang in running {
             // Use by customers that are no longer in the file is recorded under an index that no customer has.
-            let customer = number(&gang.customer).unwrap_or(usize::MAX);
+            let customer = customer_index(&gang.customer).unwrap_or(usize::MAX);
             it.add(free_capacity, customer, &gang.members, &gang.per_task, gang.preemptible());
         }
         it
@@ -73,7 +73,7 @@
     }
 
     /// Returns how much more work that can't be preempted a customer may place on a backend server.
-    pub(crate) fn may_pin(&self, free_capacity: &FreeCapacity, cells: &Cells, i: usize, customer: usize) -> Resources {
+    pub(crate) fn pinnable(&self, free_capacity: &FreeCapacity, cells: &Cells, i: usize, customer: usize) -> Resources {
         let mut committed = Resources::default();
         for (other, assigned) in &cells.assigned[i] {
             if *other != customer {
--- a/crates/policy/src/round.rs
+++ b/crates/policy/src/round.rs
@@ -53,7 +53,7 @@
     snapshot: &'a Snapshot,
     cells: &'a Cells,
     estimates: &'a Estimates,
-    numbers: &'a BTreeMap<&'a CustomerId, usize>,
+    customer_indices: &'a BTreeMap<&'a CustomerId, usize>,
     /// Resources that are free now.
     free_capacity: FreeCapacity,
     /// Resources that are free now or once gangs that are stopping have ended.
@@ -72,14 +72,14 @@
         snapshot: &'a Snapshot,
         cells: &'a Cells,
         estimates: &'a Estimates,
-        numbers: &'a BTreeMap<&'a CustomerId, usize>,
+        customer_indices: &'a BTreeMap<&'a CustomerId, usize>,
     ) -> Round<'a> {
         let free_capacity = FreeCapacity::remaining(&snapshot.servers, &snapshot.running);
         let mut free_soon = free_capacity.clone();
         for gang in snapshot.running.iter().filter(|gang| gang.stopping) {
             free_soon.give(&gang.members, &gang.per_task);
         }
-        let ledger = Ledger::of(&free_capacity, &snapshot.running, |customer| numbers.get(customer).copied());
+        let ledger = Ledger::of(&free_capacity, &snapshot.running, |customer| customer_indices.get(customer).copied());
         let rack_size = |rack: &Vec<usize>| rack.iter().map(|i| size(&free_capacity.capacity(*i))).sum::<u32>();
         let largest = free_capacity.racks().iter().map(rack_size).max().unwrap_or(0);
         let large_size = f64::from(largest) * LARGE_RACK_FRACTION;
@@ -88,7 +88,7 @@
             snapshot,
             cells,
             estimates,
-            numbers,
+            customer_indices,
             free_capacity,
             free_soon,
             ledger,
@@ -113,16 +113,16 @@
     }
 
     pub(crate) fn accelerators_of(&self, customer: &CustomerId) -> u32 {
-        self.number(customer).map_or(0, |n| self.ledger.total(n).accelerators)
+        self.customer_index(customer).map_or(0, |n| self.ledger.total(n).accelerators)
     }
 
-    fn number(&self, customer: &CustomerId) -> Option<usize> {
-        self.numbers.get(customer).copied()
+    fn customer_index(&self, customer: &CustomerId) -> Option<usize> {
+        self.customer_indices.get(customer).copied()
     }
 
     /// Decides on one waiting job and records the decision, if there is one.
     pub(crate) fn consider(&mut self, queued: &Queued) {
-        let Some(customer) = self.number(&queued.customer) else { return };
+        let Some(customer) = self.customer_index(&queued.customer) else { return };
         if let Err(e) = self.free_capacity.check_ever_fits(&queued.gang) {
             self.decisions.push(Decision::Refuse { job: queued.job.clone(), why: e.to_string() });
             return;
@@ -138,12 +138,12 @@
         if let Some(members) = self.place(customer, queued) {
             return self.start(customer, queued, members);
         }
-        // Keeps resources that become free once others have stopped for this job.
+        // Reserves for this job what becomes free once stopping gangs have ended.
         if let Some(members) = self.place_when_stopped(queued) {
             return self.reserve(queued, &members);
         }
-        if let Some((reclaim, among)) = self.reclaim(customer, queued, overdue) {
-            return self.stop_for(queued, &reclaim, &among);
+        if let Some((reclaim, indices)) = self.reclaim(customer, queued, overdue) {
+            return self.stop_for(queued, &reclaim, &indices);
         }
         self.failed_kinds.insert(kind);
         if self.is_large(queued) && self.shadows.len() < MAX_SHADOWS {
@@ -191,7 +191,7 @@
         if queued.preemptible() {
             return fits;
         }
-        fits.min(self.ledger.may_pin(&self.free_capacity, self.cells, i, customer).count_of(&queued.gang.per_task))
+        fits.min(self.ledger.pinnable(&self.free_capacity, self.cells, i, customer).count_of(&queued.gang.per_task))
     }
 
     /// Whether a shadow reservation covers a backend server and the job would probably still run when it is due.
@@ -267,13 +267,13 @@
     }
 
     fn has_unused_cell(&self, queued: &Queued) -> bool {
-        let Some(customer) = self.number(&queued.customer) else { return false };
+        let Some(customer) = self.customer_index(&queued.customer) else { return false };
         self.unused_cells(customer, queued.gang.tasks, queued.gang.per_task).next().is_some()
     }
 
     /// Whether a gang would be entitled to a cell once stopped, and so take precedence over the job that stopped it.
     fn would_be_entitled_to_cell(&self, it: &Running) -> bool {
-        let Some(customer) = self.number(&it.customer) else { return false };
+        let Some(customer) = self.customer_index(&it.customer) else { return false };
         let tasks = it.members.iter().map(|m| m.tasks).sum();
         self.unused_cells(customer, tasks, it.per_task).next().is_some()
     }
@@ -281,11 +281,11 @@
     /// Selects the gangs of other customers to stop so that a guaranteed shape becomes free for its owner.
     fn reclaim_cell(&self, customer: usize, queued: &Queued) -> Option<(Reclaim, Vec<usize>)> {
         for inside in self.unused_cells(customer, queued.gang.tasks, queued.gang.per_task) {
-            let among = self.stoppable(|it| it.customer != queued.customer && !self.is_on_own_cell(it));
-            let candidates: Vec<&Running> = among.iter().map(|n| &self.snapshot.running[*n]).collect();
+            let indices = self.stoppable(|it| it.customer != queued.customer && !self.is_on_own_cell(it));
+            let candidates: Vec<&Running> = indices.iter().map(|n| &self.snapshot.running[*n]).collect();
             let usable = |i: usize| inside.contains(&i);
             if let Some(found) = reclaim::cheapest(&self.free_soon, &candidates, &queued.gang, &usable) {
-                return Some((found, among));
+                return Some((found, indices));
             }
         }
         None
@@ -295,10 +295,11 @@
         if !queued.preemptible() {
             return None;
         }
-        let among = self.stoppable(|it| allowed(it) && !self.is_on_own_cell(it) && !self.would_be_entitled_to_cell(it));
-        let candidates: Vec<&Running> = among.iter().map(|n| &self.snapshot.running[*n]).collect();
+        let indices =
+            self.stoppable(|it| allowed(it) && !self.is_on_own_cell(it) && !self.would_be_entitled_to_cell(it));
+        let candidates: Vec<&Running> = indices.iter().map(|n| &self.snapshot.running[*n]).collect();
         let found = reclaim::cheapest(&self.free_soon, &candidates, &queued.gang, &|i| self.free_capacity.is_open(i))?;
-        Some((found, among))
+        Some((found, indices))
     }
 
     fn stoppable(&self, allowed: impl Fn(&Running) -> bool) -> Vec<usize> {
@@ -312,16 +313,16 @@
 
     /// Whether a gang runs within its customer's own cells, so that it borrows from no other customer.
     fn is_on_own_cell(&self, it: &Running) -> bool {
-        let Some(customer) = self.number(&it.customer) else { return false };
+        let Some(customer) = self.customer_index(&it.customer) else { return false };
         it.members.iter().filter_map(|m| self.free_capacity.position(&m.server)).all(|i| {
             let assigned = self.cells.assigned_to(i, customer);
             assigned != Resources::default() && assigned.contains(&self.ledger.used(i, customer))
         })
     }
 
-    fn stop_for(&mut self, queued: &Queued, found: &Reclaim, among: &[usize]) {
+    fn stop_for(&mut self, queued: &Queued, found: &Reclaim, indices: &[usize]) {
         for victim in &found.victims {
-            let n = among[*victim];
+            let n = indices[*victim];
             let gang = &self.snapshot.running[n];
             self.stopped[n] = true;
             self.free_soon.give(&gang.members, &gang.per_task);
