--- a/crates/lifecycle/src/adoption.rs
+++ b/crates/lifecycle/src/adoption.rs
@@ -10,16 +10,16 @@
 
 use crate::{
     Coordinator,
-    job::{Cause, Job, Part, Phase},
+    job::{Cause, GangMember, Job, Phase},
 };
 
 impl Coordinator {
-    /// Starts to take over a job, given its lines of the lease tables by backend server. Does nothing if this
+    /// Starts to take over a job, given the leases of its members by backend server. Does nothing if this
     /// coordinator already manages the job, if a member is not known to be armed, running or finished, or if the
     /// request is managed here under another ticket.
-    pub fn adopt(&mut self, id: &JobId, lines: &BTreeMap<BackendServerId, Lease>, now: Moment) {
-        let Some(first) = lines.values().next() else { return };
-        if self.is_managed_here(id) || !first.members.iter().all(|m| lines.get(&m.server).is_some_and(is_adoptable)) {
+    pub fn adopt(&mut self, id: &JobId, leases: &BTreeMap<BackendServerId, Lease>, now: Moment) {
+        let Some(first) = leases.values().next() else { return };
+        if self.is_managed_here(id) || !first.members.iter().all(|m| leases.get(&m.server).is_some_and(is_adoptable)) {
             return;
         }
         let name = (first.customer.clone(), first.request.clone());
@@ -27,15 +27,15 @@
             // The request continues here under another ticket; this gang ends when its leases expire.
             return;
         }
-        let newest = lines.values().map(|lease| lease.token).max().unwrap_or_default();
+        let newest = leases.values().map(|lease| lease.token).max().unwrap_or_default();
         let mut job = Job::new(Arc::new(spec_from_lease(first)), now - first.ran_for);
         job.attempt = newest.attempt;
         job.epoch = newest.epoch.next();
         job.adopted = true;
         job.described = false;
-        job.ran = lines.values().any(|lease| lease.state.ran());
+        job.ran = leases.values().any(|lease| lease.state.ran());
         job.started = Some(now);
-        job.parts = first.members.iter().cloned().map(Part::new).collect();
+        job.members = first.members.iter().cloned().map(GangMember::new).collect();
         let limits = self.limits;
         job.phase = Phase::Adopting { next: now, until: now + limits.lease_ttl };
         self.by_request.insert(name, id.clone());
@@ -55,8 +55,8 @@
         let Some(job) = self.jobs.get_mut(id) else { return };
         let Phase::Adopting { next, until } = &mut job.phase else { return };
         if *until <= now {
-            let server = job.parts.iter().find(|p| p.state.is_none()).map(|p| p.member.server.clone());
-            let server = server.unwrap_or_else(|| job.parts[0].member.server.clone());
+            let server = job.members.iter().find(|p| p.state.is_none()).map(|p| p.placement.server.clone());
+            let server = server.unwrap_or_else(|| job.members[0].placement.server.clone());
             return self.stop(id, Cause::MemberLost { server }, now);
         }
         if *next <= now {
@@ -69,8 +69,9 @@
         let ttl = self.limits.lease_ttl;
         let job = &self.jobs[id];
         let token = job.token();
-        let open: Vec<_> = job.parts.iter().filter(|p| p.state.is_none()).map(|p| p.member.server.clone()).collect();
-        let first = job.parts[0].member.server.clone();
+        let open: Vec<_> =
+            job.members.iter().filter(|p| p.state.is_none()).map(|p| p.placement.server.clone()).collect();
+        let first = job.members[0].placement.server.clone();
         for server in open {
             let holder = self.me.clone();
             self.call(&server, BackendRequest::Adopt { job: id.clone(), token, holder, ttl });
@@ -92,8 +93,8 @@
         }
         match reply {
             BackendReply::Ok { state } => {
-                if let Some(part) = job.part_mut(server) {
-                    part.state = Some(state);
+                if let Some(member) = job.member_mut(server) {
+                    member.state = Some(state);
                 }
                 self.finish_adoption(id, now);
             }
@@ -114,8 +115,8 @@
     fn adopt_again(&mut self, id: &JobId, seen: Epoch, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.epoch = seen.next();
-        for part in &mut job.parts {
-            part.state = None;
+        for member in &mut job.members {
+            member.state = None;
         }
         self.send_adoptions(id);
         self.tick_adopting(id, now);
@@ -123,13 +124,13 @@
 
     fn finish_adoption(&mut self, id: &JobId, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        if !matches!(job.phase, Phase::Adopting { .. }) || job.parts.iter().any(|p| p.state.is_none()) {
+        if !matches!(job.phase, Phase::Adopting { .. }) || job.members.iter().any(|p| p.state.is_none()) {
             return;
         }
-        let bad = job.parts.iter().find_map(|p| match &p.state {
+        let bad = job.members.iter().find_map(|p| match &p.state {
             Some(TaskState::Failed { why }) => Some(Cause::TaskFailed { why: why.clone() }),
             Some(TaskState::Stopped { .. }) => Some(Cause::Preempted),
-            Some(TaskState::Lapsed { .. }) => Some(Cause::MemberLost { server: p.member.server.clone() }),
+            Some(TaskState::Lapsed { .. }) => Some(Cause::MemberLost { server: p.placement.server.clone() }),
             _ => None,
         });
         if let Some(cause) = bad {
--- a/crates/lifecycle/src/commit.rs
+++ b/crates/lifecycle/src/commit.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     Coordinator, Effect,
-    job::{Cause, Job, Part, Phase},
+    job::{Cause, GangMember, Job, Phase},
 };
 
 impl Coordinator {
@@ -16,7 +16,7 @@
         job.attempt = job.attempt.next();
         job.go_sent = false;
         job.attempt_started = now;
-        job.parts = members.iter().cloned().map(Part::new).collect();
+        job.members = members.iter().cloned().map(GangMember::new).collect();
         job.phase = Phase::Reserving { until: now + self.limits.reserve_wait };
         let calls: Vec<_> = (0..members.len())
             .map(|index| {
@@ -47,8 +47,8 @@
         self.send_stops(id);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.failed_commits += 1;
-        let unresponsive = job.parts.iter().filter(|p| p.state.is_none());
-        job.unresponsive = unresponsive.map(|p| p.member.server.clone()).collect();
+        let unresponsive = job.members.iter().filter(|p| p.state.is_none());
+        job.unresponsive = unresponsive.map(|p| p.placement.server.clone()).collect();
         self.requeue(id, now);
     }
 
@@ -68,8 +68,8 @@
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.phase = Phase::Starting { until: now + self.limits.start_wait };
         let token = job.token();
-        for member in job.members() {
-            self.call(&member.server, BackendRequest::Start { job: id.clone(), token, ttl });
+        for placement in job.placements() {
+            self.call(&placement.server, BackendRequest::Start { job: id.clone(), token, ttl });
         }
     }
 
@@ -119,7 +119,7 @@
             _ => now + self.limits.fetch_wait,
         };
         job.phase = Phase::Fetching { next, until };
-        let server = job.parts[0].member.server.clone();
+        let server = job.members[0].placement.server.clone();
         self.call(&server, BackendRequest::Fetch { job: id.clone() });
     }
 
@@ -138,6 +138,6 @@
 }
 
 fn not_running(job: &Job) -> Vec<model::BackendServerId> {
-    let armed = |part: &&Part| matches!(part.state, None | Some(TaskState::Armed));
-    job.parts.iter().filter(armed).map(|part| part.member.server.clone()).collect()
+    let armed = |member: &&GangMember| matches!(member.state, None | Some(TaskState::Armed));
+    job.members.iter().filter(armed).map(|member| member.placement.server.clone()).collect()
 }
--- a/crates/lifecycle/src/coordinator.rs
+++ b/crates/lifecycle/src/coordinator.rs
@@ -328,8 +328,8 @@
         if !matches!(it.phase, Phase::Ended { .. }) {
             return;
         }
-        let calls = it.parts.iter().map(|part| Effect::Call {
-            server: part.member.server.clone(),
+        let calls = it.members.iter().map(|member| Effect::Call {
+            server: member.placement.server.clone(),
             req: BackendRequest::Acknowledge { job: id.clone() },
         });
         self.effects.extend(calls);
--- a/crates/lifecycle/src/ending.rs
+++ b/crates/lifecycle/src/ending.rs
@@ -44,7 +44,7 @@
     pub(crate) fn send_stops(&mut self, id: &JobId) {
         let job = &self.jobs[id];
         let token = job.token();
-        let open: Vec<_> = job.parts.iter().filter(|p| !p.has_ended()).map(|p| p.member.server.clone()).collect();
+        let open: Vec<_> = job.members.iter().filter(|p| !p.has_ended()).map(|p| p.placement.server.clone()).collect();
         for server in open {
             self.call(&server, BackendRequest::Stop { job: id.clone(), token });
         }
@@ -55,10 +55,10 @@
         let job = &self.jobs[id];
         let Phase::Stopping { cause, until, .. } = &job.phase else { return false };
         let expired = *until <= now;
-        let all_ended = job.parts.iter().all(|p| p.has_ended());
+        let all_ended = job.members.iter().all(|p| p.has_ended());
         // `go` needs every member. If one has accepted the stop before it ran, no coordinator has sent `go` and none
         // can.
-        let never_ran = !job.go_sent && !job.adopted && job.parts.iter().any(|p| p.has_ended() && !p.ran());
+        let never_ran = !job.go_sent && !job.adopted && job.members.iter().any(|p| p.has_ended() && !p.ran());
         if !(expired || all_ended || never_ran) {
             return false;
         }
@@ -70,7 +70,7 @@
 
     fn after_stop(&mut self, id: &JobId, cause: Cause, certain: bool, never_ran: bool, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        let ran = !never_ran && (job.go_sent || job.parts.iter().any(|p| p.ran()));
+        let ran = !never_ran && (job.go_sent || job.members.iter().any(|p| p.ran()));
         job.ran |= ran;
         job.certain &= certain || job.go_sent;
         match cause {
@@ -115,7 +115,7 @@
 
     fn after_preemption(&mut self, id: &JobId, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        let ran_here = job.parts.iter().any(|p| p.ran());
+        let ran_here = job.members.iter().any(|p| p.ran());
         let kept = |state: &TaskState| {
             !state.ran() || matches!(state, TaskState::Stopped { checkpointed: true, .. } | TaskState::Finished { .. })
         };
@@ -162,7 +162,7 @@
         let backoff = self.backoff(&self.jobs[id]);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.phase = Phase::Waiting { not_before: now + backoff };
-        job.parts.clear();
+        job.members.clear();
         if job.adopted {
             self.replace_ticket(id, now);
         }
--- a/crates/lifecycle/src/job.rs
+++ b/crates/lifecycle/src/job.rs
@@ -39,7 +39,7 @@
     pub(crate) described: bool,
     pub(crate) attempt_started: Moment,
     /// The members of the current attempt.
-    pub(crate) parts: Vec<Part>,
+    pub(crate) members: Vec<GangMember>,
     pub(crate) phase: Phase,
     /// Whether this box has sent `go` for the current attempt.
     pub(crate) go_sent: bool,
@@ -65,17 +65,18 @@
 
 /// One member of the current attempt.
 #[derive(Debug, Clone)]
-pub(crate) struct Part {
-    pub(crate) member: Member,
+pub(crate) struct GangMember {
+    /// The backend server and the number of tasks on it.
+    pub(crate) placement: Member,
     /// The last state received; `None` before the first reply.
     pub(crate) state: Option<TaskState>,
     /// Whether the backend server has accepted a stop.
     pub(crate) stopped: bool,
 }
 
-impl Part {
-    pub(crate) fn new(member: Member) -> Part {
-        Part { member, state: None, stopped: false }
+impl GangMember {
+    pub(crate) fn new(placement: Member) -> GangMember {
+        GangMember { placement, state: None, stopped: false }
     }
 
     /// Whether nothing of this member can run any more.
@@ -128,7 +129,7 @@
             adopted: false,
             described: true,
             attempt_started: now,
-            parts: Vec::new(),
+            members: Vec::new(),
             phase: Phase::Waiting { not_before: now },
             go_sent: false,
             ran: false,
@@ -147,16 +148,16 @@
         LeaseToken { attempt: self.attempt, epoch: self.epoch }
     }
 
-    pub(crate) fn members(&self) -> Vec<Member> {
-        self.parts.iter().map(|p| p.member.clone()).collect()
+    pub(crate) fn placements(&self) -> Vec<Member> {
+        self.members.iter().map(|p| p.placement.clone()).collect()
     }
 
-    pub(crate) fn part_mut(&mut self, server: &BackendServerId) -> Option<&mut Part> {
-        self.parts.iter_mut().find(|p| p.member.server == *server)
+    pub(crate) fn member_mut(&mut self, server: &BackendServerId) -> Option<&mut GangMember> {
+        self.members.iter_mut().find(|p| p.placement.server == *server)
     }
 
     pub(crate) fn all(&self, f: impl Fn(&TaskState) -> bool) -> bool {
-        self.parts.iter().all(|p| p.state.as_ref().is_some_and(&f))
+        self.members.iter().all(|p| p.state.as_ref().is_some_and(&f))
     }
 
     pub(crate) fn has_ended(&self) -> bool {
@@ -169,7 +170,7 @@
     }
 
     pub(crate) fn view(&self, id: &JobId) -> JobView {
-        let servers = self.parts.iter().map(|p| p.member.server.clone()).collect();
+        let servers = self.members.iter().map(|p| p.placement.server.clone()).collect();
         JobView {
             job: id.clone(),
             spec: Arc::clone(&self.spec),
--- a/crates/lifecycle/src/renewal.rs
+++ b/crates/lifecycle/src/renewal.rs
@@ -27,9 +27,9 @@
         let mut by_server: BTreeMap<BackendServerId, Vec<Renewal>> = BTreeMap::new();
         for (id, job) in self.jobs.iter().filter(|(_, job)| job.needs_renewal()) {
             let go = matches!(job.phase, Phase::Running { .. });
-            for part in job.parts.iter().filter(|part| !part.has_ended()) {
+            for member in job.members.iter().filter(|member| !member.has_ended()) {
                 let lease = Renewal { job: id.clone(), token: job.token(), go };
-                by_server.entry(part.member.server.clone()).or_default().push(lease);
+                by_server.entry(member.placement.server.clone()).or_default().push(lease);
             }
         }
         by_server
@@ -42,9 +42,9 @@
             let last = self.last_responses.get(server).copied().unwrap_or(since).max(since);
             now.since(last) > self.limits.lease_ttl
         };
-        let lost = job.parts.iter().find(|part| !part.has_ended() && unresponsive(&part.member.server));
-        if let Some(part) = lost {
-            let server = part.member.server.clone();
+        let lost = job.members.iter().find(|member| !member.has_ended() && unresponsive(&member.placement.server));
+        if let Some(member) = lost {
+            let server = member.placement.server.clone();
             self.effects.push(Effect::Count(Anomaly::PartialGang));
             self.stop(id, Cause::MemberLost { server }, now);
         }
--- a/crates/lifecycle/src/replies.rs
+++ b/crates/lifecycle/src/replies.rs
@@ -89,11 +89,11 @@
     /// ignored.
     pub(crate) fn on_state(&mut self, server: &BackendServerId, id: &JobId, state: TaskState, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        let Some(part) = job.part_mut(server) else { return };
-        if part.state.as_ref().is_some_and(|old| state_rank(old) > state_rank(&state)) {
+        let Some(member) = job.member_mut(server) else { return };
+        if member.state.as_ref().is_some_and(|old| state_rank(old) > state_rank(&state)) {
             return;
         }
-        part.state = Some(state.clone());
+        member.state = Some(state.clone());
         match state {
             TaskState::Failed { why } => {
                 self.record_failure(id, server);
@@ -168,11 +168,11 @@
             return;
         }
         let it = self.jobs.get_mut(job).expect("a current job is tracked");
-        let Some(part) = it.part_mut(server) else { return };
-        part.stopped = true;
-        let is_unreported = part.state.as_ref().is_none_or(TaskState::holds);
+        let Some(member) = it.member_mut(server) else { return };
+        member.stopped = true;
+        let is_unreported = member.state.as_ref().is_none_or(TaskState::holds);
         if is_unreported {
-            part.state = Some(TaskState::Stopped { ran, checkpointed: false });
+            member.state = Some(TaskState::Stopped { ran, checkpointed: false });
         }
         self.try_complete_stop(job, now);
     }
@@ -182,7 +182,7 @@
         if !matches!(job.phase, Phase::Fetching { .. }) {
             return self.effects.push(Effect::Count(Anomaly::StaleReply));
         }
-        let expected = match &job.parts[0].state {
+        let expected = match &job.members[0].state {
             Some(TaskState::Finished { digest, .. }) => digest,
             _ => return,
         };
--- a/crates/lifecycle/src/tables.rs
+++ b/crates/lifecycle/src/tables.rs
@@ -43,7 +43,7 @@
             .jobs
             .iter()
             .filter(|(id, job)| matches!(job.phase, Phase::Running { .. }) && !listed.contains(id))
-            .filter(|(_, job)| job.parts.iter().any(|p| p.member.server == *server && running(&p.state)))
+            .filter(|(_, job)| job.members.iter().any(|p| p.placement.server == *server && running(&p.state)))
             .map(|(id, _)| id.clone())
             .collect();
         for id in lost {
