--- a/crates/lifecycle/src/ending.rs
+++ b/crates/lifecycle/src/ending.rs
@@ -56,8 +56,8 @@
         let Phase::Stopping { cause, until, .. } = &job.phase else { return false };
         let expired = *until <= now;
         let all_ended = job.members.iter().all(|p| p.has_ended());
-        // `go` needs every member. If one has accepted the stop before it ran, no coordinator has sent `go` and none
-        // can.
+        // A member that accepted the stop before it ran was never adopted. Since `go` needs every member, no
+        // coordinator has sent it and none can.
         let never_ran = !job.go_sent && !job.adopted && job.members.iter().any(|p| p.has_ended() && !p.ran());
         if !(expired || all_ended || never_ran) {
             return false;
--- a/crates/lifecycle/src/job.rs
+++ b/crates/lifecycle/src/job.rs
@@ -49,7 +49,7 @@
     pub(crate) certain: bool,
     /// Whether the next attempt resumes from a checkpoint.
     pub(crate) resume: bool,
-    /// Attempts in which not every member was reserved and started; part of the backoff.
+    /// Attempts in which not every member was reserved and started, since one last ran; part of the backoff.
     pub(crate) failed_commits: u32,
     /// Attempts that ran and failed.
     pub(crate) failures: u32,
