--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -109,7 +109,7 @@
         if revision < self.current.revision() {
             self.send_configuration(server, now);
         } else {
-            self.current.hear_of(revision);
+            self.current.record_revision(revision);
         }
     }
 
--- a/crates/entry/tests/promises.rs
+++ b/crates/entry/tests/promises.rs
@@ -58,7 +58,7 @@
     let accepted = results.iter().filter(|it| is_accepted(Some(it), 2)).count();
     let conflicts = results
         .iter()
-        .filter(|it| matches!(it, Applied::Conflict { standing: Some(doc) } if doc.revision == Revision(2)));
+        .filter(|it| matches!(it, Applied::Conflict { stored: Some(doc) } if doc.revision == Revision(2)));
     assert_eq!((accepted, conflicts.count()), (1, 1), "{results:?}");
 }
 
