--- a/crates/martend/src/convert.rs
+++ b/crates/martend/src/convert.rs
@@ -1,27 +1,27 @@
-//! Between the wire's messages and the checked types.
+//! Conversions between gRPC messages and checked types.
 
 use derive_more::{Display, Error, From};
 use entry::{JobAnswer, PeerRequest, Submission};
 use model::{Duration, Gang, IdError, Incarnation, JobId, Member, RawGang, RawResources, Resources, Revision, Within};
 use policy::Queued;
 
-/// Why a message of another box was refused.
+/// Reason for rejecting a message of another box.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ConvertError {
-    /// An id that is none.
+    /// An invalid id.
     #[display("{_0}")]
     Id(IdError),
-    /// A value out of its bounds.
+    /// A value out of its range.
     #[display("{_0}")]
     Check(model::CheckError),
-    /// A field that must be there is not.
+    /// A required field is missing.
     #[display("the field {field} is missing")]
     #[from(ignore)]
     Missing {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
     },
-    /// JSON that is not as agreed.
+    /// JSON that cannot be parsed as the expected type.
     #[display("{_0}")]
     Json(serde_json::Error),
 }
@@ -90,15 +90,15 @@
     }))
 }
 
-pub(crate) fn submission_to_wire(it: &Submission) -> wire::SubmitRequest {
+pub(crate) fn submission_to_wire(submission: &Submission) -> wire::SubmitRequest {
     wire::SubmitRequest {
-        spec: serde_json::to_vec(&it.spec).expect("our own types always serialize"),
-        wait_ms: it.wait.millis(),
-        durable: it.durable,
-        retry: it.retry,
-        resume: it.resume,
-        may_have_run: it.may_have_run,
-        ticket: it.ticket.as_ref().map(JobId::to_string).unwrap_or_default(),
+        spec: serde_json::to_vec(&submission.spec).expect("our own types always serialize"),
+        wait_ms: submission.wait.millis(),
+        durable: submission.durable,
+        retry: submission.retry,
+        resume: submission.resume,
+        may_have_run: submission.may_have_run,
+        ticket: submission.ticket.as_ref().map(JobId::to_string).unwrap_or_default(),
     }
 }
 
@@ -125,17 +125,17 @@
     })
 }
 
-pub(crate) fn queued_to_wire(it: &Queued) -> wire::QueuedJob {
+pub(crate) fn queued_to_wire(job: &Queued) -> wire::QueuedJob {
     wire::QueuedJob {
-        job: it.job.to_string(),
-        customer: it.customer.to_string(),
-        class: it.class.to_string(),
-        gang: Some(gang_to_wire(&it.gang)),
-        declared_ms: it.declared.millis(),
-        waited_ms: it.waited.millis(),
-        repeatable: it.repeatable,
-        checkpointable: it.checkpointable,
-        avoid: it.avoid.iter().map(ToString::to_string).collect(),
+        job: job.job.to_string(),
+        customer: job.customer.to_string(),
+        class: job.class.to_string(),
+        gang: Some(gang_to_wire(&job.gang)),
+        declared_ms: job.declared.millis(),
+        waited_ms: job.waited.millis(),
+        repeatable: job.repeatable,
+        checkpointable: job.checkpointable,
+        avoid: job.avoid.iter().map(ToString::to_string).collect(),
     }
 }
 
@@ -150,18 +150,18 @@
     Ok(Gang::try_from(RawGang { tasks: m.tasks, per_task: RawResources::from(per_task), within })?)
 }
 
-fn gang_to_wire(it: &Gang) -> wire::Gang {
-    let within = match it.within {
+fn gang_to_wire(gang: &Gang) -> wire::Gang {
+    let within = match gang.within {
         Within::AvailabilityZone => wire::Within::AvailabilityZone,
         Within::Rack => wire::Within::Rack,
         Within::Worker => wire::Within::Worker,
     };
     let per_task = wire::Resources {
-        accelerators: it.per_task.accelerators,
-        cores: it.per_task.cores,
-        memory_gb: it.per_task.memory_gb,
+        accelerators: gang.per_task.accelerators,
+        cores: gang.per_task.cores,
+        memory_gb: gang.per_task.memory_gb,
     };
-    wire::Gang { tasks: it.tasks, per_task: Some(per_task), within: within.into() }
+    wire::Gang { tasks: gang.tasks, per_task: Some(per_task), within: within.into() }
 }
 
 pub(crate) fn start_to_wire((job, members): &(JobId, Vec<Member>)) -> wire::Start {
--- a/crates/martend/src/deployment/mod.rs
+++ b/crates/martend/src/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A box on the users' platform: the runtime joined with the platform's adapter.
+//! A box on a platform that keeps its state: combines the runtime with the adapter for that platform.
 
 mod operators;
 mod settings;
@@ -30,15 +30,18 @@
 
 pub use settings::{DeploymentSettings, RawDeployment, has_deployment_settings, read};
 
-/// A box that leaves goes on taking connections for so long: the balancer asks every second, and takes a box
-/// out after two misses (users' protocol page).
-const STILL_TAKES: StdDuration = StdDuration::from_millis(2300);
-/// Kept back from the time that a leaving box has, to end in order.
-const END_MARGIN: StdDuration = StdDuration::from_millis(500);
-/// Most callers' connections: below the descriptors that a box has at the users (4,100).
-const MOST_CONNECTIONS: usize = 3000;
+/// Time for which a draining box still accepts connections: the load balancer checks every second, and removes a box
+/// after two failed checks (platform protocol).
+const ACCEPT_WHILE_DRAINING: StdDuration = StdDuration::from_millis(2300);
+/// Part of the drain time that is reserved for an orderly exit.
+const EXIT_MARGIN: StdDuration = StdDuration::from_millis(500);
+/// Maximum number of callers' connections, below the 4,100 descriptors that the platform gives a box.
+const MAX_CALLER_CONNECTIONS: usize = 3000;
 
-/// Runs a box until it is told to end. `path` is read again on SIGHUP.
+/// Runs a box until SIGTERM or SIGINT, then drains it. On SIGHUP, reads the log level from the settings file at `path`
+/// again.
+///
+/// Fails if an address cannot be bound or the signal handlers cannot be installed.
 pub async fn run(settings: DeploymentSettings, path: &str) -> std::io::Result<()> {
     let peers = TcpListener::bind(settings.runtime.peers_address).await?;
     let callers = TcpListener::bind(settings.callers_address).await?;
@@ -61,8 +64,8 @@
         Arc::clone(&clock),
     ));
     let front = Front { requests: Arc::clone(&this_box.requests), view: Arc::clone(&this_box.view), clock };
-    let (taking, stop) = smol::channel::bounded::<()>(1);
-    let limits = ServerLimits { connections: MOST_CONNECTIONS, ..ServerLimits::default() };
+    let (accepting, stop) = smol::channel::bounded::<()>(1);
+    let limits = ServerLimits { connections: MAX_CALLER_CONNECTIONS, ..ServerLimits::default() };
     let serving = smol::spawn(serve_until(callers, Arc::new(front), Purpose::Callers, limits, stop));
     let _handlers = [
         smol::spawn(serve(readiness, Arc::new(Readiness { view: Arc::clone(&this_box.view) }))),
@@ -74,12 +77,12 @@
             _ => break,
         }
     }
-    leave(&this_box, &settings, taking, serving).await;
+    drain(&this_box, &settings, accepting, serving).await;
     log::info!("event=ended box={} {AllTraffic}", settings.runtime.box_id);
     Ok(())
 }
 
-/// The platform's adviser and machines, if the settings name them.
+/// Returns clients of the platform's permit service and machine service, where the settings give an address.
 fn optional_services(settings: &DeploymentSettings) -> OptionalServices {
     let permit_service = |addr| Arc::new(HttpPermitService::new(Client::default(), addr)) as Arc<dyn PermitService>;
     let machines = |addr| Arc::new(HttpMachines::new(Client::default(), addr)) as Arc<dyn Machines>;
@@ -89,26 +92,26 @@
     }
 }
 
-/// Takes no new work, lets what is under way end, and gives up the election at once.
-async fn leave(
+/// Drains the box: stops accepting connections after a delay and lets open ones finish, within the grace period.
+async fn drain(
     this_box: &RunningBox,
     settings: &DeploymentSettings,
-    taking: smol::channel::Sender<()>,
+    accepting: smol::channel::Sender<()>,
     serving: smol::Task<()>,
 ) {
     log::info!("event=leaving box={}", settings.runtime.box_id);
     this_box.view.start_draining();
-    smol::Timer::after(STILL_TAKES).await;
-    taking.close();
-    let rest = StdDuration::from(settings.grace).saturating_sub(STILL_TAKES + END_MARGIN);
+    smol::Timer::after(ACCEPT_WHILE_DRAINING).await;
+    accepting.close();
+    let remaining = StdDuration::from(settings.grace).saturating_sub(ACCEPT_WHILE_DRAINING + EXIT_MARGIN);
     let expire = async {
-        smol::Timer::after(rest).await;
+        smol::Timer::after(remaining).await;
         log::warn!("event=left_open why=grace_over");
     };
     serving.or(expire).await;
 }
 
-/// Only the level of logs can change while a box runs; the rest holds from its next start.
+/// Reads the settings file again. Only the log level takes effect; other settings apply from the next start.
 fn reload(path: &str) {
     match read(path) {
         Ok(settings) => {
--- a/crates/martend/src/deployment/operators.rs
+++ b/crates/martend/src/deployment/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a box: metrics, what it believes, and evacuations of availability zones.
+//! The operators' API of a box: metrics, status, and evacuations of availability zones.
 
 use std::sync::Arc;
 
@@ -15,10 +15,10 @@
 
 use crate::telemetry;
 
-/// Each evacuation stands under this path, by its availability zone.
-const EVACUATIONS: &str = "/v1/evacuations";
+/// Path of the evacuations; that of a single one adds `/` and its availability zone.
+const EVACUATIONS_PATH: &str = "/v1/evacuations";
 
-/// Serves operators, over HTTP without keys: the address is theirs alone.
+/// HTTP handler for operators. It checks no keys, as only operators can reach its address.
 pub(super) struct OperatorApi {
     pub(super) this_box: Arc<RunningBox>,
 }
@@ -32,12 +32,12 @@
                     text_response(StatusCode::OK, telemetry::render())
                 }
                 "/v1/status" => json_response(StatusCode::OK, &self.this_box.status()),
-                EVACUATIONS => self.list_evacuations(),
-                path => match path.strip_prefix(EVACUATIONS).and_then(|rest| rest.strip_prefix('/')) {
+                EVACUATIONS_PATH => self.list_evacuations(),
+                path => match path.strip_prefix(EVACUATIONS_PATH).and_then(|rest| rest.strip_prefix('/')) {
                     Some(zone) => self.request_evacuation(&call.method, zone).await,
                     None => text_response(
                         StatusCode::NOT_FOUND,
-                        format!("there are /metrics, /v1/status and {EVACUATIONS}\n"),
+                        format!("there are /metrics, /v1/status and {EVACUATIONS_PATH}\n"),
                     ),
                 },
             })
@@ -49,7 +49,7 @@
     fn list_evacuations(&self) -> Response<Full<Bytes>> {
         match self.this_box.evacuations() {
             Some(evacuations) => json_response(StatusCode::OK, &json!({ "evacuations": evacuations })),
-            None => self.not_here(),
+            None => self.not_scheduling(),
         }
     }
 
@@ -71,7 +71,7 @@
             EvacuationOutcome::Refused(why) => {
                 json_response(StatusCode::CONFLICT, &json!({ "error": why.to_string() }))
             }
-            EvacuationOutcome::NotHere => self.not_here(),
+            EvacuationOutcome::NotHere => self.not_scheduling(),
             EvacuationOutcome::Unknown => {
                 let error = "the store gave no answer: it may be in force or not; ask again";
                 json_response(StatusCode::GATEWAY_TIMEOUT, &json!({ "error": error }))
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Only the box that schedules knows, and may write.
-    fn not_here(&self) -> Response<Full<Bytes>> {
+    /// Returns the response of a box that does not schedule: only the scheduler tracks and writes evacuations.
+    fn not_scheduling(&self) -> Response<Full<Bytes>> {
         let scheduler = self.this_box.status().scheduler;
         let error = match &scheduler {
             Some(id) => format!("this box does not schedule: ask {id}"),
--- a/crates/martend/src/deployment/settings.rs
+++ b/crates/martend/src/deployment/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a box on the users' platform, in JSON.
+//! Settings of a box on a platform that keeps its state, in JSON.
 
 use std::net::SocketAddr;
 
@@ -7,13 +7,14 @@
 use scheduler::{Timing, Tuning};
 use serde::{Deserialize, Serialize};
 
-/// The lease of an election, unless the store allows none so short: three renewals, of which two may be lost, also to
-/// a slow store. Jobs that come while the scheduler is lost wait for it.
+/// Lease of an election, unless the store's shortest lease is longer. It covers three renewals, so that two may be lost,
+/// also to a slow store. Jobs that arrive after a scheduler has failed wait until this lease has expired.
 const ELECTION_TTL: Duration = Duration::from_millis(1000);
-/// Wait of the watch on the configuration: a watch whose answer is lost is made up for soon after, before the users ask for the newest
-/// configuration again.
+/// Longest wait of a watch on the configuration. A watch whose response is lost is repeated after this, before the platform
+/// requests the newest configuration again.
 const WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// Above two signs of life that the store is asked for, each with a slow store's answer.
+/// Time after which a store that has not responded counts as unreachable. It exceeds two liveness checks of the store with
+/// slow responses.
 const STORE_SILENCE: Duration = Duration::from_millis(1100);
 
 #[derive(Deserialize)]
@@ -21,83 +22,83 @@
     deployment: RawDeployment,
 }
 
-/// Settings as they stand under `deployment`.
+/// Settings as read from the field `deployment`, not yet checked.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawDeployment {
-    /// The box's id.
+    /// Id of the box.
     #[serde(rename = "box")]
     pub box_id: BoxId,
-    /// The box's availability zone.
+    /// Availability zone of the box.
     pub availability_zone: AvailabilityZoneId,
-    /// Where callers are served.
+    /// Address to listen on for callers.
     pub callers_address: SocketAddr,
-    /// Where the balancer asks whether the box takes callers.
+    /// Address to listen on for the load balancer's readiness checks.
     pub readiness_address: SocketAddr,
-    /// Where other boxes are served.
+    /// Address to listen on for other boxes.
     pub peers_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address to listen on for operators: metrics, status and evacuations.
     pub metrics_address: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// The platform's adviser; empty or absent where no queue needs one.
+    /// Address of the platform's permit service; empty if no queue requires permits.
     #[serde(default)]
     pub adviser_address: String,
-    /// Where the platform's machines are listed and handed over for upkeep; empty or absent where there is none.
+    /// Address of the service that lists the platform's machines and takes them for maintenance; empty if there is none.
     #[serde(default)]
     pub machines_address: String,
-    /// Boxes known from the start; they may be gone.
+    /// Addresses of boxes to contact first; they may no longer exist.
     #[serde(default)]
     pub seeds: Vec<SocketAddr>,
-    /// Share of a core that the box has.
+    /// CPU time of the box, as a share of a core; above 0.
     pub cpu_share: f64,
-    /// What the box's link carries, in Mbit/s.
-    #[serde(default = "wide_link")]
+    /// Bandwidth of the box's network link, in Mbit/s; above 0.
+    #[serde(default = "default_link_mbps")]
     pub link_mbps: f64,
-    /// Memory that the box's process may take, in MB.
-    #[serde(default = "much_memory")]
+    /// Memory available to the box's process, in MB; above 0.
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
-    /// Descriptors that the box's process may take.
-    #[serde(default = "many_descriptors")]
+    /// File descriptors available to the box's process, 256 to 10,000,000.
+    #[serde(default = "default_descriptors")]
     pub descriptors: usize,
-    /// The shortest lease of the store, in milliseconds.
+    /// Shortest lease that the store grants, in milliseconds, 1 to 60,000.
     pub shortest_ttl_ms: u64,
-    /// The longest lease that a backend server grants, in milliseconds.
+    /// Longest lease that a backend server grants, in milliseconds, 1,000 to 600,000.
     pub lease_ms: u64,
-    /// How many times as long tasks run away from their data or spread over racks.
+    /// Factor by which the run time of a task grows away from its data or spread over racks; at least 1.
     pub far_factor: f64,
-    /// How long a box that is told to end may take, in milliseconds.
+    /// Time between SIGTERM and the end of the process, in milliseconds, 1,000 to 600,000.
     pub grace_ms: u64,
-    /// What the scheduler's mechanisms are set to, for measuring what each is worth.
+    /// Settings of the scheduler's mechanisms, which let measurements switch off each of them.
     #[serde(default, skip_serializing)]
     pub tuning: Tuning,
-    /// How long a scheduler that can no longer confirm its election goes on renewing leases, in milliseconds.
-    #[serde(default = "unconfirmed_renewal")]
+    /// Time for which a scheduler that cannot confirm its election still renews leases, in milliseconds.
+    #[serde(default = "default_unconfirmed_renewal_ms")]
     pub unconfirmed_renewal_ms: u64,
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// Most verbose level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub log_level: log::LevelFilter,
 }
 
-/// Settings, checked.
+/// Checked settings.
 #[derive(Debug, Clone)]
 pub struct DeploymentSettings {
-    /// Of the box itself.
+    /// Settings of the runtime.
     pub runtime: runtime::Settings,
-    /// Where callers are served.
+    /// Address to listen on for callers.
     pub callers_address: SocketAddr,
-    /// Where the balancer asks.
+    /// Address to listen on for the load balancer's readiness checks.
     pub readiness_address: SocketAddr,
-    /// Where metrics are served.
+    /// Address to listen on for operators: metrics, status and evacuations.
     pub metrics_address: SocketAddr,
-    /// The platform's store.
+    /// Address of the platform's store.
     pub store_address: SocketAddr,
-    /// The platform's adviser.
+    /// Address of the platform's permit service; `None` if no queue requires permits.
     pub adviser_address: Option<SocketAddr>,
-    /// Where the platform's machines are listed and handed over for upkeep.
+    /// Address of the service that lists the platform's machines and takes them for maintenance; `None` if there is none.
     pub machines_address: Option<SocketAddr>,
-    /// How long a box that is told to end may take.
+    /// Time between SIGTERM and the end of the process.
     pub grace: Duration,
-    /// What is logged.
+    /// Most verbose level that is logged.
     pub log_level: log::LevelFilter,
 }
 
@@ -105,8 +106,8 @@
     type Error = CheckError;
     fn try_from(raw: RawDeployment) -> Result<DeploymentSettings, CheckError> {
         check(&raw)?;
-        let adviser_address = optional_address("adviser_address", &raw.adviser_address)?;
-        let machines_address = optional_address("machines_address", &raw.machines_address)?;
+        let adviser_address = parse_optional_address("adviser_address", &raw.adviser_address)?;
+        let machines_address = parse_optional_address("machines_address", &raw.machines_address)?;
         let election_ttl = ELECTION_TTL.max(Duration::from_millis(raw.shortest_ttl_ms));
         let timing = Timing {
             lease: Duration::from_millis(raw.lease_ms),
@@ -144,9 +145,9 @@
 
 fn check(raw: &RawDeployment) -> Result<(), CheckError> {
     let path = JsonPath::root().field("deployment");
-    within(&path, "lease_ms", raw.lease_ms, 1000, 600_000)?;
-    within(&path, "shortest_ttl_ms", raw.shortest_ttl_ms, 1, 60_000)?;
-    within(&path, "grace_ms", raw.grace_ms, 1000, 600_000)?;
+    check_range(&path, "lease_ms", raw.lease_ms, 1000, 600_000)?;
+    check_range(&path, "shortest_ttl_ms", raw.shortest_ttl_ms, 1, 60_000)?;
+    check_range(&path, "grace_ms", raw.grace_ms, 1000, 600_000)?;
     if raw.far_factor.is_nan() || raw.far_factor < 1.0 {
         return Err(CheckError::new(&path.field("far_factor"), raw.far_factor, "allowed is 1 or more"));
     }
@@ -159,33 +160,34 @@
     if raw.link_mbps.is_nan() || raw.link_mbps <= 0.0 {
         return Err(CheckError::new(&path.field("link_mbps"), raw.link_mbps, "allowed is more than 0"));
     }
-    within(&path, "descriptors", raw.descriptors as u64, 256, 10_000_000)?;
+    check_range(&path, "descriptors", raw.descriptors as u64, 256, 10_000_000)?;
     if raw.memory_mb.is_nan() || raw.memory_mb <= 0.0 {
         return Err(CheckError::new(&path.field("memory_mb"), raw.memory_mb, "allowed is more than 0"));
     }
     Ok(())
 }
 
-fn unconfirmed_renewal() -> u64 {
+fn default_unconfirmed_renewal_ms() -> u64 {
     Timing::default().unconfirmed_renewal.millis()
 }
 
-/// A link of which the settings tell nothing is taken for one that is wide enough for all.
-fn wide_link() -> f64 {
+/// Bandwidth that is assumed if the settings give none: enough not to limit the box.
+fn default_link_mbps() -> f64 {
     1000.0
 }
 
-/// Memory of which the settings tell nothing is taken for enough.
-fn many_descriptors() -> usize {
+/// Number of file descriptors that is assumed if the settings give none: enough not to limit the box.
+fn default_descriptors() -> usize {
     16_384
 }
 
-fn much_memory() -> f64 {
+/// Memory that is assumed if the settings give none: enough not to limit the box.
+fn default_memory_mb() -> f64 {
     1024.0
 }
 
-/// An address that may be left empty.
-fn optional_address(name: &str, text: &str) -> Result<Option<SocketAddr>, CheckError> {
+/// Parses an address; `None` if the text is empty.
+fn parse_optional_address(name: &str, text: &str) -> Result<Option<SocketAddr>, CheckError> {
     if text.is_empty() {
         return Ok(None);
     }
@@ -193,20 +195,22 @@
     text.parse().map(Some).map_err(|_| CheckError::new(&path, text, "allowed is IP:port, or nothing"))
 }
 
-fn within(path: &JsonPath, name: &str, ms: u64, min: u64, max: u64) -> Result<(), CheckError> {
+fn check_range(path: &JsonPath, name: &str, ms: u64, min: u64, max: u64) -> Result<(), CheckError> {
     if (min..=max).contains(&ms) {
         return Ok(());
     }
     Err(CheckError::new(&path.field(name), ms, format!("allowed is {min} to {max} milliseconds")))
 }
 
-/// Whether a settings file is one for a box on the users' platform.
+/// Returns whether a settings file has a field `deployment`, which selects this way to run a box.
+///
+/// Returns `false` if the file cannot be read or parsed.
 pub fn has_deployment_settings(path: &str) -> bool {
     let text = std::fs::read(path).unwrap_or_default();
     serde_json::from_slice::<serde_json::Value>(&text).is_ok_and(|value| value.get("deployment").is_some())
 }
 
-/// Reads and checks a settings file; the error names the file, the field and what is allowed.
+/// Reads and checks a settings file. The error names the file, the field and the allowed values.
 pub fn read(path: &str) -> Result<DeploymentSettings, String> {
     let text = std::fs::read(path).map_err(|e| format!("{path}: {e}"))?;
     let file: SettingsFile = model::from_json(&text).map_err(|e| format!("{path}: {e}"))?;
--- a/crates/martend/src/host.rs
+++ b/crates/martend/src/host.rs
@@ -1,4 +1,4 @@
-//! The task that owns the entry box, and the I/O around it.
+//! The task that owns the entry box, and the tasks that do its I/O.
 
 use std::{collections::HashMap, net::SocketAddr, sync::Arc};
 
@@ -18,12 +18,12 @@
 
 use crate::{Settings, http_api::Api, peer_client, peer_client::PeerClients, peer_server::PeerService, telemetry};
 
-/// The platform's list is read this often.
-const LIST_EVERY: std::time::Duration = std::time::Duration::from_secs(5);
-/// Most calls in flight to one backend server, the waiting watch not counted.
+/// Interval at which the platform's list of boxes is read.
+const LIST_INTERVAL: std::time::Duration = std::time::Duration::from_secs(5);
+/// Maximum number of calls in flight to one backend server, not counting the pending watch.
 const MAX_BACKEND_CALLS: usize = 64;
 
-/// What reaches the owning task.
+/// A message to the task that owns the entry box.
 pub(crate) enum Event {
     Input(Input),
     BackendReply {
@@ -37,7 +37,7 @@
     Health(Sender<Health>),
 }
 
-/// What health checks and gauges read.
+/// State that health checks and gauges report.
 pub(crate) struct Health {
     pub(crate) ready: bool,
     pub(crate) queues: Vec<(String, String, usize)>,
@@ -45,28 +45,28 @@
     pub(crate) open_jobs: usize,
 }
 
-/// Where a daemon is served.
+/// Addresses that a daemon listens on.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// For callers and operators.
+    /// Address for callers and operators.
     pub callers: SocketAddr,
-    /// For other boxes.
+    /// Address for other boxes.
     pub peers: SocketAddr,
 }
 
-/// The parts of a daemon that can be something else than the usual.
+/// Components of a daemon that its creator chooses.
 pub struct Parts {
-    /// Listens for callers and operators.
+    /// Listener for callers and operators.
     pub callers: TcpListener,
-    /// Listens for other boxes.
+    /// Listener for other boxes.
     pub peers: TcpListener,
     /// Decides where jobs run.
     pub planner: Box<dyn Planner>,
 }
 
-/// A running daemon; it ends when this is dropped.
+/// A running daemon, stopped when this is dropped.
 pub struct Daemon {
-    /// Where it is served.
+    /// Addresses that the daemon listens on.
     pub addresses: Addresses,
     events: Sender<Event>,
     host: Task<()>,
@@ -74,19 +74,19 @@
 }
 
 impl Daemon {
-    /// Makes the box leave: it takes no new work, and finishes or hands over what it has.
+    /// Drains the box: it accepts no new work, and finishes its jobs or hands them over.
     pub async fn drain(&self) {
-        // If the owning task is gone, the box has left already.
+        // A closed channel means that the box has stopped already.
         let _ = self.events.send(Event::Input(Input::Drain)).await;
     }
 
-    /// Waits until the box has left.
-    pub async fn left(self) {
+    /// Waits until the box has drained, or its time limit for draining has passed.
+    pub async fn wait_stopped(self) {
         self.host.await;
     }
 }
 
-/// Starts a daemon.
+/// Starts a daemon on the listeners in `parts`. Fails if the address of a listener cannot be read.
 pub fn start(settings: Settings, parts: Parts) -> std::io::Result<Daemon> {
     let addresses = Addresses { callers: parts.callers.local_addr()?, peers: parts.peers.local_addr()? };
     let (tx, rx) = smol::channel::unbounded();
@@ -139,7 +139,7 @@
         {
             return;
         }
-        smol::Timer::after(LIST_EVERY).await;
+        smol::Timer::after(LIST_INTERVAL).await;
     }
 }
 
@@ -159,24 +159,24 @@
 
 impl Host {
     async fn run(mut self, rx: Receiver<Event>, drain: Duration) {
-        let mut leave_by = None;
+        let mut drain_deadline = None;
         while let Ok(event) = rx.recv().await {
             if matches!(event, Event::Input(Input::Drain)) {
                 log::info!("event=leaving box={} limit={drain}", self.box_id);
-                leave_by.get_or_insert(self.clock.now() + drain);
+                drain_deadline.get_or_insert(self.clock.now() + drain);
             }
-            self.take(event);
-            let expired = leave_by.is_some_and(|at| at <= self.clock.now());
-            // A caller whose request has arrived, or who waits for a reply, is not cut off.
-            let free = self.callers.is_empty() && rx.is_empty();
-            if (self.entry.is_drained() && free) || expired {
+            self.handle_event(event);
+            let expired = drain_deadline.is_some_and(|at| at <= self.clock.now());
+            // Requests that have arrived are handled and answered before the box stops.
+            let is_idle = self.callers.is_empty() && rx.is_empty();
+            if (self.entry.is_drained() && is_idle) || expired {
                 log::info!("event=left box={} open_jobs={}", self.box_id, self.entry.open_jobs());
                 return;
             }
         }
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         let input = match event {
             Event::Input(input) => input,
             Event::BackendReply { op, server, req, reply } => {
@@ -188,27 +188,27 @@
                 Input::BackendReply { op, server, req, reply }
             }
             Event::Caller(req, tx) => {
-                let to = self.reply_to();
+                let to = self.next_reply_to();
                 self.callers.insert(to, tx);
                 Input::Caller { to, req }
             }
             Event::Peer(req, tx) => {
-                let to = self.reply_to();
+                let to = self.next_reply_to();
                 self.waiting_peers.insert(to, tx);
                 Input::Peer { to, req }
             }
             Event::Health(tx) => {
-                // A health check that no longer waits is no loss.
+                // The health check may have timed out.
                 let _ = tx.try_send(self.health());
                 return;
             }
         };
         for output in self.entry.handle(input, self.clock.now()) {
-            self.carry_out(output);
+            self.execute(output);
         }
     }
 
-    fn reply_to(&mut self) -> ReplyTo {
+    fn next_reply_to(&mut self) -> ReplyTo {
         self.next_reply += 1;
         ReplyTo(self.next_reply)
     }
@@ -224,17 +224,17 @@
         }
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn execute(&mut self, output: Output) {
         match output {
             Output::ToCaller { to, reply } => {
                 if let Some(tx) = self.callers.remove(&to) {
-                    // The caller may have gone; its answer stays until it is acknowledged.
+                    // The caller may have disconnected; its answer is kept until it is acknowledged.
                     let _ = tx.try_send(reply);
                 }
             }
             Output::ToPeer { to, reply } => {
                 if let Some(tx) = self.waiting_peers.remove(&to) {
-                    // The peer may have gone; it will ask again.
+                    // The peer may have disconnected; it will retry.
                     let _ = tx.try_send(reply);
                 }
             }
@@ -259,7 +259,7 @@
                 Some(client) => peer_client::call(client, req, limit).await,
                 None => None,
             };
-            // If the owning task is gone, nobody waits for this.
+            // A closed channel means that the box has stopped and needs no reply.
             let _ = events.send(Event::Input(Input::PeerReply { op, peer, reply })).await;
         })
         .detach();
@@ -280,7 +280,7 @@
                 None => Err(NetError::Unsent { why: format!("{MAX_BACKEND_CALLS} calls are in flight") }),
             };
             let reply = result.inspect_err(|e| log::debug!("event=backend_call_failed server={server} why={e:?}")).ok();
-            // If the owning task is gone, nobody waits for this.
+            // A closed channel means that the box has stopped and needs no reply.
             let _ = events.send(Event::BackendReply { op, server, req, reply }).await;
         })
         .detach();
@@ -291,7 +291,7 @@
         let call = self.store.call(req);
         smol::spawn(async move {
             let reply = call.await.inspect_err(|e| log::debug!("event=store_call_failed why={e:?}")).ok();
-            // If the owning task is gone, nobody waits for this.
+            // A closed channel means that the box has stopped and needs no reply.
             let _ = events.send(Event::Input(Input::StoreReply { op, reply })).await;
         })
         .detach();
--- a/crates/martend/src/http_api.rs
+++ b/crates/martend/src/http_api.rs
@@ -1,4 +1,4 @@
-//! The interface for callers and operators, over HTTP/1 and JSON. `docs/interface.md` describes it.
+//! The API for callers and operators, JSON over HTTP/1. `docs/interface.md` describes it.
 
 use bytes::Bytes;
 use entry::{CallerReply, CallerRequest, JobAnswer, Submission};
@@ -17,20 +17,20 @@
 
 type Res = Response<Full<Bytes>>;
 
-/// Answers callers and operators.
+/// HTTP handler for callers and operators.
 pub(crate) struct Api {
     pub(crate) events: Sender<Event>,
     pub(crate) box_id: String,
 }
 
-/// An error of the interface itself.
+/// Body of a response to a request that did not reach the entry box.
 #[derive(Serialize)]
 struct Problem {
     status: &'static str,
     error: String,
 }
 
-/// An apply as it stands in JSON.
+/// Body of a request that applies a configuration.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RawApply {
@@ -56,8 +56,8 @@
                 (&Method::GET, ["healthz"]) => Some(text_response(StatusCode::OK, "ok\n".to_owned())),
                 (&Method::GET, ["readyz"]) => self.ready().await,
                 (&Method::GET, ["metrics"]) => self.metrics().await,
-                _ => match read(&call, &path) {
-                    Ok(req) => self.ask(req).await,
+                _ => match parse(&call, &path) {
+                    Ok(req) => self.request(req).await,
                     Err(res) => Some(res),
                 },
             }
@@ -66,10 +66,10 @@
 }
 
 impl Api {
-    async fn ask(&self, req: CallerRequest) -> Option<Res> {
+    async fn request(&self, req: CallerRequest) -> Option<Res> {
         let (tx, rx) = smol::channel::bounded(1);
         self.events.send(Event::Caller(req, tx)).await.ok()?;
-        // If the box goes before it replies, the connection is closed and the caller sees the break.
+        // `None` closes the connection: a box that stops before it replies has no response to give.
         rx.recv().await.ok().map(respond)
     }
 
@@ -97,12 +97,12 @@
     }
 }
 
-/// Reads a request; the error is the reply.
-fn read(call: &Call, path: &[&str]) -> Result<CallerRequest, Res> {
-    let query = Query::read(&call.query)?;
+/// Parses a request; the error is the response.
+fn parse(call: &Call, path: &[&str]) -> Result<CallerRequest, Res> {
+    let query = Query::parse(&call.query)?;
     match (&call.method, path) {
         (&Method::POST, ["v1", "jobs"]) => {
-            let spec: JobSpec = model::from_json(&call.body).map_err(|e| bad(e.to_string()))?;
+            let spec: JobSpec = model::from_json(&call.body).map_err(|e| bad_request(e.to_string()))?;
             Ok(CallerRequest::Submit(Submission {
                 spec,
                 wait: query.wait,
@@ -115,18 +115,18 @@
         }
         (&Method::POST, ["v1", "tickets"]) => Ok(CallerRequest::Mint),
         (&Method::GET, ["v1", "jobs", customer, request]) => {
-            Ok(CallerRequest::Poll { customer: id(customer)?, request: id(request)?, wait: query.wait })
+            Ok(CallerRequest::Poll { customer: parse_id(customer)?, request: parse_id(request)?, wait: query.wait })
         }
         (&Method::DELETE, ["v1", "jobs", customer, request]) => {
-            Ok(CallerRequest::Cancel { customer: id(customer)?, request: id(request)? })
+            Ok(CallerRequest::Cancel { customer: parse_id(customer)?, request: parse_id(request)? })
         }
         (&Method::POST, ["v1", "jobs", customer, request, "acknowledge"]) => {
-            Ok(CallerRequest::Acknowledge { customer: id(customer)?, request: id(request)? })
+            Ok(CallerRequest::Acknowledge { customer: parse_id(customer)?, request: parse_id(request)? })
         }
         (&Method::GET, ["v1", "configuration"]) => Ok(CallerRequest::Configuration),
         (&Method::PUT, ["v1", "configuration"]) => {
-            let raw: RawApply = model::from_json(&call.body).map_err(|e| bad(e.to_string()))?;
-            policy::check_guarantees(&raw.file).map_err(|e| bad(e.to_string()))?;
+            let raw: RawApply = model::from_json(&call.body).map_err(|e| bad_request(e.to_string()))?;
+            policy::check_guarantees(&raw.file).map_err(|e| bad_request(e.to_string()))?;
             Ok(CallerRequest::Apply { id: raw.apply, base: raw.base, file: raw.file })
         }
         (&Method::GET, ["v1", "status"]) => Ok(CallerRequest::Status),
@@ -138,7 +138,7 @@
     }
 }
 
-/// The parameters that any path may have.
+/// Query parameters, accepted on every path.
 #[derive(Default)]
 struct Query {
     wait: Duration,
@@ -148,38 +148,39 @@
 }
 
 impl Query {
-    fn read(text: &str) -> Result<Query, Res> {
+    fn parse(text: &str) -> Result<Query, Res> {
         let mut query = Query::default();
         for pair in text.split('&').filter(|pair| !pair.is_empty()) {
             let (name, value) = pair.split_once('=').unwrap_or((pair, ""));
             match name {
                 "wait_ms" => {
-                    let ms = value.parse().map_err(|_| bad(format!("wait_ms: {value:?} is no whole number")))?;
+                    let ms =
+                        value.parse().map_err(|_| bad_request(format!("wait_ms: {value:?} is no whole number")))?;
                     query.wait = Duration::from_millis(ms);
                 }
-                "durable" => query.durable = flag(name, value)?,
-                "retry" => query.retry = flag(name, value)?,
-                "ticket" => query.ticket = Some(id(value)?),
-                _ => return Err(bad(format!("{name}: allowed are wait_ms, durable, retry and ticket"))),
+                "durable" => query.durable = parse_flag(name, value)?,
+                "retry" => query.retry = parse_flag(name, value)?,
+                "ticket" => query.ticket = Some(parse_id(value)?),
+                _ => return Err(bad_request(format!("{name}: allowed are wait_ms, durable, retry and ticket"))),
             }
         }
         Ok(query)
     }
 }
 
-fn flag(name: &str, value: &str) -> Result<bool, Res> {
+fn parse_flag(name: &str, value: &str) -> Result<bool, Res> {
     match value {
         "true" => Ok(true),
         "false" => Ok(false),
-        _ => Err(bad(format!("{name}: {value:?} is refused: allowed are true and false"))),
+        _ => Err(bad_request(format!("{name}: {value:?} is refused: allowed are true and false"))),
     }
 }
 
-fn id<T: std::str::FromStr<Err = model::IdError>>(text: &str) -> Result<T, Res> {
-    text.parse().map_err(|e: model::IdError| bad(e.to_string()))
+fn parse_id<T: std::str::FromStr<Err = model::IdError>>(text: &str) -> Result<T, Res> {
+    text.parse().map_err(|e: model::IdError| bad_request(e.to_string()))
 }
 
-fn bad(error: String) -> Res {
+fn bad_request(error: String) -> Res {
     problem(StatusCode::BAD_REQUEST, "bad_request", error)
 }
 
--- a/crates/martend/src/lib.rs
+++ b/crates/martend/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon of an entry box: it carries out what an [`entry::EntryBox`] wants done.
+//! The daemon of an entry box: performs the I/O that an [`entry::EntryBox`] requests.
 //!
-//! One task owns the entry box and takes its inputs one by one; all I/O runs in tasks beside it
-//! and comes back as inputs. Nothing here decides anything about jobs.
+//! One task owns the entry box and handles its inputs one at a time. All I/O runs in separate tasks, whose
+//! results return as inputs. All decisions about jobs are made in `entry`, none here.
 
 mod convert;
 pub mod deployment;
--- a/crates/martend/src/main.rs
+++ b/crates/martend/src/main.rs
@@ -8,14 +8,14 @@
 use policy::CellPlanner;
 use smol::net::TcpListener;
 
-const BRIEF: &str =
+const USAGE: &str =
     "usage: martend --settings FILE [--check]\n\nWithout --settings, the variable MARTENSCALE_CONFIG names the file.";
 
-/// Names the settings file where the command line does not.
+/// Environment variable that names the settings file if the command line does not.
 const SETTINGS_VARIABLE: &str = "MARTENSCALE_CONFIG";
-/// The settings cannot be used.
+/// Exit code if the settings are missing or invalid.
 const EXIT_SETTINGS: u8 = 2;
-/// The daemon could not start.
+/// Exit code if the daemon could not start.
 const EXIT_START: u8 = 1;
 
 fn main() -> ExitCode {
@@ -25,14 +25,14 @@
     opts.optflag("h", "help", "show this text");
     let matches = match opts.parse(std::env::args().skip(1)) {
         Ok(matches) => matches,
-        Err(e) => return fail(EXIT_SETTINGS, &format!("{e}\n{BRIEF}")),
+        Err(e) => return fail(EXIT_SETTINGS, &format!("{e}\n{USAGE}")),
     };
     if matches.opt_present("help") {
-        print!("{}", opts.usage(BRIEF));
+        print!("{}", opts.usage(USAGE));
         return ExitCode::SUCCESS;
     }
     let Some(path) = matches.opt_str("settings").or_else(|| std::env::var(SETTINGS_VARIABLE).ok()) else {
-        return fail(EXIT_SETTINGS, BRIEF);
+        return fail(EXIT_SETTINGS, USAGE);
     };
     if deployment::has_deployment_settings(&path) {
         return run_deployment(&path, matches.opt_present("check"));
@@ -64,9 +64,9 @@
     }
     logs::init_service(settings.log_level);
     telemetry::init_metrics();
-    let ended = smol::block_on(deployment::run(settings, path));
+    let result = smol::block_on(deployment::run(settings, path));
     log::logger().flush();
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => fail(EXIT_START, &format!("martend cannot run: {e}")),
     }
@@ -90,11 +90,11 @@
     let name = settings.box_id.clone();
     let planner = Box::new(CellPlanner::new(settings.availability_zone.clone()));
     let daemon = start(settings, Parts { callers, peers, planner })?;
-    let at = daemon.addresses;
-    log::info!("event=started box={name} callers={} peers={}", at.callers, at.peers);
+    let addresses = daemon.addresses;
+    log::info!("event=started box={name} callers={} peers={}", addresses.callers, addresses.peers);
     if signals.next().await.is_some() {
         daemon.drain().await;
     }
-    daemon.left().await;
+    daemon.wait_stopped().await;
     Ok(())
 }
--- a/crates/martend/src/peer_client.rs
+++ b/crates/martend/src/peer_client.rs
@@ -10,10 +10,10 @@
 
 use crate::convert;
 
-/// No call to another box takes longer, whatever its own limit.
-const CHANNEL_LIMIT: std::time::Duration = std::time::Duration::from_secs(70);
-/// Longest message taken from another box, in bytes.
-const MAX_MESSAGE: usize = 4 * 1024 * 1024;
+/// Upper limit of a call to another box, whatever its own limit.
+const CHANNEL_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(70);
+/// Maximum size of a message received from another box, in bytes.
+const MAX_MESSAGE_BYTES: usize = 4 * 1024 * 1024;
 
 /// Channels to other boxes, one per address.
 #[derive(Default)]
@@ -23,19 +23,20 @@
 
 impl PeerClients {
     pub(crate) fn client(&mut self, addr: SocketAddr) -> PeerClient<Channel> {
-        let make = || {
+        let new_client = || {
             let origin = format!("http://{addr}").parse().expect("an address makes a valid origin");
-            PeerClient::with_origin(Channel::new(addr, CHANNEL_LIMIT), origin).max_decoding_message_size(MAX_MESSAGE)
+            PeerClient::with_origin(Channel::new(addr, CHANNEL_TIMEOUT), origin)
+                .max_decoding_message_size(MAX_MESSAGE_BYTES)
         };
-        self.by_addr.entry(addr).or_insert_with(make).clone()
+        self.by_addr.entry(addr).or_insert_with(new_client).clone()
     }
 }
 
-/// Makes one call within `limit`.
+/// Makes one call within `limit`. Returns `None` on a timeout or an error, which is logged.
 pub(crate) async fn call(mut client: PeerClient<Channel>, req: PeerRequest, limit: Duration) -> Option<PeerReply> {
     let expire = async {
         smol::Timer::after(limit.into()).await;
-        Err(Status::deadline_exceeded("the peer did not answer in time"))
+        Err(Status::deadline_exceeded("the peer did not respond in time"))
     };
     match futures_lite::FutureExt::or(send(&mut client, req), expire).await {
         Ok(reply) => Some(reply),
--- a/crates/martend/src/peer_server.rs
+++ b/crates/martend/src/peer_server.rs
@@ -1,4 +1,4 @@
-//! Calls from other boxes.
+//! gRPC service for calls from other boxes.
 
 use entry::{PeerReply, PeerRequest};
 use smol::channel::Sender;
@@ -10,14 +10,14 @@
     host::Event,
 };
 
-/// Passes each call to the entry box and waits for its reply.
+/// Forwards each call to the entry box and waits for its reply.
 #[derive(Clone)]
 pub(crate) struct PeerService {
     pub(crate) events: Sender<Event>,
 }
 
 impl PeerService {
-    async fn ask(&self, req: Result<PeerRequest, ConvertError>) -> Result<PeerReply, Status> {
+    async fn request(&self, req: Result<PeerRequest, ConvertError>) -> Result<PeerReply, Status> {
         let req = req?;
         let (tx, rx) = smol::channel::bounded(1);
         let closed = |_| Status::unavailable("the box is going");
@@ -25,15 +25,15 @@
         rx.recv().await.map_err(closed)
     }
 
-    async fn ask_job(&self, req: Result<PeerRequest, ConvertError>) -> Result<Response<wire::JobReply>, Status> {
-        match self.ask(req).await? {
+    async fn request_job(&self, req: Result<PeerRequest, ConvertError>) -> Result<Response<wire::JobReply>, Status> {
+        match self.request(req).await? {
             PeerReply::Job(answer) => Ok(Response::new(convert::answer_to_wire(&answer))),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
 
-fn unexpected() -> Status {
+fn unexpected_reply() -> Status {
     Status::internal("the box gave a reply to another question")
 }
 
@@ -44,55 +44,60 @@
 #[tonic::async_trait]
 impl Peer for PeerService {
     async fn heartbeat(&self, req: Request<wire::HeartbeatRequest>) -> Result<Response<wire::HeartbeatReply>, Status> {
-        match self.ask(convert::heartbeat(req.into_inner())).await? {
+        match self.request(convert::heartbeat(req.into_inner())).await? {
             PeerReply::Heartbeat { incarnation, revision, leaving } => {
                 Ok(Response::new(wire::HeartbeatReply { incarnation: incarnation.0, revision: revision.0, leaving }))
             }
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     async fn offer(&self, req: Request<wire::OfferRequest>) -> Result<Response<wire::OfferReply>, Status> {
-        match self.ask(convert::offer(req.into_inner())).await? {
+        match self.request(convert::offer(req.into_inner())).await? {
             PeerReply::Offered { need_full } => Ok(Response::new(wire::OfferReply { need_full })),
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 
     async fn grant(&self, req: Request<wire::GrantRequest>) -> Result<Response<wire::GrantReply>, Status> {
-        self.ask(convert::grant(req.into_inner())).await?;
+        self.request(convert::grant(req.into_inner())).await?;
         Ok(Response::new(wire::GrantReply {}))
     }
 
     async fn lookup(&self, req: Request<wire::LookupRequest>) -> Result<Response<wire::JobReply>, Status> {
-        self.ask_job(convert::lookup(req.into_inner())).await
+        self.request_job(convert::lookup(req.into_inner())).await
     }
 
     async fn cancel(&self, req: Request<wire::NameRequest>) -> Result<Response<wire::JobReply>, Status> {
         let name = name(req.into_inner());
-        self.ask_job(name.map(|(customer, request, pass_on)| PeerRequest::Cancel { customer, request, pass_on })).await
+        self.request_job(name.map(|(customer, request, pass_on)| PeerRequest::Cancel { customer, request, pass_on }))
+            .await
     }
 
     async fn acknowledge(&self, req: Request<wire::NameRequest>) -> Result<Response<wire::JobReply>, Status> {
         let name = name(req.into_inner());
-        self.ask_job(name.map(|(customer, request, pass_on)| PeerRequest::Acknowledge { customer, request, pass_on }))
-            .await
+        self.request_job(name.map(|(customer, request, pass_on)| PeerRequest::Acknowledge {
+            customer,
+            request,
+            pass_on,
+        }))
+        .await
     }
 
     async fn submit(&self, req: Request<wire::SubmitRequest>) -> Result<Response<wire::JobReply>, Status> {
-        self.ask_job(convert::submit(req.into_inner())).await
+        self.request_job(convert::submit(req.into_inner())).await
     }
 
     async fn fetch_configuration(
         &self,
         _: Request<wire::FetchConfigurationRequest>,
     ) -> Result<Response<wire::FetchConfigurationReply>, Status> {
-        match self.ask(Ok(PeerRequest::FetchConfiguration)).await? {
+        match self.request(Ok(PeerRequest::FetchConfiguration)).await? {
             PeerReply::Configuration(document) => {
                 let document = document.map(|text| text.to_string()).unwrap_or_default();
                 Ok(Response::new(wire::FetchConfigurationReply { document }))
             }
-            _ => Err(unexpected()),
+            _ => Err(unexpected_reply()),
         }
     }
 }
--- a/crates/martend/src/settings.rs
+++ b/crates/martend/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's own settings, read once at its start from a JSON file.
+//! Settings of the daemon, read from a JSON file when it starts.
 
 use std::net::SocketAddr;
 
@@ -8,39 +8,39 @@
 use outside::ListedBox;
 use serde::{Deserialize, Serialize};
 
-/// Settings as they stand in JSON. `docs/OPERATIONS.md` lists them with units, defaults and bounds.
+/// Settings as read from JSON, not yet checked. `docs/OPERATIONS.md` lists them with units, defaults and bounds.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RawSettings {
-    /// The box's id.
+    /// Id of the box.
     #[serde(rename = "box")]
     pub box_id: BoxId,
-    /// The box's availability zone.
+    /// Availability zone of the box.
     pub availability_zone: AvailabilityZoneId,
-    /// Where callers and operators are served.
+    /// Address to listen on for callers and operators.
     pub callers_address: SocketAddr,
-    /// Where other boxes are served.
+    /// Address to listen on for other boxes.
     pub peers_address: SocketAddr,
-    /// The platform's key-value service and list of boxes.
+    /// Address of the platform's key-value store and list of boxes.
     pub platform_address: SocketAddr,
-    /// Boxes known from the start; the platform's list adds to them.
+    /// Boxes known at the start, in addition to those of the platform's list.
     #[serde(default)]
     pub peers: Vec<ListedBox>,
-    /// Logs.
+    /// Level and format of logs.
     #[serde(default)]
     pub log: LogSettings,
-    /// Time limits that differ from the defaults.
+    /// Time limits that override the defaults.
     #[serde(default)]
     pub limits: RawLimits,
 }
 
-/// What is logged, and how.
+/// Level and format of logs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// `error`, `warn`, `info`, `debug` or `trace`.
+    /// Most verbose level that is logged: `error`, `warn`, `info`, `debug` or `trace`.
     pub level: log::LevelFilter,
-    /// `text` or `json`.
+    /// Format of log lines: `text` or `json`.
     pub format: LogFormat,
 }
 
@@ -50,10 +50,10 @@
     }
 }
 
-/// Time limits that differ from the defaults, in milliseconds.
+/// Time limits that override the defaults, in milliseconds.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[expect(missing_docs, reason = "the fields are those of `entry::Limits` and its parts")]
+#[expect(missing_docs, reason = "the fields are those of `entry::Limits` and of its fields")]
 pub struct RawLimits {
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub lease_ttl_ms: Option<u64>,
@@ -79,35 +79,35 @@
     pub drain_ms: Option<u64>,
 }
 
-/// Settings, checked.
+/// Checked settings.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// The box's id.
+    /// Id of the box.
     pub box_id: BoxId,
-    /// The box's availability zone.
+    /// Availability zone of the box.
     pub availability_zone: AvailabilityZoneId,
-    /// Where callers and operators are served.
+    /// Address to listen on for callers and operators.
     pub callers_address: SocketAddr,
-    /// Where other boxes are served.
+    /// Address to listen on for other boxes.
     pub peers_address: SocketAddr,
-    /// The platform's key-value service and list of boxes.
+    /// Address of the platform's key-value store and list of boxes.
     pub platform_address: SocketAddr,
-    /// Boxes known from the start.
+    /// Boxes known at the start, in addition to those of the platform's list.
     pub peers: Vec<ListedBox>,
-    /// Logs.
+    /// Level and format of logs.
     pub log: LogSettings,
-    /// Time limits.
+    /// Time limits of the entry box.
     pub limits: Limits,
-    /// How often time is told to the entry box.
+    /// Interval at which the entry box receives a tick.
     pub tick: Duration,
-    /// Longest time that a leaving box stays.
+    /// Longest time that a draining box runs.
     pub drain: Duration,
 }
 
 /// Default of `tick_ms`.
-const TICK: Duration = Duration::from_millis(100);
+const DEFAULT_TICK: Duration = Duration::from_millis(100);
 /// Default of `drain_ms`.
-const DRAIN: Duration = Duration::from_secs(90);
+const DEFAULT_DRAIN: Duration = Duration::from_secs(90);
 
 impl TryFrom<RawSettings> for Settings {
     type Error = CheckError;
@@ -115,18 +115,25 @@
         let path = JsonPath::root().field("limits");
         let l = &raw.limits;
         let mut limits = Limits::default();
-        set(&path, "lease_ttl_ms", l.lease_ttl_ms, 300, 3_600_000, &mut limits.lifecycle.lease_ttl)?;
-        set(&path, "renew_every_ms", l.renew_every_ms, 100, 1_200_000, &mut limits.lifecycle.renew_every)?;
-        set(&path, "heartbeat_every_ms", l.heartbeat_every_ms, 20, 10_000, &mut limits.membership.heartbeat_every)?;
-        set(&path, "dead_after_ms", l.dead_after_ms, 100, 60_000, &mut limits.membership.dead_after)?;
-        set(&path, "steady_after_ms", l.steady_after_ms, 0, 60_000, &mut limits.membership.steady_after)?;
-        set(&path, "adopt_after_ms", l.adopt_after_ms, 100, 60_000, &mut limits.adopt_after)?;
-        set(&path, "checkpoint_ms", l.checkpoint_ms, 10, 600_000, &mut limits.checkpoint)?;
-        set(&path, "watch_ms", l.watch_ms, 50, 60_000, &mut limits.watch)?;
-        set(&path, "probe_after_ms", l.probe_after_ms, 100, 3_600_000, &mut limits.probe_after)?;
-        let (mut tick, mut drain) = (TICK, DRAIN);
-        set(&path, "tick_ms", l.tick_ms, 5, 1000, &mut tick)?;
-        set(&path, "drain_ms", l.drain_ms, 100, 3_600_000, &mut drain)?;
+        set_limit(&path, "lease_ttl_ms", l.lease_ttl_ms, 300, 3_600_000, &mut limits.lifecycle.lease_ttl)?;
+        set_limit(&path, "renew_every_ms", l.renew_every_ms, 100, 1_200_000, &mut limits.lifecycle.renew_every)?;
+        set_limit(
+            &path,
+            "heartbeat_every_ms",
+            l.heartbeat_every_ms,
+            20,
+            10_000,
+            &mut limits.membership.heartbeat_every,
+        )?;
+        set_limit(&path, "dead_after_ms", l.dead_after_ms, 100, 60_000, &mut limits.membership.dead_after)?;
+        set_limit(&path, "steady_after_ms", l.steady_after_ms, 0, 60_000, &mut limits.membership.steady_after)?;
+        set_limit(&path, "adopt_after_ms", l.adopt_after_ms, 100, 60_000, &mut limits.adopt_after)?;
+        set_limit(&path, "checkpoint_ms", l.checkpoint_ms, 10, 600_000, &mut limits.checkpoint)?;
+        set_limit(&path, "watch_ms", l.watch_ms, 50, 60_000, &mut limits.watch)?;
+        set_limit(&path, "probe_after_ms", l.probe_after_ms, 100, 3_600_000, &mut limits.probe_after)?;
+        let (mut tick, mut drain) = (DEFAULT_TICK, DEFAULT_DRAIN);
+        set_limit(&path, "tick_ms", l.tick_ms, 5, 1000, &mut tick)?;
+        set_limit(&path, "drain_ms", l.drain_ms, 100, 3_600_000, &mut drain)?;
         check_order(&path, &limits)?;
         limits.lifecycle.checkpoint_wait = limits.checkpoint + limits.call;
         Ok(Settings {
@@ -144,7 +151,7 @@
     }
 }
 
-fn set(
+fn set_limit(
     path: &JsonPath,
     name: &str,
     ms: Option<u64>,
@@ -160,7 +167,7 @@
     Ok(())
 }
 
-/// A lease must survive two lost renewals, and a box two lost heartbeats.
+/// Checks that a lease survives two lost renewals, and that a box stays a member after two lost heartbeats.
 fn check_order(path: &JsonPath, limits: &Limits) -> Result<(), CheckError> {
     let (ttl, renew) = (limits.lifecycle.lease_ttl, limits.lifecycle.renew_every);
     if renew.millis() * 3 > ttl.millis() {
--- a/crates/martend/src/telemetry.rs
+++ b/crates/martend/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! Metrics, and what is logged of an entry box.
+//! Metrics, and the log lines and metrics of an entry box's observations.
 
 use std::sync::OnceLock;
 
@@ -9,32 +9,32 @@
 
 use crate::host::Health;
 
-/// Upper bounds of the histograms' buckets, in seconds: from a quick label to a batch of days.
-const BUCKETS: [f64; 16] =
+/// Upper bounds of the histograms' buckets, in seconds: from a short labelling job to a batch that runs for days.
+const BUCKETS_SECONDS: [f64; 16] =
     [0.01, 0.03, 0.1, 0.3, 0.5, 1.0, 1.5, 3.0, 10.0, 30.0, 100.0, 300.0, 1000.0, 3600.0, 14_400.0, 86_400.0];
 
 static METRICS: OnceLock<PrometheusHandle> = OnceLock::new();
 
-/// Makes the metrics' recorder; a second call does nothing.
+/// Installs the global metrics recorder. Idempotent.
 pub fn init_metrics() {
     METRICS.get_or_init(|| {
         let builder = PrometheusBuilder::new()
-            .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &BUCKETS)
+            .set_buckets_for_metric(Matcher::Suffix("_seconds".to_owned()), &BUCKETS_SECONDS)
             .expect("the list of buckets is not empty");
         let recorder = builder.build_recorder();
         let handle = recorder.handle();
-        // Another recorder stands only if the process that embeds this made one.
+        // Fails only if the embedding process has installed a recorder.
         let _ = metrics::set_global_recorder(recorder);
         handle
     });
 }
 
-/// The metrics in Prometheus's text format.
+/// Returns the metrics in the Prometheus text format; empty before [`init_metrics`].
 pub fn render() -> String {
     METRICS.get().map(PrometheusHandle::render).unwrap_or_default()
 }
 
-/// Counts and logs what an entry box saw.
+/// Records an observation of an entry box in metrics and logs.
 pub(crate) fn observe(box_id: &BoxId, observation: &Observation) {
     let id = box_id.to_string();
     match observation {
@@ -70,7 +70,7 @@
     }
 }
 
-/// Sets the gauges that are read off the box when it is asked.
+/// Sets the gauges whose values are read from the box for each scrape.
 pub(crate) fn set_gauges(box_id: &str, health: &Health) {
     let id = box_id.to_owned();
     metrics::gauge!("martenscale_configuration_revision", "box" => id.clone()).set(health.revision as f64);
