--- a/crates/logs/src/bounded.rs
+++ b/crates/logs/src/bounded.rs
@@ -1,7 +1,7 @@
-//! Lines of a service: never blocking, and bounded by kind and second.
+//! A logger that never blocks and limits the number of lines per kind and second.
 //!
-//! A line's kind is its `event=` field. Lines go through a bounded queue to a thread that writes them; a
-//! full queue, or a kind that comes too often, drops lines and counts them, and the count is logged.
+//! The kind of a line is its `event=` field. Lines pass through a bounded queue to a thread that writes them. Lines
+//! beyond the limit of their kind, or beyond a full queue, are dropped and counted, and the count is logged.
 
 use std::{
     collections::HashMap,
@@ -17,27 +17,27 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use simplelog::{Config, SharedLogger};
 
-/// Lines that wait to be written: a second's worth of a busy scheduler.
-const QUEUE: usize = 2048;
-/// Lines of one kind in one second; a burst of 15 jobs of 20 tasks a second starts 300.
-const PER_KIND: u32 = 400;
-/// The count of a kind starts again after this long.
+/// Capacity of the queue: what a busy scheduler logs in a second.
+const QUEUE_CAPACITY: usize = 2048;
+/// Maximum number of lines of one kind per second. A burst of 15 jobs of 20 tasks per second logs 300 starts.
+const MAX_PER_KIND: u32 = 400;
+/// Interval after which the counts by kind are reset.
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// A flush waits this long at most for lines to be written: a reader that has stopped reading holds nothing up.
-const FLUSH_LIMIT: Duration = Duration::from_millis(300);
+/// Maximum time that a flush waits for lines to be written, so that a reader that does not read cannot block it.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A flush that finds the queue full tries again after this.
+/// Time after which a flush that found the queue full retries.
 const FLUSH_PAUSE: Duration = Duration::from_millis(2);
 
-/// What the writing thread gets.
+/// A message to the writing thread.
 enum Message {
     Line(String),
-    /// Everything before this has been written once the token is taken.
+    /// Requests a signal on this channel once all earlier lines have been written.
     Flush(SyncSender<()>),
 }
 
-/// Writes lines without holding up whoever logs.
+/// Logger that passes lines to a writing thread without blocking.
 pub(crate) struct BoundedLines {
     level: LevelFilter,
     queue: SyncSender<Message>,
@@ -52,7 +52,7 @@
 
 impl BoundedLines {
     pub(crate) fn new(level: LevelFilter, out: Box<dyn Write + Send>) -> BoundedLines {
-        let (queue, messages) = sync_channel(QUEUE);
+        let (queue, messages) = sync_channel(QUEUE_CAPACITY);
         std::thread::spawn(move || write_lines(&messages, out));
         BoundedLines {
             level,
@@ -70,23 +70,24 @@
         }
     }
 
-    /// Whether another line of this kind may go out; at the turn of a second, tells what was left out before.
+    /// Counts a line and returns whether its kind is within its limit. Once per [`WINDOW`], resets the counts and logs
+    /// how many lines were dropped.
     fn admit(&self, message: &str) -> bool {
         let kind = message.split_whitespace().find_map(|field| field.strip_prefix("event=")).unwrap_or("");
         let mut kinds = self.kinds.lock().expect("no holder panics");
         if kinds.since.elapsed() >= WINDOW {
             kinds.since = Instant::now();
             let counts = std::mem::take(&mut kinds.counts);
-            self.report(&counts);
+            self.log_dropped(&counts);
         }
         let count = kinds.counts.entry(kind.to_owned()).or_insert(0);
         *count += 1;
-        *count <= PER_KIND
+        *count <= MAX_PER_KIND
     }
 
-    fn report(&self, counts: &HashMap<String, u32>) {
-        for (kind, count) in counts.iter().filter(|(_, count)| **count > PER_KIND) {
-            self.push(log::Level::Warn, &format!("event=log_left_out kind={kind} lines={}", count - PER_KIND));
+    fn log_dropped(&self, counts: &HashMap<String, u32>) {
+        for (kind, count) in counts.iter().filter(|(_, count)| **count > MAX_PER_KIND) {
+            self.push(log::Level::Warn, &format!("event=log_left_out kind={kind} lines={}", count - MAX_PER_KIND));
         }
         let dropped = self.dropped.swap(0, Ordering::Relaxed);
         if dropped > 0 {
@@ -98,19 +99,19 @@
 fn write_lines(messages: &Receiver<Message>, mut out: Box<dyn Write + Send>) {
     while let Ok(first) = messages.recv() {
         let mut text = String::new();
-        let mut flushed = Vec::new();
-        // What has queued up meanwhile goes out in one call.
-        for message in std::iter::once(first).chain(messages.try_iter().take(QUEUE)) {
+        let mut flushes = Vec::new();
+        // Queued lines are written in one call.
+        for message in std::iter::once(first).chain(messages.try_iter().take(QUEUE_CAPACITY)) {
             match message {
                 Message::Line(line) => text.push_str(&line),
-                Message::Flush(token) => flushed.push(token),
+                Message::Flush(done) => flushes.push(done),
             }
         }
-        // Nothing can be done about a log that cannot be written.
+        // A failed write cannot be reported anywhere else.
         let _ = out.write_all(text.as_bytes()).and_then(|()| out.flush());
-        for token in flushed {
-            // Whoever asked may have given up.
-            let _ = token.try_send(());
+        for done in flushes {
+            // The flush may have timed out.
+            let _ = done.try_send(());
         }
     }
 }
@@ -131,18 +132,18 @@
     }
 
     fn flush(&self) {
-        let begun = Instant::now();
-        let (token, written) = sync_channel(1);
-        let mut message = Message::Flush(token);
-        // A full queue is written down meanwhile, unless nobody reads.
-        while let Err(TrySendError::Full(again)) = self.queue.try_send(message) {
-            if begun.elapsed() >= FLUSH_LIMIT {
+        let started = Instant::now();
+        let (done, written) = sync_channel(1);
+        let mut message = Message::Flush(done);
+        // A full queue drains meanwhile, unless the reader does not read.
+        while let Err(TrySendError::Full(returned)) = self.queue.try_send(message) {
+            if started.elapsed() >= FLUSH_TIMEOUT {
                 return;
             }
-            message = again;
+            message = returned;
             std::thread::sleep(FLUSH_PAUSE);
         }
-        let _ = written.recv_timeout(FLUSH_LIMIT.saturating_sub(begun.elapsed()));
+        let _ = written.recv_timeout(FLUSH_TIMEOUT.saturating_sub(started.elapsed()));
     }
 }
 
--- a/crates/logs/src/lib.rs
+++ b/crates/logs/src/lib.rs
@@ -1,5 +1,6 @@
-//! The loggers of both binaries: lines for people, or one JSON object a line. `simplelog` has no form
-//! for machines, so that one is added to it here.
+//! Loggers of the binaries: lines for people, or one JSON object per line.
+//!
+//! `simplelog` has no JSON output, so this crate adds it.
 
 mod bounded;
 
@@ -9,17 +10,17 @@
 use serde::{Deserialize, Serialize};
 use simplelog::{ColorChoice, CombinedLogger, Config, ConfigBuilder, SharedLogger, TermLogger, TerminalMode};
 
-/// How log lines are written.
+/// Format of log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
-    /// For people.
+    /// Text for people, with RFC 3339 times.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Makes the logger; a second call does nothing.
+/// Installs a logger that writes to standard error. Idempotent: a second call does nothing.
 pub fn init(level: LevelFilter, format: LogFormat) {
     let logger: Box<dyn SharedLogger> = match format {
         LogFormat::Text => {
@@ -28,23 +29,23 @@
         }
         LogFormat::Json => Box::new(JsonLines { level }),
     };
-    // A logger stands already if the process that embeds this made one.
+    // Fails only if a logger is installed already, also by an embedding process.
     let _ = CombinedLogger::init(vec![logger]);
 }
 
-/// Makes the logger of a service on a platform: lines of `key=value` fields on standard output, bounded and
-/// never blocking. A second call does nothing.
+/// Installs the logger of a service on a platform. It writes lines of `key=value` fields to standard output, limits
+/// their number and never blocks. Idempotent: a second call does nothing.
 pub fn init_service(level: LevelFilter) {
-    // A logger stands already if the process that embeds this made one.
+    // Fails only if a logger is installed already, also by an embedding process.
     let _ = CombinedLogger::init(vec![service_logger(level, Box::new(std::io::stdout()))]);
 }
 
-/// The logger of a service, writing elsewhere. What was logged is lost if the process ends before it is flushed.
+/// Returns the logger of a service that writes to `out`. Lines are lost if the process ends without a flush.
 pub fn service_logger(level: LevelFilter, out: Box<dyn Write + Send>) -> Box<dyn SharedLogger> {
     Box::new(bounded::BoundedLines::new(level, out))
 }
 
-/// One JSON object a line on standard error.
+/// Logger that writes one JSON object per line to standard error.
 struct JsonLines {
     level: LevelFilter,
 }
@@ -65,7 +66,7 @@
             "target": record.target(),
             "message": record.args().to_string(),
         });
-        // Nothing can be done about a log that cannot be written.
+        // A failed write cannot be reported anywhere else.
         let _ = writeln!(std::io::stderr().lock(), "{line}");
     }
 
--- a/crates/marten/src/client.rs
+++ b/crates/marten/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks the boxes, one after another until one answers.
+//! HTTP client of the boxes, which tries one after another until one responds.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -7,14 +7,14 @@
 
 use crate::exit::Failure;
 
-/// A call that waits for nothing ends within this.
-const CALL_LIMIT: Duration = Duration::from_secs(10);
-/// Rounds over all boxes before a call is given up.
+/// Timeout of a call, not counting the time that the call itself may wait.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// Number of attempts at each box before a call fails.
 const ROUNDS: u32 = 3;
-/// First pause between rounds; doubles, with jitter.
+/// Pause after the first round, in milliseconds; doubles with each round.
 const PAUSE_MS: u64 = 200;
 
-/// The boxes.
+/// Client of the boxes that the command line names.
 pub(crate) struct Boxes {
     client: Client,
     addrs: Vec<SocketAddr>,
@@ -28,7 +28,9 @@
         Ok(Boxes { client: Client::default(), addrs: addrs.to_vec() })
     }
 
-    /// Makes a call that may be repeated without harm; `wait` is what the call itself may wait.
+    /// Makes an idempotent call; `wait` is the longest time that the box may wait before it responds.
+    ///
+    /// Returns [`Failure::Unavailable`] if no box responds in any round.
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -36,41 +38,43 @@
         body: Vec<u8>,
         wait: Duration,
     ) -> Result<Reply, Failure> {
-        let mut last = String::new();
+        let mut last_error = String::new();
         for round in 0..ROUNDS {
             for addr in &self.addrs {
-                let call = self.client.call(*addr, method.clone(), path, body.clone().into(), CALL_LIMIT + wait);
+                let call = self.client.call(*addr, method.clone(), path, body.clone().into(), CALL_TIMEOUT + wait);
                 match call.await {
                     Ok(reply) => return Ok(reply),
                     Err(e) => {
                         log::info!("{addr}: {e}");
-                        last = format!("{addr}: {e}");
+                        last_error = format!("{addr}: {e}");
                     }
                 }
             }
             let pause = (PAUSE_MS << round) + fastrand::u64(0..PAUSE_MS);
             smol::Timer::after(Duration::from_millis(pause)).await;
         }
-        Err(Failure::Unavailable { why: format!("no box answers; the last one: {last}") })
+        Err(Failure::Unavailable { why: format!("no box responds; last error: {last_error}") })
     }
 
-    /// Makes a call that only the box that schedules can answer: each is asked until one does not point elsewhere.
+    /// Makes a call that only the scheduling box can answer: tries each box until one does not redirect to another.
+    ///
+    /// Returns the last redirect if no box schedules, and [`Failure::Unavailable`] if none responds.
     pub(crate) async fn call_scheduler(&self, method: Method, path: &str) -> Result<Reply, Failure> {
-        let mut elsewhere = None;
+        let mut redirect = None;
         for round in 0..ROUNDS {
             for addr in &self.addrs {
-                match self.client.call(*addr, method.clone(), path, Default::default(), CALL_LIMIT).await {
-                    Ok(reply) if reply.status == StatusCode::MISDIRECTED_REQUEST => elsewhere = Some(reply),
+                match self.client.call(*addr, method.clone(), path, Default::default(), CALL_TIMEOUT).await {
+                    Ok(reply) if reply.status == StatusCode::MISDIRECTED_REQUEST => redirect = Some(reply),
                     Ok(reply) => return Ok(reply),
                     Err(e) => log::info!("{addr}: {e}"),
                 }
             }
             smol::Timer::after(Duration::from_millis(PAUSE_MS << round)).await;
         }
-        elsewhere.ok_or_else(|| Failure::Unavailable { why: "no box answers".to_owned() })
+        redirect.ok_or_else(|| Failure::Unavailable { why: "no box responds".to_owned() })
     }
 
-    /// Reads a path as JSON.
+    /// Gets a path and parses the body as JSON.
     pub(crate) async fn get<T: serde::de::DeserializeOwned>(&self, path: &str) -> Result<T, Failure> {
         let reply = self.call(Method::GET, path, Vec::new(), Duration::ZERO).await?;
         if reply.status != StatusCode::OK {
@@ -80,7 +84,7 @@
     }
 }
 
-/// A reply that says no.
+/// Converts an error response to a failure.
 pub(crate) fn refused(reply: &Reply) -> Failure {
     Failure::Refused { why: format!("{}: {}", reply.status, String::from_utf8_lossy(&reply.body).trim()) }
 }
--- a/crates/marten/src/diff.rs
+++ b/crates/marten/src/diff.rs
@@ -1,11 +1,11 @@
-//! The difference between two operators' files, entry by entry.
+//! Differences between two operators' files, by entry.
 
 use std::collections::BTreeMap;
 
 use model::{OperatorFile, RawOperatorFile};
 use serde_json::Value;
 
-/// One line per entry that was added, removed or changed.
+/// Returns one line for each entry that was removed (`-`), changed (`~`) or added (`+`).
 pub(crate) fn differences(old: Option<&OperatorFile>, new: &OperatorFile) -> Vec<String> {
     let old = old.map(flatten).unwrap_or_default();
     let new = flatten(new);
@@ -22,7 +22,7 @@
     lines
 }
 
-/// Each entry of the file by its path, lists keyed by the entries' ids.
+/// Returns each entry of the file by its path; entries of lists are identified by their ids.
 fn flatten(file: &OperatorFile) -> BTreeMap<String, String> {
     let raw = RawOperatorFile::from(file.clone());
     let value = serde_json::to_value(raw).expect("our own types always serialize");
--- a/crates/marten/src/evacuate.rs
+++ b/crates/marten/src/evacuate.rs
@@ -1,4 +1,4 @@
-//! Evacuates an availability zone, takes it back, and follows how it empties.
+//! Evacuates an availability zone, ends an evacuation, and shows the progress of one.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
     options::{Format, Options},
 };
 
-/// How often progress is shown.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval at which progress is shown.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far an evacuation has come, as the scheduling box tells it.
+/// Progress of an evacuation, as the scheduling box reports it.
 #[derive(Debug, Deserialize)]
 struct Evacuation {
     availability_zone: AvailabilityZoneId,
@@ -32,7 +32,9 @@
     evacuations: Vec<Evacuation>,
 }
 
-/// Puts an evacuation in force, or takes it back; if asked to, waits until nothing runs there any more.
+/// Starts or ends an evacuation; with `follow`, waits until nothing runs in the zone any more.
+///
+/// Returns [`Failure::Pending`] if something still runs there after the timeout.
 pub(crate) async fn evacuate(opts: &Options, zone: &str, take_back: bool, follow: bool) -> Result<(), Failure> {
     let zone: AvailabilityZoneId = zone.parse().map_err(|e| Failure::Usage { why: format!("{e}") })?;
     let boxes = Boxes::new(&opts.boxes)?;
@@ -44,17 +46,17 @@
     }
     for _ in 0..opts.timeout_s {
         let reply = call(&boxes, Method::GET, "/v1/evacuations").await?;
-        if here(&reply, &zone).is_none_or(|evacuation| evacuation.running_tasks == 0) {
+        if find_evacuation(&reply, &zone).is_none_or(|evacuation| evacuation.running_tasks == 0) {
             show(opts.format, &zone, &reply);
             return Ok(());
         }
-        smol::Timer::after(LOOK_EVERY).await;
+        smol::Timer::after(POLL_INTERVAL).await;
         show(opts.format, &zone, &reply);
     }
     Err(Failure::Pending { why: format!("something still runs in {zone} after {} s", opts.timeout_s) })
 }
 
-/// Asks the box that schedules, whichever of the given it is.
+/// Calls the scheduling box and parses its response.
 async fn call(boxes: &Boxes, method: Method, path: &str) -> Result<Value, Failure> {
     let reply = boxes.call_scheduler(method, path).await?;
     match reply.status {
@@ -66,7 +68,7 @@
     }
 }
 
-fn here(reply: &Value, zone: &AvailabilityZoneId) -> Option<Evacuation> {
+fn find_evacuation(reply: &Value, zone: &AvailabilityZoneId) -> Option<Evacuation> {
     let all: Evacuations = serde_json::from_value(reply.clone()).ok()?;
     all.evacuations.into_iter().find(|evacuation| evacuation.availability_zone == *zone)
 }
@@ -76,7 +78,7 @@
         say!("{reply}");
         return;
     }
-    let Some(evacuation) = here(reply, zone) else {
+    let Some(evacuation) = find_evacuation(reply, zone) else {
         say!("{zone} takes work");
         return;
     };
--- a/crates/marten/src/exit.rs
+++ b/crates/marten/src/exit.rs
@@ -1,32 +1,32 @@
-//! How a command ends: its exit code says which kind of failure it was.
+//! Failures of commands and their exit codes.
 
 use derive_more::{Display, Error};
 
-/// Why a command failed. The codes are part of the interface (docs/OPERATIONS.md).
+/// Reason why a command failed. The exit codes are part of the interface (docs/OPERATIONS.md).
 #[derive(Debug, Display, Error)]
 pub(crate) enum Failure {
-    /// Exit code 2: the command line cannot be understood.
+    /// Exit code 2: the command line is invalid.
     #[display("{why}")]
     Usage { why: String },
     /// Exit code 3: a file or a request was refused; nothing was changed.
     #[display("{why}")]
     Refused { why: String },
-    /// Exit code 4: somebody else's change came first; nothing was changed.
+    /// Exit code 4: another change was applied first; nothing was changed.
     #[display("{why}")]
     Conflict { why: String },
-    /// Exit code 5: no box answered, or it cannot be told what happened; asking again is safe.
+    /// Exit code 5: no box responded, or the outcome is unknown; retrying is safe.
     #[display("{why}")]
     Unavailable { why: String },
-    /// Exit code 6: the job ended other than done.
+    /// Exit code 6: the job ended without success.
     #[display("{why}")]
     JobEnded { why: String },
-    /// Exit code 7: the job is not over yet, or something still runs in an evacuated availability zone.
+    /// Exit code 7: the job has not ended yet, or something still runs in an evacuated availability zone.
     #[display("{why}")]
     Pending { why: String },
 }
 
 impl Failure {
-    /// The exit code.
+    /// Returns the exit code.
     pub(crate) fn code(&self) -> u8 {
         match self {
             Failure::Usage { .. } => 2,
--- a/crates/marten/src/explain.rs
+++ b/crates/marten/src/explain.rs
@@ -1,26 +1,28 @@
-//! Tells a job's life from the logs of boxes.
+//! Shows the history of a job from the logs of boxes.
 
 use std::io::Read;
 
 use crate::exit::Failure;
 
-/// A log line, placed in time.
+/// A log line with its time.
 struct Line {
-    /// Milliseconds since 1970, as the box that wrote it saw them.
+    /// Milliseconds since the Unix epoch by the clock of the box that wrote the line.
     at_ms: u64,
     text: String,
-    /// It tells who schedules, not what happened to a job.
-    about_scheduler: bool,
+    /// The line is about which box schedules, not about a job.
+    is_about_scheduler: bool,
 }
 
-/// Events that tell who schedules; they are shown between a job's first and last line.
+/// Events about which box schedules, shown between the first and last line of a job.
 const SCHEDULER_EVENTS: [&str; 4] = ["event=elected", "event=stopped_scheduling", "event=deposed", "event=scheduling "];
 
-/// Prints every line about `job` in `files`, or in standard input if there are none, in the order of time,
-/// together with the elections between them.
+/// Prints the lines about `job` in `files`, or in standard input if there are none, in order of time, with the
+/// elections between them.
+///
+/// Returns [`Failure::Refused`] if a file cannot be read or no line is about the job.
 pub(crate) fn explain(job: &str, files: &[String]) -> Result<(), Failure> {
     let text = read_all(files)?;
-    let lines = job_life(job, &text);
+    let lines = job_history(job, &text);
     if lines.is_empty() {
         return Err(Failure::Refused { why: format!("no line is about job {job}") });
     }
@@ -46,15 +48,15 @@
     Ok(text)
 }
 
-/// The lines about a job in the order of time, each with its distance from the first.
-fn job_life(job: &str, text: &str) -> Vec<String> {
-    let wanted = format!("job={job}");
-    let mut lines: Vec<Line> = text.lines().filter_map(|text| read_line(text, &wanted)).collect();
+/// Returns the lines about a job and the elections in order of time, each with its offset from the job's first line.
+fn job_history(job: &str, text: &str) -> Vec<String> {
+    let job_field = format!("job={job}");
+    let mut lines: Vec<Line> = text.lines().filter_map(|text| parse_line(text, &job_field)).collect();
     lines.sort_by_key(|line| line.at_ms);
-    let about_job = |line: &Line| !line.about_scheduler;
-    let Some(first) = lines.iter().position(about_job) else { return Vec::new() };
-    let last = lines.iter().rposition(about_job).unwrap_or(first);
-    // The scheduler at the beginning is told by the last election before it.
+    let is_about_job = |line: &Line| !line.is_about_scheduler;
+    let Some(first) = lines.iter().position(is_about_job) else { return Vec::new() };
+    let last = lines.iter().rposition(is_about_job).unwrap_or(first);
+    // The last election before the job's first line shows which box scheduled at that time.
     let from = lines[..first].iter().rposition(|line| line.text.contains("event=elected")).unwrap_or(first);
     let begin = lines[first].at_ms;
     lines[from..=last]
@@ -63,16 +65,16 @@
         .collect()
 }
 
-fn read_line(text: &str, wanted: &str) -> Option<Line> {
-    let about_job = text.split_whitespace().any(|field| field == wanted);
-    let about_scheduler = !about_job && SCHEDULER_EVENTS.iter().any(|event| text.contains(event));
-    if !about_job && !about_scheduler {
+fn parse_line(text: &str, job_field: &str) -> Option<Line> {
+    let is_about_job = text.split_whitespace().any(|field| field == job_field);
+    let is_about_scheduler = !is_about_job && SCHEDULER_EVENTS.iter().any(|event| text.contains(event));
+    if !is_about_job && !is_about_scheduler {
         return None;
     }
-    // What collects logs may write fields of its own before a line: its time is the number before the level.
+    // Log collectors may prepend fields of their own, so the time is the field before the level.
     let fields: Vec<&str> = text.split_whitespace().collect();
     let level = fields.iter().position(|field| ["ERROR", "WARN", "INFO", "DEBUG", "TRACE"].contains(field))?;
     let (seconds, millis) = fields.get(level.checked_sub(1)?)?.split_once('.')?;
     let at_ms = seconds.parse::<u64>().ok()? * 1000 + millis.parse::<u64>().ok()?;
-    Some(Line { at_ms, text: text.to_owned(), about_scheduler })
+    Some(Line { at_ms, text: text.to_owned(), is_about_scheduler })
 }
--- a/crates/marten/src/main.rs
+++ b/crates/marten/src/main.rs
@@ -1,6 +1,6 @@
 //! `marten`: the command line of operators and callers. `marten --help` lists the commands.
 
-/// Writes a line to standard output. A reader that has gone, such as `head`, is no failure.
+/// Writes a line to standard output. Ignores errors, as a reader such as `head` may close the pipe early.
 macro_rules! say {
     ($($text:tt)*) => {{
         use std::io::Write as _;
@@ -31,13 +31,13 @@
         }
         Ok(Some(opts)) => {
             logs::init(opts.log_level, opts.log_format);
-            finish(smol::block_on(commands::run(&opts)))
+            exit_code(smol::block_on(commands::run(&opts)))
         }
-        Err(e) => finish(Err(e)),
+        Err(e) => exit_code(Err(e)),
     }
 }
 
-fn finish(result: Result<(), Failure>) -> ExitCode {
+fn exit_code(result: Result<(), Failure>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
--- a/crates/marten/src/options.rs
+++ b/crates/marten/src/options.rs
@@ -8,7 +8,7 @@
 
 use crate::exit::Failure;
 
-const BRIEF: &str = "usage: marten COMMAND [ARGUMENTS] [OPTIONS]
+const USAGE: &str = "usage: marten COMMAND [ARGUMENTS] [OPTIONS]
 
 commands:
   check FILE              check an operators' file without asking any box
@@ -26,7 +26,7 @@
 exit codes: 0 done; 2 wrong command line; 3 refused, nothing changed; 4 another change came first;
   5 no answer, ask again; 6 the job ended other than done; 7 the job is not over yet";
 
-/// How results are written.
+/// Format of results on standard output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Format {
     Table,
@@ -48,7 +48,7 @@
     Explain { job: String, logs: Vec<String> },
 }
 
-/// The command line, read.
+/// The parsed command line.
 #[derive(Debug, Clone)]
 pub(crate) struct Options {
     pub(crate) command: Command,
@@ -59,7 +59,7 @@
     pub(crate) log_format: LogFormat,
 }
 
-fn opts() -> getopts::Options {
+fn option_definitions() -> getopts::Options {
     let mut opts = getopts::Options::new();
     opts.optmulti(
         "b",
@@ -79,21 +79,21 @@
     opts
 }
 
-/// The help text.
+/// Returns the help text.
 pub(crate) fn usage() -> String {
-    opts().usage(BRIEF)
+    option_definitions().usage(USAGE)
 }
 
 impl Options {
-    /// Reads the command line; `None` if help is asked for.
+    /// Parses the command line; `None` if help was requested. Returns [`Failure::Usage`] if it is invalid.
     pub(crate) fn parse(args: &[String]) -> Result<Option<Options>, Failure> {
-        let matches = opts().parse(args).map_err(|e| usage_error(&e.to_string()))?;
+        let matches = option_definitions().parse(args).map_err(|e| usage_error(&e.to_string()))?;
         if matches.opt_present("help") {
             return Ok(None);
         }
         let free: Vec<&str> = matches.free.iter().map(String::as_str).collect();
         let base = parse_opt(&matches, "from", "a revision")?;
-        let mut command = command(&free, base.map(Revision), matches.opt_present("detach"))?;
+        let mut command = parse_command(&free, base.map(Revision), matches.opt_present("detach"))?;
         if let Command::Evacuate { take_back, follow, .. } = &mut command {
             (*take_back, *follow) = (matches.opt_present("take-back"), matches.opt_present("follow"));
         }
@@ -118,7 +118,7 @@
     }
 }
 
-fn command(free: &[&str], base: Option<Revision>, detach: bool) -> Result<Command, Failure> {
+fn parse_command(free: &[&str], base: Option<Revision>, detach: bool) -> Result<Command, Failure> {
     let own = |text: &str| text.to_owned();
     match free {
         ["check", file] => Ok(Command::Check { file: own(file) }),
@@ -148,5 +148,5 @@
 }
 
 fn usage_error(why: &str) -> Failure {
-    Failure::Usage { why: format!("{why}\n\n{BRIEF}") }
+    Failure::Usage { why: format!("{why}\n\n{USAGE}") }
 }
--- a/crates/marten/src/output.rs
+++ b/crates/marten/src/output.rs
@@ -1,4 +1,4 @@
-//! Results as tables for people or JSON for programs.
+//! Writes results as tables for people or as JSON for programs.
 
 use model::Revision;
 use serde_json::{Value, json};
@@ -40,7 +40,7 @@
         say!("{report}");
         return;
     }
-    let text = |value: &Value, name: &str| value.get(name).map(plain).unwrap_or_default();
+    let text = |value: &Value, name: &str| value.get(name).map(to_plain_text).unwrap_or_default();
     say!(
         "box {} in {}; revision {} in force, {} heard of; planner {}{}",
         text(report, "box_id"),
@@ -61,8 +61,10 @@
 fn table(title: &str, rows: Option<&Value>, columns: &[&str]) {
     let Some(Value::Array(rows)) = rows else { return };
     say!("\n{title}:");
-    let cells: Vec<Vec<String>> =
-        rows.iter().map(|row| columns.iter().map(|c| row.get(c).map(plain).unwrap_or_default()).collect()).collect();
+    let cells: Vec<Vec<String>> = rows
+        .iter()
+        .map(|row| columns.iter().map(|c| row.get(c).map(to_plain_text).unwrap_or_default()).collect())
+        .collect();
     let width = |i: usize| cells.iter().map(|row| row[i].len()).chain([columns[i].len()]).max().unwrap_or(0);
     let line = |row: &[String]| {
         let padded: Vec<String> = row.iter().enumerate().map(|(i, cell)| format!("{cell:<w$}", w = width(i))).collect();
@@ -74,7 +76,7 @@
     }
 }
 
-fn plain(value: &Value) -> String {
+fn to_plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         Value::Object(fields) => fields.iter().map(|(name, v)| format!("{name} {v}")).collect::<Vec<_>>().join(" "),
--- a/crates/marten/src/submit.rs
+++ b/crates/marten/src/submit.rs
@@ -1,4 +1,4 @@
-//! The callers' commands.
+//! Commands for callers: submit, wait and cancel.
 
 use std::time::{Duration, Instant};
 
@@ -14,16 +14,16 @@
     output,
 };
 
-/// One call waits this long; then the command asks again.
-const WAIT: Duration = Duration::from_secs(20);
-/// Shortest pause before asking again when the reply names none.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Longest wait of one call, after which the command polls again.
+const POLL_WAIT: Duration = Duration::from_secs(20);
+/// Shortest pause before polling again, also if the response names no pause.
+const MIN_PAUSE: Duration = Duration::from_millis(500);
 
-/// What to do with a reply about a job.
+/// Next action after a response about a job.
 enum Next {
-    Over(Value),
-    AskAgain(Duration),
-    SendAgain(Duration),
+    Finish(Value),
+    Poll(Duration),
+    Resubmit(Duration),
 }
 
 pub(crate) async fn submit(opts: &Options, path: &str, detach: bool) -> Result<(), Failure> {
@@ -32,7 +32,7 @@
     let body = serde_json::to_vec(&spec).expect("our own types always serialize");
     let boxes = Boxes::new(&opts.boxes)?;
     let deadline = Instant::now() + Duration::from_secs(opts.timeout_s);
-    let wait = if detach { Duration::ZERO } else { WAIT };
+    let wait = if detach { Duration::ZERO } else { POLL_WAIT };
     let mut retry = false;
     loop {
         let query = format!("/v1/jobs?wait_ms={}&durable={detach}&retry={retry}", wait.as_millis());
@@ -42,32 +42,32 @@
             output::job(opts.format, &answer);
             return Ok(());
         }
-        match next(&reply)? {
-            Next::Over(answer) => return over(opts, &boxes, &spec.customer, &spec.request, &answer).await,
-            Next::AskAgain(pause) | Next::SendAgain(pause) => pause_until(pause, deadline).await?,
+        match next_action(&reply)? {
+            Next::Finish(answer) => return finish(opts, &boxes, &spec.customer, &spec.request, &answer).await,
+            Next::Poll(pause) | Next::Resubmit(pause) => pause_until(pause, deadline).await?,
         }
         retry = true;
     }
 }
 
 pub(crate) async fn wait(opts: &Options, customer: &str, request: &str) -> Result<(), Failure> {
-    let (customer, request) = names(customer, request)?;
+    let (customer, request) = parse_names(customer, request)?;
     let boxes = Boxes::new(&opts.boxes)?;
     let deadline = Instant::now() + Duration::from_secs(opts.timeout_s);
     loop {
-        let path = format!("/v1/jobs/{customer}/{request}?wait_ms={}", WAIT.as_millis());
-        let reply = boxes.call(Method::GET, &path, Vec::new(), WAIT).await?;
-        match next(&reply)? {
-            Next::Over(answer) => return over(opts, &boxes, &customer, &request, &answer).await,
-            Next::AskAgain(pause) | Next::SendAgain(pause) => pause_until(pause, deadline).await?,
+        let path = format!("/v1/jobs/{customer}/{request}?wait_ms={}", POLL_WAIT.as_millis());
+        let reply = boxes.call(Method::GET, &path, Vec::new(), POLL_WAIT).await?;
+        match next_action(&reply)? {
+            Next::Finish(answer) => return finish(opts, &boxes, &customer, &request, &answer).await,
+            Next::Poll(pause) | Next::Resubmit(pause) => pause_until(pause, deadline).await?,
         }
     }
 }
 
 pub(crate) async fn cancel(opts: &Options, customer: &str, request: &str) -> Result<(), Failure> {
-    let (customer, request) = names(customer, request)?;
+    let (customer, request) = parse_names(customer, request)?;
     let path = format!("/v1/jobs/{customer}/{request}");
-    let reply = Boxes::new(&opts.boxes)?.call(Method::DELETE, &path, Vec::new(), PAUSE).await?;
+    let reply = Boxes::new(&opts.boxes)?.call(Method::DELETE, &path, Vec::new(), MIN_PAUSE).await?;
     match reply.status {
         StatusCode::BAD_REQUEST | StatusCode::NOT_FOUND => Err(refused(&reply)),
         _ => {
@@ -78,39 +78,41 @@
     }
 }
 
-fn names(customer: &str, request: &str) -> Result<(CustomerId, RequestId), Failure> {
+fn parse_names(customer: &str, request: &str) -> Result<(CustomerId, RequestId), Failure> {
     let usage = |e: model::IdError| Failure::Usage { why: e.to_string() };
     Ok((customer.parse().map_err(usage)?, request.parse().map_err(usage)?))
 }
 
-fn next(reply: &net::http::Reply) -> Result<Next, Failure> {
+fn next_action(reply: &net::http::Reply) -> Result<Next, Failure> {
     if reply.status == StatusCode::BAD_REQUEST || reply.status == StatusCode::NOT_FOUND {
         return Err(refused(reply));
     }
     let answer: Value = reply.json().map_err(|e| Failure::Unavailable { why: e.to_string() })?;
     let retry_ms =
         answer.pointer("/retry_after").or_else(|| answer.pointer("/outcome/retry_after")).and_then(Value::as_u64);
-    let pause = retry_ms.map_or(PAUSE, Duration::from_millis).max(PAUSE);
+    let pause = retry_ms.map_or(MIN_PAUSE, Duration::from_millis).max(MIN_PAUSE);
     match answer.get("status").and_then(Value::as_str) {
-        Some("pending") => Ok(Next::AskAgain(Duration::ZERO)),
-        Some("unsettled") => Ok(Next::AskAgain(pause)),
-        Some("ended") if retry_ms.is_some() => Ok(Next::SendAgain(pause)),
-        Some("ended" | "over") => Ok(Next::Over(answer)),
+        Some("pending") => Ok(Next::Poll(Duration::ZERO)),
+        Some("unsettled") => Ok(Next::Poll(pause)),
+        Some("ended") if retry_ms.is_some() => Ok(Next::Resubmit(pause)),
+        Some("ended" | "over") => Ok(Next::Finish(answer)),
         _ => Err(refused(reply)),
     }
 }
 
 async fn pause_until(pause: Duration, deadline: Instant) -> Result<(), Failure> {
     if Instant::now() + pause >= deadline {
-        return Err(Failure::Pending { why: "the job is not over; ask again with `marten wait`".to_owned() });
+        return Err(Failure::Pending { why: "the job has not ended; wait for it with `marten wait`".to_owned() });
     }
     let jitter = Duration::from_millis(fastrand::u64(0..100));
     smol::Timer::after(pause + jitter).await;
     Ok(())
 }
 
-/// Shows the end of a job; a whole answer is acknowledged once it has been written.
-async fn over(
+/// Prints the outcome of a job, and acknowledges the answer of a successful one after printing it.
+///
+/// Returns [`Failure::JobEnded`] for any other outcome.
+async fn finish(
     opts: &Options,
     boxes: &Boxes,
     customer: &CustomerId,
--- a/crates/marten/tests/evacuate.rs
+++ b/crates/marten/tests/evacuate.rs
@@ -1,4 +1,4 @@
-//! `marten evacuate`, against boxes that answer as told.
+//! `marten evacuate` against boxes with scripted responses.
 
 use std::{
     net::SocketAddr,
@@ -18,19 +18,19 @@
 
 type Answer = (StatusCode, Value);
 
-/// Gives its answers one after another, the last one again and again, and notes what it was asked.
+/// State of a box's operators' API: scripted responses, of which the last repeats, and the recorded requests.
 #[derive(Default)]
 struct Operators {
     answers: Mutex<Vec<Answer>>,
-    asked: Mutex<Vec<String>>,
+    requests: Mutex<Vec<String>>,
 }
 
-struct Page(Arc<Operators>);
+struct OperatorsHandler(Arc<Operators>);
 
-impl Handler for Page {
+impl Handler for OperatorsHandler {
     fn handle(&self, call: Call) -> BoxFuture<'_, Option<Response<Full<Bytes>>>> {
         Box::pin(async move {
-            self.0.asked.lock().expect("no holder panics").push(format!("{} {}", call.method, call.path));
+            self.0.requests.lock().expect("no holder panics").push(format!("{} {}", call.method, call.path));
             let mut answers = self.0.answers.lock().expect("no holder panics");
             let (status, body) = if answers.len() > 1 { answers.remove(0) } else { answers[0].clone() };
             Some(json_response(status, &body))
@@ -38,12 +38,12 @@
     }
 }
 
-/// A box's operators' address, where these answers are given.
-async fn a_box(answers: Vec<Answer>) -> (SocketAddr, Arc<Operators>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback can be used");
-    let addr = listener.local_addr().expect("it is bound");
+/// Starts a box's operators' API with these responses, and returns its address.
+async fn start_box(answers: Vec<Answer>) -> (SocketAddr, Arc<Operators>) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("loopback is available");
+    let addr = listener.local_addr().expect("the listener is bound");
     let operators = Arc::new(Operators { answers: Mutex::new(answers), ..Operators::default() });
-    smol::spawn(serve(listener, Arc::new(Page(Arc::clone(&operators))))).detach();
+    smol::spawn(serve(listener, Arc::new(OperatorsHandler(Arc::clone(&operators))))).detach();
     (addr, operators)
 }
 
@@ -55,7 +55,7 @@
     (StatusCode::OK, json!({ "evacuations": [evacuation] }))
 }
 
-fn elsewhere() -> Answer {
+fn redirect() -> Answer {
     let error = "this box does not schedule: ask box-2";
     (StatusCode::MISDIRECTED_REQUEST, json!({ "error": error, "scheduler": "box-2" }))
 }
@@ -74,57 +74,57 @@
 }
 
 #[test]
-fn it_finds_the_box_that_schedules_and_says_what_it_means() {
+fn evacuates_at_the_scheduling_box_and_shows_the_effect() {
     smol::block_on(async {
-        let (other, _) = a_box(vec![elsewhere()]).await;
-        let (scheduler, operators) = a_box(vec![running(41)]).await;
+        let (other, _) = start_box(vec![redirect()]).await;
+        let (scheduler, operators) = start_box(vec![running(41)]).await;
         let output = marten(&["az-1"], &[other, scheduler]).await;
         assert_eq!(output.status.code(), Some(0), "{output:?}");
-        assert_eq!(*operators.asked.lock().expect("no holder panics"), ["PUT /v1/evacuations/az-1"]);
-        let told = "az-1 is evacuated (asked for by platform and operators); 41 tasks run there, the last ends in 6.2 s\n\
+        assert_eq!(*operators.requests.lock().expect("no holder panics"), ["PUT /v1/evacuations/az-1"]);
+        let expected = "az-1 is evacuated (asked for by platform and operators); 41 tasks run there, the last ends in 6.2 s\n\
                     GUARANTEES cannot all be kept meanwhile: 8 accelerators are missing\n";
-        assert_eq!(stdout(&output), told);
+        assert_eq!(stdout(&output), expected);
     });
 }
 
 #[test]
 fn it_follows_until_nothing_runs_there() {
     smol::block_on(async {
-        let (scheduler, operators) = a_box(vec![running(2), running(1), running(0)]).await;
+        let (scheduler, operators) = start_box(vec![running(2), running(1), running(0)]).await;
         let output = marten(&["az-1", "--follow"], &[scheduler]).await;
         assert_eq!(output.status.code(), Some(0), "{output:?}");
         assert!(stdout(&output).contains("; 0 tasks run there"), "{output:?}");
-        let asked = operators.asked.lock().expect("no holder panics").clone();
+        let requests = operators.requests.lock().expect("no holder panics").clone();
         let method = |line: &String| line.split(' ').next().map(str::to_owned);
         let put = Method::PUT.to_string();
-        assert_eq!(asked.iter().filter(|line| method(line) == Some(put.clone())).count(), 1, "{asked:?}");
+        assert_eq!(requests.iter().filter(|line| method(line) == Some(put.clone())).count(), 1, "{requests:?}");
     });
 }
 
 #[test]
-fn it_gives_up_following_with_a_code_of_its_own() {
+fn following_that_times_out_has_its_own_exit_code() {
     smol::block_on(async {
-        let (scheduler, _) = a_box(vec![running(1)]).await;
+        let (scheduler, _) = start_box(vec![running(1)]).await;
         let output = marten(&["az-1", "--follow", "--timeout", "1"], &[scheduler]).await;
         assert_eq!(output.status.code(), Some(7), "{output:?}");
     });
 }
 
 #[test]
-fn it_takes_back() {
+fn ends_an_evacuation() {
     smol::block_on(async {
-        let (scheduler, operators) = a_box(vec![(StatusCode::OK, json!({ "evacuations": [] }))]).await;
+        let (scheduler, operators) = start_box(vec![(StatusCode::OK, json!({ "evacuations": [] }))]).await;
         let output = marten(&["az-1", "--take-back"], &[scheduler]).await;
         assert_eq!(stdout(&output), "az-1 takes work\n", "{output:?}");
-        assert_eq!(*operators.asked.lock().expect("no holder panics"), ["DELETE /v1/evacuations/az-1"]);
+        assert_eq!(*operators.requests.lock().expect("no holder panics"), ["DELETE /v1/evacuations/az-1"]);
     });
 }
 
 #[test]
-fn it_says_why_it_is_refused() {
+fn shows_the_reason_of_a_refusal() {
     smol::block_on(async {
         let error = "without az-1 8 accelerators are left, and customers are guaranteed 16: 8 too few";
-        let (scheduler, _) = a_box(vec![(StatusCode::CONFLICT, json!({ "error": error }))]).await;
+        let (scheduler, _) = start_box(vec![(StatusCode::CONFLICT, json!({ "error": error }))]).await;
         let output = marten(&["az-1"], &[scheduler]).await;
         assert_eq!(output.status.code(), Some(3), "{output:?}");
         assert!(String::from_utf8_lossy(&output.stderr).contains(error), "{output:?}");
@@ -132,9 +132,9 @@
 }
 
 #[test]
-fn no_box_that_schedules_and_no_valid_zone_have_codes_of_their_own() {
+fn a_missing_scheduler_and_an_invalid_zone_have_their_own_exit_codes() {
     smol::block_on(async {
-        let (other, _) = a_box(vec![elsewhere()]).await;
+        let (other, _) = start_box(vec![redirect()]).await;
         let output = marten(&["az-1"], &[other]).await;
         assert_eq!(output.status.code(), Some(5), "{output:?}");
         let output = marten(&["az 1"], &[other]).await;
--- a/crates/marten/tests/explain.rs
+++ b/crates/marten/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `marten explain` on logs as boxes write them.
+//! `marten explain` on logs in the format that boxes write.
 
 use std::{
     io::Write,
@@ -23,13 +23,13 @@
         .stderr(Stdio::null())
         .spawn()
         .expect("the command starts");
-    child.stdin.take().expect("piped").write_all(LOGS.as_bytes()).expect("it reads its input");
-    let output = child.wait_with_output().expect("it ends");
+    child.stdin.take().expect("piped").write_all(LOGS.as_bytes()).expect("the command reads its input");
+    let output = child.wait_with_output().expect("the command ends");
     (String::from_utf8(output.stdout).expect("UTF-8"), output.status.code())
 }
 
 #[test]
-fn a_jobs_life_is_told_in_the_order_of_time_with_the_elections_between() {
+fn shows_the_history_of_a_job_in_order_of_time_with_elections() {
     let (text, code) = explain("00000000000000aa");
     let events: Vec<&str> = text
         .lines()
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_job_of_which_no_line_tells_is_refused() {
+fn a_job_without_log_lines_is_refused() {
     let (text, code) = explain("00000000000000ff");
     assert!(text.is_empty());
     assert_eq!(code, Some(3));
