--- a/crates/martend/src/deployment/settings.rs
+++ b/crates/martend/src/deployment/settings.rs
@@ -7,14 +7,14 @@
 use scheduler::{Timing, Tuning};
 use serde::{Deserialize, Serialize};
 
-/// Lease of an election, unless the store's shortest lease is longer. It covers three renewals, so that two may be lost,
-/// also to a slow store. Jobs that arrive after a scheduler has failed wait until this lease has expired.
+/// Lease of an election, unless the store's shortest lease is longer. It covers three renewals, so that two may be
+/// lost, also to a slow store. Jobs that arrive after a scheduler has failed wait until this lease has expired.
 const ELECTION_TTL: Duration = Duration::from_millis(1000);
-/// Longest wait of a watch on the configuration. A watch whose response is lost is repeated after this, before the platform
-/// requests the newest configuration again.
+/// Longest wait of a watch on the configuration. A watch whose response is lost is repeated after this, before the
+/// platform requests the newest configuration again.
 const WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// Time after which a store that has not responded counts as unreachable. It exceeds two liveness checks of the store with
-/// slow responses.
+/// Time after which a store that has not responded counts as unreachable. It exceeds two liveness checks of the store
+/// with slow responses.
 const STORE_SILENCE: Duration = Duration::from_millis(1100);
 
 #[derive(Deserialize)]
@@ -44,7 +44,7 @@
     /// Address of the platform's permit service; empty if no queue requires permits.
     #[serde(default)]
     pub adviser_address: String,
-    /// Address of the service that lists the platform's machines and takes them for maintenance; empty if there is none.
+    /// Address of the service that lists machines and takes them for maintenance; empty if there is none.
     #[serde(default)]
     pub machines_address: String,
     /// Addresses of boxes to contact first; they may no longer exist.
@@ -69,7 +69,7 @@
     pub far_factor: f64,
     /// Time between SIGTERM and the end of the process, in milliseconds, 1,000 to 600,000.
     pub grace_ms: u64,
-    /// Settings of the scheduler's mechanisms, which let measurements switch off each of them.
+    /// Settings of the scheduler's mechanisms, for measuring the effect of each.
     #[serde(default, skip_serializing)]
     pub tuning: Tuning,
     /// Time for which a scheduler that cannot confirm its election still renews leases, in milliseconds.
@@ -94,7 +94,7 @@
     pub store_address: SocketAddr,
     /// Address of the platform's permit service; `None` if no queue requires permits.
     pub adviser_address: Option<SocketAddr>,
-    /// Address of the service that lists the platform's machines and takes them for maintenance; `None` if there is none.
+    /// Address of the service that lists machines and takes them for maintenance; `None` if there is none.
     pub machines_address: Option<SocketAddr>,
     /// Time between SIGTERM and the end of the process.
     pub grace: Duration,
