--- a/crates/martend/tests/soak/boxes.rs
+++ b/crates/martend/tests/soak/boxes.rs
@@ -1,4 +1,4 @@
-//! Boxes as processes, and the signals that they get.
+//! Box processes, and the signals sent to them.
 
 use std::{
     fs::File,
@@ -13,19 +13,19 @@
 
 use crate::proxy::Proxy;
 
-/// A box that is told to end has ended by then: its grace of 6 s, and a second for a busy machine.
+/// Time after SIGTERM within which a box must end: its grace period of 6 s, and a second for a busy machine.
 const ENDS_WITHIN: Duration = Duration::from_secs(7);
 
-/// One box: its addresses stay, its processes come and go. The process is killed when this is dropped.
+/// A box with fixed addresses and, over time, several processes. Kills the current process on drop.
 pub(crate) struct BoxProcess {
     pub(crate) name: String,
     pub(crate) addrs: BoxAddrs,
-    /// What callers use.
+    /// Proxy between callers and the box.
     pub(crate) front: Proxy,
-    /// What the box reaches the store by.
+    /// Proxy between the box and the store.
     pub(crate) store: Proxy,
-    /// Processes that it has had.
-    pub(crate) lives: usize,
+    /// Number of processes started so far.
+    pub(crate) incarnations: usize,
     settings: PathBuf,
     child: Option<Child>,
 }
@@ -38,34 +38,35 @@
 
 impl BoxProcess {
     pub(crate) fn new(name: String, addrs: BoxAddrs, front: Proxy, store: Proxy, settings: PathBuf) -> BoxProcess {
-        BoxProcess { name, addrs, front, store, lives: 0, settings, child: None }
+        BoxProcess { name, addrs, front, store, incarnations: 0, settings, child: None }
     }
 
-    /// Starts a process unless one runs; what it logs goes into `dir`.
+    /// Starts a process, which logs into `dir`, unless one runs.
     pub(crate) fn start(&mut self, dir: &Path) {
         if self.child.is_some() {
             return;
         }
-        let log = File::create(dir.join(format!("{}.{}.log", self.name, self.lives))).expect("the directory is there");
+        let log = File::create(dir.join(format!("{}.{}.log", self.name, self.incarnations)))
+            .expect("the directory is writable");
         let child = Command::new(env!("CARGO_BIN_EXE_martend"))
             .env("MARTENSCALE_CONFIG", &self.settings)
             .stdout(log.try_clone().expect("a descriptor is free"))
             .stderr(log)
             .spawn()
             .expect("the box starts");
-        self.lives += 1;
+        self.incarnations += 1;
         self.child = Some(child);
     }
 
     pub(crate) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended already.
+            // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// The process stands still until [`BoxProcess::resume`].
+    /// Stops the process until [`BoxProcess::resume`].
     pub(crate) fn pause(&self) {
         self.signal(Signal::STOP);
     }
@@ -77,18 +78,18 @@
     fn signal(&self, signal: Signal) {
         let pid = self.child.as_ref().and_then(|child| Pid::from_raw(child.id().cast_signed()));
         if let Some(pid) = pid {
-            // A child that was not waited for keeps its id, so no other process can be meant.
+            // A child keeps its process id until it is waited for, so the id is not that of another process.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Tells the process to end.
-    pub(crate) fn tell_to_end(&self) -> Told {
+    /// Sends SIGTERM to the process.
+    pub(crate) fn terminate(&self) -> Termination {
         self.signal(Signal::TERM);
-        Told { life: self.lives, at: Instant::now() }
+        Termination { incarnation: self.incarnations, at: Instant::now() }
     }
 
-    /// What the threads of the process wait for, as the kernel tells.
+    /// Returns the name and current system call of each thread of the process.
     fn threads(&self) -> String {
         let Some(child) = &self.child else { return String::new() };
         let tasks = std::fs::read_dir(format!("/proc/{}/task", child.id())).into_iter().flatten().flatten();
@@ -100,7 +101,7 @@
         tasks.map(|task| thread(task.path())).collect()
     }
 
-    /// How the process has ended; `None` while it runs, or if there is none.
+    /// Returns the exit status of the process; `None` while it runs, or if there is none.
     pub(crate) fn ended(&mut self) -> Option<ExitStatus> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
@@ -108,34 +109,37 @@
     }
 }
 
-/// Which process was told to end, and when.
+/// Process that received SIGTERM, and the time of the signal.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Told {
-    life: usize,
+pub(crate) struct Termination {
+    incarnation: usize,
     pub(crate) at: Instant,
 }
 
-/// Waits for a process that was told to end. The error says what it did instead of leaving in order.
-pub(crate) async fn left_in_order(a_box: &smol::lock::Mutex<BoxProcess>, told: Told) -> Result<(), String> {
+/// Waits for the end of a process that received SIGTERM. The error says how it failed to end in order.
+pub(crate) async fn wait_terminated(
+    a_box: &smol::lock::Mutex<BoxProcess>,
+    termination: Termination,
+) -> Result<(), String> {
     loop {
         let mut locked = a_box.lock().await;
-        if locked.child.is_none() || locked.lives != told.life {
+        if locked.child.is_none() || locked.incarnations != termination.incarnation {
             return Ok(());
         }
         if let Some(status) = locked.ended() {
-            // A process that had only begun has not yet asked to be told of signals, and ends at once.
-            let at_once = status.signal() == Some(Signal::TERM.as_raw());
-            return if status.success() || at_once {
+            // A process that has just started has not yet installed its signal handlers, and ends at once.
+            let by_signal = status.signal() == Some(Signal::TERM.as_raw());
+            return if status.success() || by_signal {
                 Ok(())
             } else {
                 Err(format!("{} ended with {status}", locked.name))
             };
         }
-        if told.at.elapsed() > ENDS_WITHIN {
+        if termination.at.elapsed() > ENDS_WITHIN {
             let threads = locked.threads();
             locked.kill();
             let s = ENDS_WITHIN.as_secs();
-            return Err(format!("{} has not ended {s} s after it was told to; its threads: {threads}", locked.name));
+            return Err(format!("{} has not ended {s} s after SIGTERM; its threads: {threads}", locked.name));
         }
         drop(locked);
         smol::Timer::after(Duration::from_millis(20)).await;
--- a/crates/martend/tests/soak/faults.rs
+++ b/crates/martend/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run, drawn from its seed.
+//! Faults of a run, drawn from its seed.
 
 use std::{
     sync::Arc,
@@ -8,13 +8,13 @@
 use fastrand::Rng;
 
 use crate::{
-    boxes::left_in_order,
+    boxes::wait_terminated,
     callers::crashes_servers,
     proxy::Mode,
     world::{BOXES, SERVERS, World},
 };
 
-/// Which link a proxy spoils.
+/// Link that a proxy impairs.
 #[derive(Debug, Clone, Copy)]
 enum Link {
     /// Between callers and a box.
@@ -27,74 +27,74 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Fault {
-    /// A box is killed and starts again.
+    /// Kills a box and restarts it.
     Kill(usize),
-    /// All boxes are killed at once.
+    /// Kills all boxes at once and restarts them.
     KillAll,
-    /// A box stands still.
+    /// Stops the process of a box and resumes it.
     Pause(usize),
-    /// A box is told to end and starts again.
+    /// Terminates a box and restarts it.
     Stop(usize),
-    /// All boxes are told to end, one after the other.
+    /// Terminates and restarts all boxes, one after the other.
     StopInTurn,
-    /// A link is spoilt.
+    /// Impairs a link.
     Spoil(Link, Mode),
-    /// The links of all boxes to the store are.
+    /// Impairs the links of all boxes to the store.
     SpoilStores(Mode),
-    /// The store refuses everything.
+    /// Makes the store refuse all requests.
     StoreDown,
-    /// Watches hear nothing, and then their history is gone.
+    /// Suppresses the events of watches, and then drops their history.
     ForgetHistory,
-    /// A backend server crashes and begins another life, in some runs under its id at times.
+    /// Crashes a backend server, which starts another incarnation, in some runs sometimes under the same id.
     CrashServer(usize),
-    /// The operators change the configuration.
+    /// Changes the configuration.
     Configure,
-    /// The operators evacuate an availability zone, and take it back.
+    /// Evacuates an availability zone, and ends the evacuation.
     Evacuate(&'static str),
 }
 
-/// What happens, when, and for how long.
+/// A fault with its start, relative to the start of the run, and its duration.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Planned {
+pub(crate) struct PlannedFault {
     at: Duration,
-    lasts: Duration,
+    duration: Duration,
     fault: Fault,
 }
 
-/// From one fault to the next, in milliseconds: shorter than most of them last, so that they overlap.
-const GAP_MS: std::ops::Range<u64> = 100..1800;
-/// How long a fault lasts, in milliseconds: below and above a lease (3 s) and an election's (1.5 s).
-const LASTS_MS: std::ops::Range<u64> = 200..5500;
+/// Interval between the starts of faults, in milliseconds: shorter than most faults, so that they overlap.
+const INTERVAL_MS: std::ops::Range<u64> = 100..1800;
+/// Duration of a fault, in milliseconds: below and above the leases of a run (3 s) and of an election (1.5 s).
+const DURATION_MS: std::ops::Range<u64> = 200..5500;
 
-/// How soon after its start a task is found that crashes its backend server.
-const CRASHES_WITHIN: Duration = Duration::from_millis(10);
+/// Interval at which tasks that crash their backend server are detected.
+const CRASH_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Draws the faults of a run.
-pub(crate) fn plan(rng: &mut Rng, length: Duration) -> Vec<Planned> {
+/// Draws the faults of a run of this length.
+pub(crate) fn plan(rng: &mut Rng, length: Duration) -> Vec<PlannedFault> {
     let mut planned = Vec::new();
-    let mut at = Duration::from_millis(rng.u64(GAP_MS));
+    let mut at = Duration::from_millis(rng.u64(INTERVAL_MS));
     while at < length {
-        let drawn = Duration::from_millis(rng.u64(LASTS_MS)).min(length - at);
-        let fault = fault(rng);
-        // An evacuation shows only after the time in which what was under way may still begin.
-        let lasts = if matches!(fault, Fault::Evacuate(_)) { length - at } else { drawn };
-        planned.push(Planned { at, lasts, fault });
-        at += Duration::from_millis(rng.u64(GAP_MS));
+        let drawn = Duration::from_millis(rng.u64(DURATION_MS)).min(length - at);
+        let fault = draw_fault(rng);
+        // Starts that are in flight may still succeed for a while, so only a long evacuation is checked.
+        let duration = if matches!(fault, Fault::Evacuate(_)) { length - at } else { drawn };
+        planned.push(PlannedFault { at, duration, fault });
+        at += Duration::from_millis(rng.u64(INTERVAL_MS));
     }
     planned
 }
 
-fn fault(rng: &mut Rng) -> Fault {
+fn draw_fault(rng: &mut Rng) -> Fault {
     match rng.u8(..29) {
         0..3 => Fault::Kill(rng.usize(..BOXES)),
         3 => Fault::KillAll,
         4..7 => Fault::Pause(rng.usize(..BOXES)),
         7..9 => Fault::Stop(rng.usize(..BOXES)),
         9 => Fault::StopInTurn,
-        10..13 => Fault::Spoil(Link::Store(rng.usize(..BOXES)), mode(rng)),
-        13..16 => Fault::Spoil(Link::Server(rng.usize(..SERVERS)), mode(rng)),
-        16..18 => Fault::Spoil(Link::Front(rng.usize(..BOXES)), mode(rng)),
-        18..21 => Fault::SpoilStores(mode(rng)),
+        10..13 => Fault::Spoil(Link::Store(rng.usize(..BOXES)), draw_mode(rng)),
+        13..16 => Fault::Spoil(Link::Server(rng.usize(..SERVERS)), draw_mode(rng)),
+        16..18 => Fault::Spoil(Link::Front(rng.usize(..BOXES)), draw_mode(rng)),
+        18..21 => Fault::SpoilStores(draw_mode(rng)),
         21 => Fault::StoreDown,
         22 => Fault::ForgetHistory,
         23..26 => Fault::CrashServer(rng.usize(..SERVERS)),
@@ -103,7 +103,7 @@
     }
 }
 
-fn mode(rng: &mut Rng) -> Mode {
+fn draw_mode(rng: &mut Rng) -> Mode {
     match rng.u8(..5) {
         0 => Mode::Slow(Duration::from_millis(rng.u64(20..600))),
         1 | 2 => Mode::Silent,
@@ -112,17 +112,17 @@
     }
 }
 
-/// Lets the faults happen, each at its time and beside the others, and waits until the last is over.
-pub(crate) async fn inject(world: &Arc<World>, planned: Vec<Planned>) {
-    let begun = Instant::now();
+/// Injects the faults concurrently, each at its time, and waits until the last is over.
+pub(crate) async fn inject(world: &Arc<World>, planned: Vec<PlannedFault>) {
+    let started = Instant::now();
     let tasks: Vec<_> = planned
         .into_iter()
         .map(|planned| {
             let world = Arc::clone(world);
             smol::spawn(async move {
-                smol::Timer::at(begun + planned.at).await;
-                world.note(&format!("{:?} for {:?}", planned.fault, planned.lasts));
-                happen(&world, planned.fault, planned.lasts).await;
+                smol::Timer::at(started + planned.at).await;
+                world.log_event(&format!("{:?} for {:?}", planned.fault, planned.duration));
+                inject_fault(&world, planned.fault, planned.duration).await;
             })
         })
         .collect();
@@ -131,107 +131,108 @@
     }
 }
 
-async fn happen(world: &World, fault: Fault, lasts: Duration) {
+async fn inject_fault(world: &World, fault: Fault, duration: Duration) {
     match fault {
-        Fault::Kill(i) => kill(world, &[i], lasts).await,
-        Fault::KillAll => kill(world, &(0..BOXES).collect::<Vec<_>>(), lasts).await,
-        Fault::Pause(i) => pause(world, i, lasts).await,
+        Fault::Kill(i) => kill(world, &[i], duration).await,
+        Fault::KillAll => kill(world, &(0..BOXES).collect::<Vec<_>>(), duration).await,
+        Fault::Pause(i) => pause(world, i, duration).await,
         Fault::Stop(i) => stop(world, i).await,
         Fault::StopInTurn => {
             for i in 0..BOXES {
                 stop(world, i).await;
             }
         }
-        Fault::Spoil(link, mode) => spoil(world, &[link], mode, lasts).await,
-        Fault::SpoilStores(mode) => spoil(world, &(0..BOXES).map(Link::Store).collect::<Vec<_>>(), mode, lasts).await,
+        Fault::Spoil(link, mode) => impair(world, &[link], mode, duration).await,
+        Fault::SpoilStores(mode) => {
+            impair(world, &(0..BOXES).map(Link::Store).collect::<Vec<_>>(), mode, duration).await
+        }
         Fault::StoreDown => {
             world.platform.lock().await.set_store_down(true);
-            smol::Timer::after(lasts).await;
+            smol::Timer::after(duration).await;
             world.platform.lock().await.set_store_down(false);
         }
-        Fault::ForgetHistory => forget_history(world, lasts).await,
+        Fault::ForgetHistory => forget_history(world, duration).await,
         Fault::CrashServer(i) => {
             let mut platform = world.platform.lock().await;
-            let keeps_id = world.returns && lasts.as_millis() % 2 == 1;
+            let keeps_id = world.reuses_ids && duration.as_millis() % 2 == 1;
             let crashed = if keeps_id { platform.return_server(i).await } else { platform.crash_server(i).await };
-            crashed.expect("its address is free again");
+            crashed.expect("the address is free");
         }
         Fault::Configure => world.configure().await,
         Fault::Evacuate(zone) => {
             world.platform.lock().await.evacuate(zone);
-            smol::Timer::after(lasts).await;
+            smol::Timer::after(duration).await;
             world.platform.lock().await.end_evacuation(zone);
         }
     }
 }
 
-/// Lets backend servers crash under the jobs that crash them, until it is dropped.
-pub(crate) async fn crash_as_told(world: Arc<World>) {
+/// Crashes the backend servers that run tasks of jobs marked to crash them, until dropped.
+pub(crate) async fn crash_servers(world: Arc<World>) {
     loop {
-        smol::Timer::after(CRASHES_WITHIN).await;
+        smol::Timer::after(CRASH_INTERVAL).await;
         let crashing = world.ledger.all().into_iter().filter(|(_, entry)| crashes_servers(&entry.work));
         for server in crashing.filter_map(|(id, _)| world.oracle.running_on(id)) {
             let mut platform = world.platform.lock().await;
             if let Some(i) = (0..SERVERS).find(|&i| platform.server(i).1 == server) {
-                world.note(&format!("{server} crashes under a task"));
-                platform.crash_server(i).await.expect("its address is free again");
+                world.log_event(&format!("{server} crashes under a task"));
+                platform.crash_server(i).await.expect("the address is free");
             }
         }
     }
 }
 
-async fn kill(world: &World, boxes: &[usize], lasts: Duration) {
+async fn kill(world: &World, boxes: &[usize], duration: Duration) {
     for &i in boxes {
         world.boxes[i].lock().await.kill();
     }
-    smol::Timer::after(lasts).await;
+    smol::Timer::after(duration).await;
     for &i in boxes {
         world.boxes[i].lock().await.start(&world.dir);
     }
 }
 
-/// A box that is told to end does so in order, unless it is paused or killed meanwhile, which
-/// [`World::may_be_late`] knows.
+/// Terminates a box and checks that it ends in order, unless [`World::may_be_late`], then restarts it.
 async fn stop(world: &World, i: usize) {
-    let told = world.boxes[i].lock().await.tell_to_end();
-    if let Err(what) = left_in_order(&world.boxes[i], told).await
-        && !world.may_be_late(i, told.at)
+    let termination = world.boxes[i].lock().await.terminate();
+    if let Err(what) = wait_terminated(&world.boxes[i], termination).await
+        && !world.may_be_late(i, termination.at)
     {
         world.oracle.report_violation(what);
     }
     world.boxes[i].lock().await.start(&world.dir);
 }
 
-async fn pause(world: &World, i: usize, lasts: Duration) {
-    world.note_pause(i, Instant::now() + lasts);
+async fn pause(world: &World, i: usize, duration: Duration) {
+    world.record_pause(i, Instant::now() + duration);
     world.boxes[i].lock().await.pause();
-    smol::Timer::after(lasts).await;
+    smol::Timer::after(duration).await;
     world.boxes[i].lock().await.resume();
 }
 
-async fn spoil(world: &World, links: &[Link], mode: Mode, lasts: Duration) {
+async fn impair(world: &World, links: &[Link], mode: Mode, duration: Duration) {
     for &link in links {
-        set(world, link, mode).await;
+        set_mode(world, link, mode).await;
     }
-    smol::Timer::after(lasts).await;
+    smol::Timer::after(duration).await;
     for &link in links {
-        set(world, link, Mode::Open).await;
+        set_mode(world, link, Mode::Open).await;
     }
 }
 
-/// Watches hear nothing for a second at most, and then what has changed meanwhile is gone.
-async fn forget_history(world: &World, lasts: Duration) {
+/// Suppresses the events of watches for at most a second, and then drops the changes of that time.
+async fn forget_history(world: &World, duration: Duration) {
     world.platform.lock().await.suppress_watch_events(true);
-    smol::Timer::after(lasts.min(Duration::from_secs(1))).await;
+    smol::Timer::after(duration.min(Duration::from_secs(1))).await;
     let platform = world.platform.lock().await;
     platform.forget_history();
     platform.suppress_watch_events(false);
 }
 
-async fn set(world: &World, link: Link, mode: Mode) {
+async fn set_mode(world: &World, link: Link, mode: Mode) {
     match link {
-        Link::Front(i) => world.boxes[i].lock().await.front.set(mode),
-        Link::Store(i) => world.boxes[i].lock().await.store.set(mode),
-        Link::Server(i) => world.servers[i].set(mode),
+        Link::Front(i) => world.boxes[i].lock().await.front.set_mode(mode),
+        Link::Store(i) => world.boxes[i].lock().await.store.set_mode(mode),
+        Link::Server(i) => world.servers[i].set_mode(mode),
     }
 }
--- a/crates/martend/tests/soak/ledger.rs
+++ b/crates/martend/tests/soak/ledger.rs
@@ -1,4 +1,4 @@
-//! What callers have asked for and were told, job by job.
+//! Requests of callers and the responses that they received, by job.
 
 use std::{
     collections::BTreeMap,
@@ -9,37 +9,38 @@
 use jobs::JobId;
 use users_platform_standin::Work;
 
-/// What came of handing a job in.
+/// State of a submission, as its caller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Handed {
-    /// Not answered yet.
-    Asking,
-    /// It was accepted then.
+pub(crate) enum Submission {
+    /// No response yet.
+    Pending,
+    /// Accepted at this time.
     Accepted(Instant),
-    /// Every try was refused: it must never run.
+    /// Every attempt was refused, so the job must never run.
     Refused,
-    /// Some try was left without an answer, and none was accepted.
-    Doubtful,
+    /// No attempt was accepted, and at least one got no response.
+    InDoubt,
 }
 
-/// What came of cancelling it.
+/// State of a cancellation, as the caller knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Cancelled {
-    No,
-    /// It may have been.
-    Asked,
-    /// It was told then.
-    Told(Instant),
+pub(crate) enum Cancellation {
+    /// Not requested.
+    None,
+    /// Requested, with unknown outcome.
+    Requested,
+    /// Confirmed at this time.
+    Confirmed(Instant),
 }
 
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Entry {
     pub(crate) work: Work,
-    pub(crate) handed: Handed,
-    pub(crate) cancelled: Cancelled,
+    pub(crate) submission: Submission,
+    pub(crate) cancellation: Cancellation,
 }
 
-/// All jobs of a run.
+/// Submissions and cancellations of all jobs of a run.
 #[derive(Default)]
 pub(crate) struct Ledger {
     entries: Mutex<BTreeMap<JobId, Entry>>,
@@ -50,19 +51,19 @@
         self.entries.lock().expect("no holder panics")
     }
 
-    pub(crate) fn begin(&self, id: JobId, work: Work) {
-        self.lock().insert(id, Entry { work, handed: Handed::Asking, cancelled: Cancelled::No });
+    pub(crate) fn record_job(&self, id: JobId, work: Work) {
+        self.lock().insert(id, Entry { work, submission: Submission::Pending, cancellation: Cancellation::None });
     }
 
-    pub(crate) fn handed(&self, id: JobId, handed: Handed) {
+    pub(crate) fn record_submission(&self, id: JobId, submission: Submission) {
         if let Some(entry) = self.lock().get_mut(&id) {
-            entry.handed = handed;
+            entry.submission = submission;
         }
     }
 
-    pub(crate) fn cancelled(&self, id: JobId, cancelled: Cancelled) {
+    pub(crate) fn record_cancellation(&self, id: JobId, cancellation: Cancellation) {
         if let Some(entry) = self.lock().get_mut(&id) {
-            entry.cancelled = cancelled;
+            entry.cancellation = cancellation;
         }
     }
 
--- a/crates/martend/tests/soak/main.rs
+++ b/crates/martend/tests/soak/main.rs
@@ -1,13 +1,12 @@
-//! A randomized soak: real processes of `martend` on a stand-in for the users' platform, with faults from outside.
+//! A randomized soak test: real processes of `martend` on a stand-in for the platform, with injected faults.
 //!
-//! A seed gives the faults and what callers do. Loopback proxies delay, hold, mute and reset connections, signals
-//! stop, pause, kill and restart boxes, and the store and the backend servers misbehave; faults come in series and
-//! overlap. The promises are checked all the while, by what callers and backend servers see, and once more after
-//! everything is well again.
+//! The seed determines the faults and the actions of callers. Loopback proxies delay, hold, mute and reset connections,
+//! signals terminate, pause and kill boxes, and the store and the backend servers fail; faults overlap. The invariants
+//! are checked during the faults, by what callers and backend servers observe, and again after recovery.
 //!
 //!     cargo test --release -p martend --test soak -- --seeds 50 --from 1000 --seconds 15
 //!
-//! Without options it runs the seeds of `regressions.txt` and a short fixed one, as CI does.
+//! Without options it runs the seeds of `regressions.txt` and one short fixed seed, as CI does.
 
 mod boxes;
 mod callers;
@@ -23,21 +22,22 @@
 
 use crate::world::World;
 
-/// Every seed that has ever failed, with its length and the cause.
+/// Seeds that have failed before, each with the duration of its faults and the cause of the failure.
 const REGRESSIONS: &str = include_str!("regressions.txt");
-/// The seed of CI, and how long its faults go on.
+/// Fixed seed of CI, and the duration of its faults.
 const CI_SEED: u64 = 1;
 const CI_FAULTS: Duration = Duration::from_secs(8);
-/// How long faults go on by default, in seconds.
-const FAULTS_S: u64 = 15;
+/// Default duration of faults, in seconds.
+const DEFAULT_FAULTS_S: u64 = 15;
 
-/// One run.
+/// A run: its seed and the duration of its faults.
 #[derive(Debug, Clone, Copy)]
 struct Case {
     seed: u64,
     faults: Duration,
-    /// Backend servers that crash may come back under their ids; not so in runs that were kept before they could.
-    returns: bool,
+    /// Whether backend servers may restart under the same id after a crash; `false` for older regression seeds, which
+    /// were recorded without that.
+    reuses_ids: bool,
 }
 
 fn main() -> ExitCode {
@@ -60,11 +60,11 @@
         Ok(number) => Ok(number),
         Err(e) => Err(format!("--{name}: {e}: allowed is a whole number")),
     };
-    let mut cases: Vec<Case> = match (number("seeds", 0), number("from", 1), number("seconds", FAULTS_S)) {
+    let mut cases: Vec<Case> = match (number("seeds", 0), number("from", 1), number("seconds", DEFAULT_FAULTS_S)) {
         (Ok(0), Ok(_), Ok(_)) => ci_cases(),
         (Ok(seeds), Ok(from), Ok(seconds)) => {
             let faults = Duration::from_secs(seconds);
-            (from..from + seeds).map(|seed| Case { seed, faults, returns: true }).collect()
+            (from..from + seeds).map(|seed| Case { seed, faults, reuses_ids: true }).collect()
         }
         (Err(e), ..) | (_, Err(e), _) | (.., Err(e)) => return refuse(&e, &usage),
     };
@@ -84,22 +84,22 @@
         let mut words = line.split_whitespace();
         let mut number = || words.next().and_then(|word| word.parse().ok()).expect("a line has a seed and seconds");
         let (seed, faults) = (number(), Duration::from_secs(number()));
-        Case { seed, faults, returns: words.next() == Some("returns") }
+        Case { seed, faults, reuses_ids: words.next() == Some("returns") }
     };
     let kept = lines.map(|line| case(line.split('#').next().unwrap_or_default()));
-    kept.chain([Case { seed: CI_SEED, faults: CI_FAULTS, returns: true }]).collect()
+    kept.chain([Case { seed: CI_SEED, faults: CI_FAULTS, reuses_ids: true }]).collect()
 }
 
 fn run_all(cases: &[Case]) -> ExitCode {
     let mut failed = 0;
     for case in cases {
-        let broken = smol::block_on(World::play(case.seed, case.faults, case.returns));
-        let verdict = if broken.is_empty() { "ok" } else { "FAILED" };
+        let violations = smol::block_on(World::run(case.seed, case.faults, case.reuses_ids));
+        let verdict = if violations.is_empty() { "ok" } else { "FAILED" };
         println!("soak seed {} of {} s ... {verdict}", case.seed, case.faults.as_secs());
-        for what in &broken {
+        for what in &violations {
             println!("    {what}");
         }
-        failed += usize::from(!broken.is_empty());
+        failed += usize::from(!violations.is_empty());
     }
     println!("soak: {} passed, {failed} failed", cases.len() - failed);
     if failed == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
--- a/crates/martend/tests/soak/proxy.rs
+++ b/crates/martend/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy on loopback through which one link goes, and which can spoil it.
+//! A loopback proxy for one link, which can impair it.
 
 use std::{
     net::SocketAddr,
@@ -9,31 +9,31 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use smol::net::{TcpListener, TcpStream};
 
-/// What happens to a link.
+/// Condition of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// Nothing.
+    /// All bytes pass.
     Open,
-    /// Everything comes later by this.
+    /// All bytes pass after this delay.
     Slow(Duration),
-    /// Nothing passes; what was sent meanwhile is delivered afterwards.
+    /// No bytes pass; those sent meanwhile are delivered afterwards.
     Silent,
-    /// Requests pass, answers are held.
+    /// Requests pass; responses are held.
     Mute,
-    /// Connections are reset, and new ones too.
+    /// Existing and new connections are reset.
     Reset,
 }
 
-/// A change of mode is seen within this.
-const LOOK_EVERY: Duration = Duration::from_millis(5);
+/// Interval at which a change of mode is detected.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Request,
-    Answer,
+    Response,
 }
 
-/// A proxy; dropping it closes its port.
+/// A proxy, which closes its port on drop.
 pub(crate) struct Proxy {
     pub(crate) addr: SocketAddr,
     mode: Arc<Mutex<Mode>>,
@@ -49,62 +49,67 @@
         Ok(Proxy { addr, mode, _accepting: accepting })
     }
 
-    pub(crate) fn set(&self, mode: Mode) {
+    pub(crate) fn set_mode(&self, mode: Mode) {
         *self.mode.lock().expect("no holder panics") = mode;
     }
 }
 
 async fn accept(listener: TcpListener, upstream: SocketAddr, mode: Arc<Mutex<Mode>>) {
     while let Ok((caller, _)) = listener.accept().await {
-        smol::spawn(carry(caller, upstream, Arc::clone(&mode))).detach();
+        smol::spawn(forward(caller, upstream, Arc::clone(&mode))).detach();
     }
 }
 
-/// Carries one connection until either side closes it, or it is reset.
-async fn carry(caller: TcpStream, upstream: SocketAddr, mode: Arc<Mutex<Mode>>) {
+/// Forwards one connection until either side closes it, or it is reset.
+async fn forward(caller: TcpStream, upstream: SocketAddr, mode: Arc<Mutex<Mode>>) {
     let Ok(server) = TcpStream::connect(upstream).await else { return reset(&caller) };
     for stream in [&caller, &server] {
-        // Without it small messages wait for acknowledgements; the proxy is to add no delay of its own.
+        // Without this option small messages wait for acknowledgements, a delay that is not the link's.
         let _ = stream.set_nodelay(true);
     }
-    let requests = pump(caller.clone(), server.clone(), Direction::Request, &mode);
-    let answers = pump(server.clone(), caller.clone(), Direction::Answer, &mode);
-    if requests.or(answers).await == Ended::Reset {
+    let requests = forward_direction(caller.clone(), server.clone(), Direction::Request, &mode);
+    let responses = forward_direction(server.clone(), caller.clone(), Direction::Response, &mode);
+    if requests.or(responses).await == ConnectionEnd::Reset {
         reset(&caller);
         reset(&server);
     }
 }
 
 #[derive(Debug, PartialEq, Eq)]
-enum Ended {
+enum ConnectionEnd {
     Closed,
     Reset,
 }
 
-async fn pump(mut from: TcpStream, mut to: TcpStream, direction: Direction, mode: &Mutex<Mode>) -> Ended {
+async fn forward_direction(
+    mut from: TcpStream,
+    mut to: TcpStream,
+    direction: Direction,
+    mode: &Mutex<Mode>,
+) -> ConnectionEnd {
     let mut buf = vec![0; 64 * 1024];
     loop {
         let read = async { from.read(&mut buf).await.unwrap_or(0) };
         let reset = async {
-            until_reset(mode).await;
+            wait_reset(mode).await;
             usize::MAX
         };
         let n = match read.or(reset).await {
-            0 => return Ended::Closed,
-            usize::MAX => return Ended::Reset,
+            0 => return ConnectionEnd::Closed,
+            usize::MAX => return ConnectionEnd::Reset,
             n => n,
         };
-        if !may_pass(direction, mode).await {
-            return Ended::Reset;
+        if !wait_passable(direction, mode).await {
+            return ConnectionEnd::Reset;
         }
         if to.write_all(&buf[..n]).await.is_err() {
-            return Ended::Closed;
+            return ConnectionEnd::Closed;
         }
     }
 }
 
-/// Waits until bytes may pass; `false` if the connection is reset instead.
-async fn may_pass(direction: Direction, mode: &Mutex<Mode>) -> bool {
+/// Waits until bytes may pass. Returns `false` if the connection is reset instead.
+async fn wait_passable(direction: Direction, mode: &Mutex<Mode>) -> bool {
     loop {
         let now = *mode.lock().expect("no holder panics");
         match now {
@@ -115,21 +120,21 @@
             }
             Mode::Mute if direction == Direction::Request => return true,
             Mode::Silent | Mode::Mute => {
-                smol::Timer::after(LOOK_EVERY).await;
+                smol::Timer::after(POLL_INTERVAL).await;
             }
             Mode::Reset => return false,
         }
     }
 }
 
-async fn until_reset(mode: &Mutex<Mode>) {
+async fn wait_reset(mode: &Mutex<Mode>) {
     while *mode.lock().expect("no holder panics") != Mode::Reset {
-        smol::Timer::after(LOOK_EVERY).await;
+        smol::Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Closes a connection in such a way that the other side sees a reset.
+/// Closes a connection with a reset.
 fn reset(stream: &TcpStream) {
-    // If it is closed already there is nothing to reset.
+    // Fails only if the connection is closed already.
     let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
 }
--- a/crates/martend/tests/soak/world.rs
+++ b/crates/martend/tests/soak/world.rs
@@ -1,4 +1,4 @@
-//! A run: the platform, its boxes behind their proxies, and the order in which everything happens.
+//! A run: the platform, its boxes behind proxies, and the sequence of faults, recovery and checks.
 
 use std::{
     io::Write,
@@ -17,45 +17,45 @@
 use users_platform_standin::{BoxAddrs, Oracle, Platform, Setup, free_addrs};
 
 use crate::{
-    boxes::{BoxProcess, left_in_order},
+    boxes::{BoxProcess, wait_terminated},
     callers, checks, faults,
     ledger::Ledger,
     proxy::{Mode, Proxy},
 };
 
-/// The key that callers use.
+/// API key of the callers.
 pub(crate) const KEY: &str = "key-1";
-/// Boxes of a run.
+/// Number of boxes in a run.
 pub(crate) const BOXES: usize = 4;
-/// Backend servers of a run.
+/// Number of backend servers in a run.
 pub(crate) const SERVERS: usize = 6;
-/// Callers of a run.
+/// Number of callers in a run.
 const CALLERS: u64 = 4;
 
-/// Everything that takes part in a run.
+/// State of a run: its platform, boxes, proxies and records.
 pub(crate) struct World {
     pub(crate) platform: Mutex<Platform>,
     pub(crate) oracle: Arc<Oracle>,
     pub(crate) boxes: Vec<Mutex<BoxProcess>>,
-    /// One in front of each backend server.
+    /// Proxies in front of the backend servers.
     pub(crate) servers: Vec<Proxy>,
     pub(crate) ledger: Ledger,
-    /// Logs of the boxes and of the faults; removed if nothing was broken.
+    /// Directory for logs of the boxes and of the faults; removed if no invariant was violated.
     pub(crate) dir: PathBuf,
-    /// Backend servers that crash may come back under their ids.
-    pub(crate) returns: bool,
+    /// Whether backend servers may restart under the same id after a crash.
+    pub(crate) reuses_ids: bool,
     fronts: Vec<SocketAddr>,
     version: AtomicU64,
-    begun: Instant,
-    notes: StdMutex<std::fs::File>,
-    /// Until when each box may be held up by a pause.
+    started: Instant,
+    event_log: StdMutex<std::fs::File>,
+    /// End of the latest pause of each box, if any.
     paused_until: Vec<StdMutex<Option<Instant>>>,
 }
 
-/// Kills the boxes also when a panic leaves others with a hold on the world.
-struct EndsBoxes(Arc<World>);
+/// Kills the boxes on drop, also if other tasks still reference the world after a panic.
+struct KillBoxesOnDrop(Arc<World>);
 
-impl Drop for EndsBoxes {
+impl Drop for KillBoxesOnDrop {
     fn drop(&mut self) {
         for a_box in &self.0.boxes {
             a_box.lock_blocking().kill();
@@ -64,37 +64,39 @@
 }
 
 impl World {
-    /// Plays a seed; returns what was broken.
-    pub(crate) async fn play(seed: u64, length: Duration, returns: bool) -> Vec<String> {
-        let world = Arc::new(World::start(seed, returns).await.expect("loopback can be used"));
-        let _ends = EndsBoxes(Arc::clone(&world));
+    /// Runs a seed and returns the violations of invariants.
+    pub(crate) async fn run(seed: u64, length: Duration, reuses_ids: bool) -> Vec<String> {
+        let world = Arc::new(World::start(seed, reuses_ids).await.expect("loopback is available"));
+        let _kill_boxes = KillBoxesOnDrop(Arc::clone(&world));
         let mut rng = Rng::with_seed(seed);
-        let watching = smol::spawn(checks::watch(Arc::clone(&world)));
-        let calling: Vec<_> = (1..=CALLERS).map(|n| smol::spawn(callers::call(Arc::clone(&world), n, seed))).collect();
-        let crashing = smol::spawn(faults::crash_as_told(Arc::clone(&world)));
-        let last = smol::spawn(callers::hand_in_crashing(Arc::clone(&world), JobId((CALLERS + 1) << 32), seed));
+        let watching = smol::spawn(checks::monitor(Arc::clone(&world)));
+        let calling: Vec<_> =
+            (1..=CALLERS).map(|n| smol::spawn(callers::run_caller(Arc::clone(&world), n, seed))).collect();
+        let crashing = smol::spawn(faults::crash_servers(Arc::clone(&world)));
+        let crashing_job =
+            smol::spawn(callers::submit_crashing_job(Arc::clone(&world), JobId((CALLERS + 1) << 32), seed));
         faults::inject(&world, faults::plan(&mut rng, length)).await;
-        world.heal().await;
-        for task in calling.into_iter().chain([last]) {
+        world.end_faults().await;
+        for task in calling.into_iter().chain([crashing_job]) {
             task.cancel().await;
         }
-        checks::settle(&world).await;
+        checks::check_recovery(&world).await;
         crashing.cancel().await;
         watching.cancel().await;
-        world.leave().await;
-        let mut broken = world.oracle.violations();
-        broken.dedup();
-        if broken.is_empty() {
-            // What is left of a run that broke nothing is of no use; a file that stays does no harm.
+        world.terminate_boxes().await;
+        let mut violations = world.oracle.violations();
+        violations.dedup();
+        if violations.is_empty() {
+            // The logs of a run without violations are not needed; leftover files do no harm.
             let _ = std::fs::remove_dir_all(&world.dir);
         } else {
-            broken.truncate(12);
-            broken.push(format!("logs: {}", world.dir.display()));
+            violations.truncate(12);
+            violations.push(format!("logs: {}", world.dir.display()));
         }
-        broken
+        violations
     }
 
-    async fn start(seed: u64, returns: bool) -> std::io::Result<World> {
+    async fn start(seed: u64, reuses_ids: bool) -> std::io::Result<World> {
         let dir = std::env::temp_dir().join(format!("martenscale-soak-{}-{seed}", std::process::id()));
         std::fs::create_dir_all(&dir)?;
         let setup = Setup { servers: SERVERS, key: KEY.to_owned(), slow_clocks: true, ..Setup::default() };
@@ -120,24 +122,24 @@
         Ok(World {
             oracle: Arc::clone(&platform.oracle),
             platform: Mutex::new(platform),
-            returns,
+            reuses_ids,
             fronts: boxes.iter().map(|a_box| a_box.front.addr).collect(),
             boxes: boxes.into_iter().map(Mutex::new).collect(),
             servers,
             ledger: Ledger::default(),
-            notes: StdMutex::new(std::fs::File::create(dir.join("faults.log"))?),
+            event_log: StdMutex::new(std::fs::File::create(dir.join("faults.log"))?),
             dir,
             version: AtomicU64::new(1),
-            begun: Instant::now(),
+            started: Instant::now(),
             paused_until: (0..BOXES).map(|_| StdMutex::default()).collect(),
         })
     }
 
-    /// Writes down what happens, beside the boxes' logs.
-    pub(crate) fn note(&self, what: &str) {
-        let at = self.begun.elapsed().as_secs_f64();
-        let mut notes = self.notes.lock().expect("no holder panics");
-        writeln!(notes, "{at:.3} {what}").expect("the file can be written");
+    /// Logs an event of the run to a file beside the boxes' logs.
+    pub(crate) fn log_event(&self, what: &str) {
+        let at = self.started.elapsed().as_secs_f64();
+        let mut event_log = self.event_log.lock().expect("no holder panics");
+        writeln!(event_log, "{at:.3} {what}").expect("the file is writable");
     }
 
     pub(crate) fn any_front(&self, rng: &mut Rng) -> SocketAddr {
@@ -149,39 +151,39 @@
         self.platform.lock().await.configure(version);
     }
 
-    /// A box that was paused after it was told to end may end late.
-    pub(crate) fn may_be_late(&self, i: usize, told: Instant) -> bool {
-        self.paused_until[i].lock().expect("no holder panics").is_some_and(|until| until > told)
+    /// Returns whether a box may end late, as it was paused after it had received SIGTERM at `terminated_at`.
+    pub(crate) fn may_be_late(&self, i: usize, terminated_at: Instant) -> bool {
+        self.paused_until[i].lock().expect("no holder panics").is_some_and(|until| until > terminated_at)
     }
 
-    /// A box stands still up to then.
-    pub(crate) fn note_pause(&self, i: usize, until: Instant) {
+    /// Records that a box is paused until then.
+    pub(crate) fn record_pause(&self, i: usize, until: Instant) {
         *self.paused_until[i].lock().expect("no holder panics") = Some(until);
     }
 
-    /// Ends every fault.
-    async fn heal(&self) {
-        self.note("everything is well again");
+    /// Ends all faults, and resumes or restarts all boxes.
+    async fn end_faults(&self) {
+        self.log_event("all faults are over");
         for proxy in &self.servers {
-            proxy.set(Mode::Open);
+            proxy.set_mode(Mode::Open);
         }
         for a_box in &self.boxes {
             let mut a_box = a_box.lock().await;
-            a_box.front.set(Mode::Open);
-            a_box.store.set(Mode::Open);
+            a_box.front.set_mode(Mode::Open);
+            a_box.store.set_mode(Mode::Open);
             a_box.resume();
             a_box.start(&self.dir);
         }
     }
 
-    /// Every box leaves in order.
-    async fn leave(&self) {
-        let mut told = Vec::new();
+    /// Terminates all boxes and checks that each ends in order.
+    async fn terminate_boxes(&self) {
+        let mut terminations = Vec::new();
         for a_box in &self.boxes {
-            told.push(a_box.lock().await.tell_to_end());
+            terminations.push(a_box.lock().await.terminate());
         }
-        for (a_box, told) in self.boxes.iter().zip(told) {
-            if let Err(what) = left_in_order(a_box, told).await {
+        for (a_box, termination) in self.boxes.iter().zip(terminations) {
+            if let Err(what) = wait_terminated(a_box, termination).await {
                 self.oracle.report_violation(what);
             }
         }
