--- a/crates/martend/examples/cost.rs
+++ b/crates/martend/examples/cost.rs
@@ -1,7 +1,7 @@
-//! What a daemon costs while jobs run: processor time and memory, by number of workers.
+//! Measures CPU time and memory of a daemon while jobs run, by number of workers.
 //!
-//! Starts stand-ins in this process and one `martend` beside it for each size, gives it 14 running
-//! tasks a worker, and reads what the system says of the process (proc(5): `stat`, `status`).
+//! For each size, starts stand-ins in this process and one `martend` process, runs 14 tasks per worker, and reads the
+//! statistics of the process (proc(5): `stat`, `status`).
 //! Build first: `cargo build --release`, then `cargo run --release --example cost`.
 
 use std::{
@@ -19,22 +19,22 @@
 use outside::SystemClock;
 use standins::{BackendHandle, Checkpoints, LeaseTable, PlatformHandle, Work, serve_backend, serve_platform};
 
-/// Workers of one availability zone; 143 is the size to design for.
+/// Numbers of workers in one availability zone; 143 is the design target.
 const SIZES: [usize; 3] = [18, 72, 143];
-/// Gangs of seven tasks on each worker.
-const GANGS: usize = 2;
-/// Time after the last start until measuring begins.
-const SETTLE: Duration = Duration::from_secs(3);
-/// Length of the measurement; longer than the time between renewals.
-const MEASURE: Duration = Duration::from_secs(32);
+/// Number of gangs of seven tasks per worker.
+const GANGS_PER_WORKER: usize = 2;
+/// Time between the last start and the measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Duration of the measurement, longer than the interval between lease renewals.
+const MEASURE_TIME: Duration = Duration::from_secs(32);
 
 type Error = Box<dyn std::error::Error>;
 
-struct Stopped(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Stopped {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -51,23 +51,23 @@
     let (file, servers) = start_servers(workers).await?;
     let (child, callers) = start_daemon(&platform)?;
     let pid = child.id();
-    let _stopped = Stopped(child);
+    let _kill = KillOnDrop(child);
     let client = Client::default();
     let body = serde_json::json!({ "apply": "cost-1", "base": 0, "file": file }).to_string();
     client.call(callers, Method::PUT, "/v1/configuration", body.into(), Duration::from_secs(20)).await?;
     smol::Timer::after(Duration::from_secs(2)).await;
-    for n in 0..workers * GANGS {
+    for n in 0..workers * GANGS_PER_WORKER {
         let body = serde_json::to_vec(&job(n))?;
         client.call(callers, Method::POST, "/v1/jobs", body.into(), Duration::from_secs(20)).await?;
     }
-    while running(&servers) < workers * GANGS {
+    while running(&servers) < workers * GANGS_PER_WORKER {
         smol::Timer::after(Duration::from_millis(200)).await;
     }
-    smol::Timer::after(SETTLE).await;
+    smol::Timer::after(SETTLE_TIME).await;
     let cpu = cpu_seconds(pid)?;
-    smol::Timer::after(MEASURE).await;
-    let cpu = (cpu_seconds(pid)? - cpu) / MEASURE.as_secs_f64() * 100.0;
-    println!("| {workers} | {} | {cpu:.2} | {} |", workers * GANGS * 7, resident_kb(pid)?);
+    smol::Timer::after(MEASURE_TIME).await;
+    let cpu = (cpu_seconds(pid)? - cpu) / MEASURE_TIME.as_secs_f64() * 100.0;
+    println!("| {workers} | {} | {cpu:.2} | {} |", workers * GANGS_PER_WORKER * 7, resident_kb(pid)?);
     Ok(())
 }
 
@@ -138,7 +138,7 @@
     }
 }
 
-/// User and system time; the fields are in hundredths of a second on Linux.
+/// Returns user and system time of a process, in seconds. Linux reports both in hundredths of a second.
 fn cpu_seconds(pid: u32) -> Result<f64, Error> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
--- a/crates/martend/examples/quickstart/load.rs
+++ b/crates/martend/examples/quickstart/load.rs
@@ -1,4 +1,4 @@
-//! Callers: labelling requests, transcription gangs and archive batches, from all customers at once.
+//! Callers of all customers, with labelling requests, transcription gangs and archive batches.
 
 use std::{
     net::SocketAddr,
@@ -13,53 +13,53 @@
 
 use crate::world::World;
 
-/// Fixed, so that every run asks for the same jobs.
+/// Seed of the load, fixed so that every run submits the same jobs.
 const SEED: u64 = 20_261_202;
-/// Jobs handed in.
+/// Number of submitted jobs.
 const JOBS: usize = 420;
-/// A caller gives up after this.
-const PATIENCE: Duration = Duration::from_secs(35);
+/// Timeout of a caller.
+const CALLER_TIMEOUT: Duration = Duration::from_secs(35);
 
-/// What became of one job.
+/// Result of one job.
 pub(crate) struct Done {
     pub(crate) spec: JobSpec,
-    /// `None` if the caller gave up.
+    /// Outcome of the job; `None` if the caller timed out.
     pub(crate) outcome: Option<Outcome>,
     pub(crate) took: Duration,
 }
 
-/// The load and what has come of it.
+/// The callers and the results so far.
 pub(crate) struct Load {
-    began: Instant,
+    started: Instant,
     done: Arc<Mutex<Vec<Done>>>,
     _callers: Vec<Task<()>>,
 }
 
 impl Load {
-    /// Hands jobs in over `time`, in bursts.
-    pub(crate) fn begin(world: &World, time: Duration) -> Load {
+    /// Starts callers that submit all jobs within `time`, half of them in bursts.
+    pub(crate) fn start(world: &World, time: Duration) -> Load {
         let mut rng = Rng::with_seed(SEED);
         let done = Arc::new(Mutex::new(Vec::new()));
-        let began = Instant::now();
+        let started = Instant::now();
         let callers = (0..JOBS).map(|n| {
             let spec = job(&mut rng, n);
-            // Half of the jobs come in four bursts, the other half evenly.
+            // Half of the jobs arrive in four bursts, the other half evenly.
             let at = if n % 2 == 0 { time.mul_f64(rng.f64()) } else { time.mul_f64(rng.u8(0..4) as f64 / 4.0) };
             let mut boxes: Vec<SocketAddr> = world.caller_addresses();
             rng.shuffle(&mut boxes);
             let done = Arc::clone(&done);
             smol::spawn(async move {
-                smol::Timer::at(began + at).await;
+                smol::Timer::at(started + at).await;
                 let sent = Instant::now();
-                let outcome = test_utils::run_job(&spec, &boxes, PATIENCE).await;
+                let outcome = test_utils::run_job(&spec, &boxes, CALLER_TIMEOUT).await;
                 done.lock().expect("no holder panics").push(Done { spec, outcome, took: sent.elapsed() });
             })
         });
-        Load { began, done: Arc::clone(&done), _callers: callers.collect() }
+        Load { started, done: Arc::clone(&done), _callers: callers.collect() }
     }
 
     pub(crate) fn elapsed(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
     pub(crate) fn is_over(&self, limit: Duration) -> bool {
@@ -82,7 +82,7 @@
     }
 }
 
-/// A job of one of the three classes; run times are 1000 times shorter than in earnest.
+/// Draws a job of one of the three classes, with run times 1000 times shorter than in production.
 fn job(rng: &mut Rng, n: usize) -> JobSpec {
     let (class, tasks, run_ms) = match rng.u8(0..10) {
         0..=5 => ("labelling", 1, rng.u64(100..400)),
@@ -91,7 +91,7 @@
     };
     let customers = ["federal-court", "regional-council", "university-senate", "city-court"];
     let customer = customers[rng.usize(0..customers.len())];
-    // Declared times are off by up to ten times either way.
+    // Declared times differ from run times by a factor of up to ten in either direction.
     let declared = (run_ms as f64 * 10f64.powf(rng.f64() * 2.0 - 1.0)).max(1.0) as u64;
     let work = Work { run_ms, fail: None, answer_bytes: rng.usize(10..2000) };
     let within = if tasks == 1 { Within::Worker } else { Within::Rack };
--- a/crates/martend/examples/quickstart/main.rs
+++ b/crates/martend/examples/quickstart/main.rs
@@ -1,8 +1,8 @@
-//! The main job in one process on loopback: a platform and 50 backend servers as stand-ins, six
-//! entry boxes in three availability zones, Tsehay's example file applied through the real
-//! interface, a mixed load, one box ended and one backend server broken on the way.
+//! A demonstration in one process on loopback: stand-ins for a platform and 50 backend servers, and six entry boxes in
+//! three availability zones. It applies the example file `tsehay.json` through the operators' API, runs a mixed load,
+//! ends one box and disconnects one backend server meanwhile.
 //!
-//! With `--stay` it goes on serving, for trying out the callers' interface.
+//! With `--stay` the boxes serve until Ctrl-C, for trying out the callers' API.
 
 mod load;
 mod report;
@@ -12,17 +12,17 @@
 
 use crate::{load::Load, world::World};
 
-/// How long the load goes on.
+/// Time over which jobs are submitted.
 const LOAD_TIME: Duration = Duration::from_secs(15);
-/// When one box is ended.
+/// Time after which one box is ended.
 const END_BOX_AFTER: Duration = Duration::from_secs(5);
-/// When one backend server stops answering.
-const BREAK_SERVER_AFTER: Duration = Duration::from_secs(7);
-/// When it answers again, so that what it had begun can be settled.
-const MEND_SERVER_AFTER: Duration = Duration::from_secs(13);
-/// Fragmentation is looked at this often.
-const SAMPLE_EVERY: Duration = Duration::from_millis(100);
-/// Longest wait for the last jobs.
+/// Time after which one backend server is disconnected.
+const DISCONNECT_SERVER_AFTER: Duration = Duration::from_secs(7);
+/// Time after which it is reconnected, so that its runs can be resolved.
+const RECONNECT_SERVER_AFTER: Duration = Duration::from_secs(13);
+/// Interval between samples of fragmentation.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
+/// Longest wait for the last jobs after the load.
 const DRAIN_TIME: Duration = Duration::from_secs(25);
 
 fn main() -> ExitCode {
@@ -50,24 +50,26 @@
     if stay {
         return stay_up(&world).await;
     }
-    let load = Load::begin(&world, LOAD_TIME);
+    let load = Load::start(&world, LOAD_TIME);
     let mut faults = vec![
         (END_BOX_AFTER, Fault::EndBox),
-        (BREAK_SERVER_AFTER, Fault::BreakServer),
-        (MEND_SERVER_AFTER, Fault::MendServer),
+        (DISCONNECT_SERVER_AFTER, Fault::DisconnectServer),
+        (RECONNECT_SERVER_AFTER, Fault::ReconnectServer),
     ];
     let mut fragmentation = Vec::new();
     while !load.is_over(LOAD_TIME + DRAIN_TIME) {
         for _ in 0..10 {
-            smol::Timer::after(SAMPLE_EVERY).await;
+            smol::Timer::after(SAMPLE_INTERVAL).await;
             fragmentation.push(world.fragmentation());
         }
         let at = load.elapsed();
         while faults.first().is_some_and(|(when, _)| at >= *when) {
             match faults.remove(0).1 {
                 Fault::EndBox => println!("      box {} ends without notice", world.end_one_box()),
-                Fault::BreakServer => println!("      backend server {} stops answering", world.break_one_server()),
-                Fault::MendServer => println!("      backend server {} answers again", world.mend_server()),
+                Fault::DisconnectServer => {
+                    println!("      backend server {} stops answering", world.disconnect_one_server())
+                }
+                Fault::ReconnectServer => println!("      backend server {} answers again", world.reconnect_server()),
             }
         }
         println!("{:4.0}s {}", at.as_secs_f64(), load.progress());
@@ -77,8 +79,8 @@
 
 enum Fault {
     EndBox,
-    BreakServer,
-    MendServer,
+    DisconnectServer,
+    ReconnectServer,
 }
 
 async fn stay_up(world: &World) -> Result<usize, Box<dyn std::error::Error>> {
--- a/crates/martend/examples/quickstart/report.rs
+++ b/crates/martend/examples/quickstart/report.rs
@@ -1,4 +1,4 @@
-//! The table at the end, and the count of broken invariants.
+//! The final report, with the number of violated invariants.
 
 use std::collections::BTreeMap;
 
@@ -12,10 +12,11 @@
     world::{LEASE_MS, World},
 };
 
-/// Allowed on top of a lease for the rest of a gang whose member was lost: a stop has to arrive.
+/// Time beyond a lease for which the rest of a gang may run after the loss of a member, in milliseconds: stop orders
+/// take time to arrive.
 const SLACK_MS: u64 = 2000;
 
-/// Prints the report; gives the number of broken invariants.
+/// Prints the report and returns the number of violated invariants.
 pub(crate) fn print(world: &World, load: &Load, fragmentation: &[f64]) -> usize {
     let done = load.take();
     print_outcomes(&done);
@@ -27,8 +28,8 @@
     for (id, handle) in &world.servers {
         oracle.saw_runs(id, &handle.table().runs);
     }
-    for it in done.iter().filter_map(Done::as_final) {
-        oracle.saw_final(it);
+    for last in done.iter().filter_map(Done::as_final) {
+        oracle.saw_final(last);
     }
     let remainder = Duration::from_millis(LEASE_MS + SLACK_MS);
     let violations = oracle.check(remainder, world.clock.now());
@@ -41,8 +42,8 @@
 
 fn print_outcomes(done: &[Done]) {
     let mut outcomes: BTreeMap<&str, usize> = BTreeMap::new();
-    for it in done {
-        let name = it.outcome.as_ref().map_or("caller gave up", model::Outcome::name);
+    for job in done {
+        let name = job.outcome.as_ref().map_or("caller gave up", model::Outcome::name);
         *outcomes.entry(name).or_default() += 1;
     }
     println!("\njobs by outcome:");
@@ -53,10 +54,10 @@
 
 fn print_times(done: &[Done]) {
     let mut by_class: BTreeMap<(String, String), Histogram<u64>> = BTreeMap::new();
-    for it in done.iter().filter(|it| matches!(it.outcome, Some(model::Outcome::Done { .. }))) {
-        let key = (it.spec.customer.to_string(), it.spec.class.to_string());
+    for job in done.iter().filter(|job| matches!(job.outcome, Some(model::Outcome::Done { .. }))) {
+        let key = (job.spec.customer.to_string(), job.spec.class.to_string());
         let histogram = by_class.entry(key).or_insert_with(|| Histogram::new(3).expect("3 digits are allowed"));
-        histogram.record(it.took.as_millis() as u64).expect("the histogram grows");
+        histogram.record(job.took.as_millis() as u64).expect("the histogram grows");
     }
     println!("\ncompletion time of jobs that were done, in seconds:");
     println!("  {:20} {:14} {:>5} {:>7} {:>7} {:>7}", "customer", "class", "jobs", "p50", "p95", "p99");
--- a/crates/martend/examples/quickstart/world.rs
+++ b/crates/martend/examples/quickstart/world.rs
@@ -17,29 +17,29 @@
 use smol::net::TcpListener;
 use standins::{BackendHandle, Checkpoints, LeaseTable, PlatformHandle, serve_backend, serve_platform};
 
-/// Boxes in each availability zone.
+/// Number of boxes in each availability zone.
 const BOXES_PER_ZONE: usize = 2;
-/// A lease lapses after this; short, as the whole show takes less than a minute.
+/// Duration of a lease, in milliseconds; short, as a run takes less than a minute.
 pub(crate) const LEASE_MS: u64 = 3000;
 
-/// Tasks of the gang by which fragmentation is told.
+/// Number of tasks of the gang that measures fragmentation.
 const LARGE_GANG: u32 = 16;
 
 type Error = Box<dyn std::error::Error>;
 
-/// A box of the quickstart.
+/// A box in this process.
 pub(crate) struct RunningBox {
     pub(crate) name: String,
     pub(crate) callers: SocketAddr,
     daemon: Option<Daemon>,
 }
 
-/// Everything that runs.
+/// The boxes and stand-ins of a run.
 pub(crate) struct World {
     pub(crate) file: OperatorFile,
     pub(crate) boxes: Vec<RunningBox>,
     pub(crate) servers: Vec<(BackendServerId, BackendHandle)>,
-    pub(crate) broken: Mutex<Vec<BackendServerId>>,
+    pub(crate) disconnected: Mutex<Vec<BackendServerId>>,
     pub(crate) platform: PlatformHandle,
     pub(crate) clock: Arc<SystemClock>,
 }
@@ -66,10 +66,10 @@
             servers.push((entry.id.clone(), handle));
         }
         let boxes = start_boxes(&file, &platform).await?;
-        Ok(World { file, boxes, servers, broken: Mutex::default(), platform, clock })
+        Ok(World { file, boxes, servers, disconnected: Mutex::default(), platform, clock })
     }
 
-    /// Applies the file through the first box and waits until it is in force everywhere.
+    /// Applies the file through the first box and waits until it is in force at all boxes.
     pub(crate) async fn apply(&self) -> Result<Revision, Error> {
         let client = Client::default();
         let body = serde_json::json!({ "apply": "quickstart-1", "base": 0, "file": self.file }).to_string();
@@ -107,14 +107,14 @@
         self.boxes.iter().map(|it| it.callers).collect()
     }
 
-    /// Ends the planner of the first availability zone without notice.
+    /// Ends the box that plans for the first availability zone, without draining it.
     pub(crate) fn end_one_box(&mut self) -> String {
         let it = &mut self.boxes[0];
         it.daemon = None;
         it.name.clone()
     }
 
-    /// The part of all accelerators that is free in racks with too few for a gang of 16.
+    /// Returns the share of accelerators that are free in racks with too few of them for a gang of 16.
     pub(crate) fn fragmentation(&self) -> f64 {
         let mut free: BTreeMap<(&AvailabilityZoneId, &RackId), u32> = BTreeMap::new();
         for (id, handle) in &self.servers {
@@ -126,22 +126,22 @@
         f64::from(useless) / f64::from(all)
     }
 
-    /// Lets the backend server that was cut off answer again.
-    pub(crate) fn mend_server(&self) -> String {
-        let broken = self.broken.lock().expect("no holder panics").pop();
-        let server = self.servers.iter().find(|(id, _)| Some(id) == broken.as_ref());
+    /// Reconnects the backend server that was disconnected.
+    pub(crate) fn reconnect_server(&self) -> String {
+        let disconnected = self.disconnected.lock().expect("no holder panics").pop();
+        let server = self.servers.iter().find(|(id, _)| Some(id) == disconnected.as_ref());
         if let Some((_, handle)) = server {
             handle.faults.set_down(false);
         }
-        broken.map(|id| id.to_string()).unwrap_or_default()
+        disconnected.map(|id| id.to_string()).unwrap_or_default()
     }
 
-    /// Cuts off a backend server that is running something, if one is.
-    pub(crate) fn break_one_server(&self) -> String {
+    /// Disconnects a backend server, one with running tasks if there is one.
+    pub(crate) fn disconnect_one_server(&self) -> String {
         let busy = self.servers.iter().find(|(_, handle)| handle.table().free().accelerators < 4);
         let (id, handle) = busy.unwrap_or(&self.servers[3]);
         handle.faults.set_down(true);
-        self.broken.lock().expect("no holder panics").push(id.clone());
+        self.disconnected.lock().expect("no holder panics").push(id.clone());
         id.to_string()
     }
 }
--- a/crates/martend/examples/recovery.rs
+++ b/crates/martend/examples/recovery.rs
@@ -1,8 +1,8 @@
-//! Measures what a new scheduler reads before it begins, against jobs that are open and jobs that have ended:
+//! Measures what a new scheduler reads before it schedules, by number of open and ended jobs:
 //!
 //!     cargo build --release && cargo run --release --example recovery
 //!
-//! A box accepts jobs on a platform of its own and ends; another, behind a link of 10 Mbit/s, takes over.
+//! A box accepts jobs on a platform stand-in and is killed; another box, behind a link of 10 Mbit/s, takes over.
 
 use std::{
     net::SocketAddr,
@@ -16,13 +16,13 @@
 use users_platform_standin::{Caller, Padding, Platform, Setup, SlowLink, Work, free_addrs};
 
 const KEY: &str = "key-1";
-/// 10 Mbit/s, as the users' small boxes have.
+/// Bandwidth of the link: 10 Mbit/s, as small boxes of the platform have.
 const BYTES_PER_SECOND: usize = 1_250_000;
-/// Of a job's text: what the users' urgent jobs have on average.
-const TEXT: usize = 2400;
+/// Size of a job's text, in bytes: the average of the platform's urgent jobs.
+const TEXT_BYTES: usize = 2400;
 const WORK: Work = Work { tasks: 2, accelerators: 1, work_ms: 5, gang: false };
-/// Items in a page of the users' store.
-const PAGE: usize = 500;
+/// Items in a page of the platform's store.
+const PAGE_ITEMS: usize = 500;
 
 struct BoxProcess {
     child: Child,
@@ -32,7 +32,7 @@
 
 impl Drop for BoxProcess {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -49,8 +49,8 @@
     BoxProcess { child: child.expect("martend is built: cargo build --release"), log, callers: addrs[0] }
 }
 
-/// The first line of a box's log that holds `event`.
-async fn line(a_box: &BoxProcess, event: &str) -> String {
+/// Waits for the first line of a box's log that contains `event`.
+async fn wait_for_line(a_box: &BoxProcess, event: &str) -> String {
     loop {
         let log = std::fs::read_to_string(&a_box.log).unwrap_or_default();
         if let Some(line) = log.lines().find(|line| line.contains(event)) {
@@ -66,7 +66,7 @@
 }
 
 async fn submit(caller: &Caller, a_box: &BoxProcess, id: u64) {
-    let padding = Padding { text: TEXT, body: 0 };
+    let padding = Padding { text: TEXT_BYTES, body: 0 };
     loop {
         let answer = caller.submit_padded(a_box.callers, JobId(id), WORK, padding).await;
         if answer.is_ok_and(|answer| answer.status == StatusCode::OK) {
@@ -77,8 +77,8 @@
 }
 
 async fn measure(open: u64, ended: u64) {
-    let setup = Setup { servers: 8, key: KEY.to_owned(), page: PAGE, ..Setup::default() };
-    let mut platform = Platform::start(&setup).await.expect("loopback can be used");
+    let setup = Setup { servers: 8, key: KEY.to_owned(), page: PAGE_ITEMS, ..Setup::default() };
+    let mut platform = Platform::start(&setup).await.expect("loopback is available");
     let caller = Caller::new(KEY, platform.oracle.clone());
     let first = start(&platform, &format!("first-{open}-{ended}"), platform.store_addr);
     for id in 0..ended {
@@ -94,10 +94,10 @@
         submit(&caller, &first, 1_000_000 + id).await;
     }
     drop(first);
-    let link = SlowLink::start(platform.store_addr, BYTES_PER_SECOND).await.expect("loopback can be used");
+    let link = SlowLink::start(platform.store_addr, BYTES_PER_SECOND).await.expect("loopback is available");
     let next = start(&platform, &format!("next-{open}-{ended}"), link.addr);
-    let restored = line(&next, "event=restored").await;
-    let records = line(&next, "event=records_read").await;
+    let restored = wait_for_line(&next, "event=restored").await;
+    let records = wait_for_line(&next, "event=records_read").await;
     println!(
         "| {open} | {ended} | {} | {} | {} | {} |",
         field(&restored, "pages"),
