--- a/crates/marten/src/options.rs
+++ b/crates/marten/src/options.rs
@@ -11,20 +11,20 @@
 const USAGE: &str = "usage: marten COMMAND [ARGUMENTS] [OPTIONS]
 
 commands:
-  check FILE              check an operators' file without asking any box
+  check FILE              check an operators' file without contacting a box
   diff FILE               show how FILE differs from the configuration in force
   apply FILE              put FILE in force as a whole
-  status                  show boxes, backend servers, revisions and who lags
-  submit FILE             hand in the job that FILE describes, and wait for its end
-  wait CUSTOMER REQUEST   wait for the end of a job
-  cancel CUSTOMER REQUEST take a job back
-  evacuate ZONE           let nothing more start in an availability zone; --take-back ends that, --follow waits until
+  status                  show boxes, backend servers and the revisions that they have
+  submit FILE             submit the job that FILE describes, and wait until it has ended
+  wait CUSTOMER REQUEST   wait until a job has ended
+  cancel CUSTOMER REQUEST cancel a job
+  evacuate ZONE           start nothing more in an availability zone; --take-back ends that, --follow waits until
                           nothing runs there; --box names boxes' operators' addresses (metrics_address)
-  explain JOB [LOG...]    tell a job's life from boxes' logs, or from standard input
-  drain FILE SERVER       write into FILE that the backend server SERVER takes no new work
+  explain JOB [LOG...]    show the history of a job from boxes' logs, or from standard input
+  drain FILE SERVER       mark the backend server SERVER in FILE as draining
 
-exit codes: 0 done; 2 wrong command line; 3 refused, nothing changed; 4 another change came first;
-  5 no answer, ask again; 6 the job ended other than done; 7 the job is not over yet";
+exit codes: 0 done; 2 invalid command line; 3 refused, nothing changed; 4 another change was applied first;
+  5 no response, retry; 6 the job ended without success; 7 the job has not ended yet";
 
 /// Format of results on standard output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     opts.optopt("o", "output", "table (the default) or json", "FORM");
     opts.optopt("", "from", "apply: the revision that FILE was edited from; by default the one in force", "REVISION");
     opts.optopt("t", "timeout", "longest time to wait for a job, in seconds (600)", "SECONDS");
-    opts.optflag("", "detach", "submit: return as soon as the job is kept by the platform");
+    opts.optflag("", "detach", "submit: return as soon as the platform's store has the job");
     opts.optflag("", "take-back", "evacuate: work may start there again");
     opts.optflag("", "follow", "evacuate: show what still runs there until nothing does");
     opts.optopt("", "log", "error, warn (the default), info, debug or trace", "LEVEL");
