--- a/crates/marten/src/commands.rs
+++ b/crates/marten/src/commands.rs
@@ -48,7 +48,7 @@
 fn check(path: &str) -> Result<(), Failure> {
     let file = read_operator_file(path)?;
     let guarantees: u32 = file.customers.values().flat_map(|c| &c.guarantees).map(|g| g.gangs).sum();
-    say!(
+    print_line!(
         "{path}: {} customers, {} classes, {} backend servers; all {guarantees} guaranteed gangs have a place",
         file.customers.len(),
         file.classes.len(),
@@ -149,6 +149,6 @@
     policy::check_guarantees(&file).map_err(|e| Failure::Refused { why: format!("without {id}: {e}") })?;
     let text = serde_json::to_string_pretty(&file).expect("our own types always serialize");
     std::fs::write(path, text + "\n").map_err(|e| Failure::Refused { why: format!("{path}: {e}") })?;
-    say!("{path}: {id} is marked as draining; apply the file for this to take effect");
+    print_line!("{path}: {id} is marked as draining; apply the file for this to take effect");
     Ok(())
 }
--- a/crates/marten/src/evacuate.rs
+++ b/crates/marten/src/evacuate.rs
@@ -75,14 +75,14 @@
 
 fn show(format: Format, zone: &AvailabilityZoneId, reply: &Value) {
     if format == Format::Json {
-        say!("{reply}");
+        print_line!("{reply}");
         return;
     }
     let Some(evacuation) = find_evacuation(reply, zone) else {
-        say!("{zone} takes work");
+        print_line!("{zone} takes work");
         return;
     };
-    say!(
+    print_line!(
         "{zone} is evacuated (asked for by {}); {} tasks run there, the last ends in {:.1} s",
         evacuation.by.join(" and "),
         evacuation.running_tasks,
@@ -90,6 +90,6 @@
     );
     let missing = evacuation.guaranteed.saturating_sub(evacuation.accelerators_elsewhere);
     if missing > 0 {
-        say!("GUARANTEES cannot all be kept meanwhile: {missing} accelerators are missing");
+        print_line!("GUARANTEES cannot all be kept meanwhile: {missing} accelerators are missing");
     }
 }
--- a/crates/marten/src/explain.rs
+++ b/crates/marten/src/explain.rs
@@ -27,7 +27,7 @@
         return Err(Failure::Refused { why: format!("no line is about job {job}") });
     }
     for line in lines {
-        say!("{line}");
+        print_line!("{line}");
     }
     Ok(())
 }
@@ -58,10 +58,10 @@
     let last = lines.iter().rposition(is_about_job).unwrap_or(first);
     // The last election before the job's first line shows which box scheduled at that time.
     let from = lines[..first].iter().rposition(|line| line.text.contains("event=elected")).unwrap_or(first);
-    let begin = lines[first].at_ms;
+    let first_ms = lines[first].at_ms;
     lines[from..=last]
         .iter()
-        .map(|line| format!("{:+9.3}s {}", (line.at_ms as f64 - begin as f64) / 1000.0, line.text.trim()))
+        .map(|line| format!("{:+9.3}s {}", (line.at_ms as f64 - first_ms as f64) / 1000.0, line.text.trim()))
         .collect()
 }
 
--- a/crates/marten/src/main.rs
+++ b/crates/marten/src/main.rs
@@ -1,7 +1,7 @@
 //! `marten`: the command line of operators and callers. `marten --help` lists the commands.
 
 /// Writes a line to standard output. Ignores errors, as a reader such as `head` may close the pipe early.
-macro_rules! say {
+macro_rules! print_line {
     ($($text:tt)*) => {{
         use std::io::Write as _;
         let _ = writeln!(std::io::stdout(), $($text)*);
--- a/crates/marten/src/output.rs
+++ b/crates/marten/src/output.rs
@@ -7,19 +7,19 @@
 
 pub(crate) fn applied(format: Format, revision: Revision) {
     match format {
-        Format::Table => say!("accepted as revision {revision}"),
-        Format::Json => say!("{}", json!({ "status": "accepted", "revision": revision })),
+        Format::Table => print_line!("accepted as revision {revision}"),
+        Format::Json => print_line!("{}", json!({ "status": "accepted", "revision": revision })),
     }
 }
 
 pub(crate) fn differences(format: Format, revision: Revision, lines: &[String]) {
     match format {
-        Format::Json => say!("{}", json!({ "revision": revision, "differences": lines })),
-        Format::Table if lines.is_empty() => say!("the same as revision {revision}, which is in force"),
+        Format::Json => print_line!("{}", json!({ "revision": revision, "differences": lines })),
+        Format::Table if lines.is_empty() => print_line!("the same as revision {revision}, which is in force"),
         Format::Table => {
-            say!("against revision {revision}, which is in force:");
+            print_line!("against revision {revision}, which is in force:");
             for line in lines {
-                say!("  {line}");
+                print_line!("  {line}");
             }
         }
     }
@@ -27,21 +27,21 @@
 
 pub(crate) fn job(format: Format, answer: &Value) {
     match format {
-        Format::Json => say!("{answer}"),
+        Format::Json => print_line!("{answer}"),
         Format::Table => match answer.pointer("/outcome/answer").and_then(Value::as_str) {
-            Some(text) => say!("{text}"),
-            None => say!("{answer}"),
+            Some(text) => print_line!("{text}"),
+            None => print_line!("{answer}"),
         },
     }
 }
 
 pub(crate) fn status(format: Format, report: &Value) {
     if format == Format::Json {
-        say!("{report}");
+        print_line!("{report}");
         return;
     }
     let text = |value: &Value, name: &str| value.get(name).map(to_plain_text).unwrap_or_default();
-    say!(
+    print_line!(
         "box {} in {}; revision {} in force, {} heard of; planner {}{}",
         text(report, "box_id"),
         text(report, "availability_zone"),
@@ -52,7 +52,7 @@
     );
     if let Some(Value::Object(jobs)) = report.get("jobs") {
         let counts: Vec<String> = jobs.iter().map(|(name, n)| format!("{name} {n}")).collect();
-        say!("jobs: {}", counts.join(", "));
+        print_line!("jobs: {}", counts.join(", "));
     }
     table("boxes", report.get("boxes"), &["id", "live", "leaving", "returns"]);
     table("backend servers", report.get("backend_servers"), &["id", "open", "revision", "leases", "held", "why"]);
@@ -60,7 +60,7 @@
 
 fn table(title: &str, rows: Option<&Value>, columns: &[&str]) {
     let Some(Value::Array(rows)) = rows else { return };
-    say!("\n{title}:");
+    print_line!("\n{title}:");
     let cells: Vec<Vec<String>> = rows
         .iter()
         .map(|row| columns.iter().map(|c| row.get(c).map(to_plain_text).unwrap_or_default()).collect())
@@ -68,7 +68,7 @@
     let width = |i: usize| cells.iter().map(|row| row[i].len()).chain([columns[i].len()]).max().unwrap_or(0);
     let line = |row: &[String]| {
         let padded: Vec<String> = row.iter().enumerate().map(|(i, cell)| format!("{cell:<w$}", w = width(i))).collect();
-        say!("  {}", padded.join("  ").trim_end());
+        print_line!("  {}", padded.join("  ").trim_end());
     };
     line(&columns.iter().map(|c| (*c).to_owned()).collect::<Vec<_>>());
     for row in &cells {
