--- a/crates/martend/tests/processes.rs
+++ b/crates/martend/tests/processes.rs
@@ -243,6 +243,6 @@
         let done = check(&outside, callers).await;
         assert_eq!(done, JOBS, "a planned stop must not cost a single answer");
         let status = smol::unblock(move || daemons[0].child.wait()).await.expect("the daemon ends");
-        assert!(status.success(), "the daemon left with {status}");
+        assert!(status.success(), "the daemon ended with {status}");
     });
 }
--- a/crates/martend/tests/recovery.rs
+++ b/crates/martend/tests/recovery.rs
@@ -145,10 +145,10 @@
         let refused = world.caller.submit(addrs[0], JobId(2), SMALL).await.expect("the box responds");
         assert_eq!(refused.status, StatusCode::SERVICE_UNAVAILABLE);
         link.set_silent(false);
-        let back = std::time::Instant::now();
+        let recovered = std::time::Instant::now();
         world.submit(JobId(3), SMALL).await;
         world.until_succeeded(0, 3..=3, 1).await;
-        let took = back.elapsed();
+        let took = recovered.elapsed();
         // Requests would wait 2.6 s more if calls from before the outage were not abandoned.
         assert!(took < Duration::from_millis(1500), "{took:?}");
         assert_eq!(world.platform.oracle.violations(), Vec::<String>::new());
@@ -165,7 +165,7 @@
         let addrs = free_addrs();
         world.boxes.push(start_box_with("box-0", addrs, world.platform.settings("box-0", &addrs, &[])));
         let platform = &world.platform;
-        let left = || platform.keys("marten/progress/");
-        until("progress without a job is removed", || async { left() == ["marten/progress/0000000000000007.0"] }).await;
+        let keys = || platform.keys("marten/progress/");
+        until("progress without a job is removed", || async { keys() == ["marten/progress/0000000000000007.0"] }).await;
     });
 }
--- a/crates/martend/tests/relay_boxes.rs
+++ b/crates/martend/tests/relay_boxes.rs
@@ -47,7 +47,7 @@
             world.boxes[i].child.kill().expect("the process can be killed");
         }
         world.platform.configure(3);
-        let left: Vec<usize> = all.into_iter().filter(|i| !lost.contains(i)).collect();
-        until_in_force(&world, 3, &left).await;
+        let remaining: Vec<usize> = all.into_iter().filter(|i| !lost.contains(i)).collect();
+        until_in_force(&world, 3, &remaining).await;
     });
 }
--- a/crates/martend/tests/soak/checks.rs
+++ b/crates/martend/tests/soak/checks.rs
@@ -162,13 +162,13 @@
 
 /// Returns whether a job has ended in a state that its caller may expect.
 fn has_expected_state(entry: &Entry, status: StatusCode, state: &str) -> bool {
-    let gone = status == StatusCode::GONE;
+    let is_gone = status == StatusCode::GONE;
     match (entry.submission, entry.cancellation) {
         (Submission::Accepted(_), Cancellation::None) => state == "succeeded",
         (Submission::Accepted(_), Cancellation::Confirmed(_)) => state == "cancelled" || state == "succeeded",
         (Submission::Accepted(_), Cancellation::Requested) => state == "cancelled" || state == "succeeded",
-        (Submission::Refused, _) => gone || state == "cancelled",
-        (Submission::InDoubt | Submission::Pending, _) => gone || state == "cancelled" || state == "succeeded",
+        (Submission::Refused, _) => is_gone || state == "cancelled",
+        (Submission::InDoubt | Submission::Pending, _) => is_gone || state == "cancelled" || state == "succeeded",
     }
 }
 
--- a/crates/martend/tests/soak/main.rs
+++ b/crates/martend/tests/soak/main.rs
@@ -44,7 +44,7 @@
     let mut options = Options::new();
     options.optopt("", "seeds", "how many fresh seeds to run", "N");
     options.optopt("", "from", "the first of them (1)", "SEED");
-    options.optopt("", "seconds", "how long faults go on in each (15)", "S");
+    options.optopt("", "seconds", "duration of the faults of each (15)", "S");
     options.optmulti("", "skip", "pass over soak_seed_SEED; names of other tests are ignored", "NAME");
     options.optflag("h", "help", "print this");
     let usage = options.usage("usage: soak [--seeds N] [--from SEED] [--seconds S] [--skip NAME]...");
--- a/crates/martend/tests/suspended.rs
+++ b/crates/martend/tests/suspended.rs
@@ -99,14 +99,14 @@
 struct GatedMachines {
     machines: HttpMachines,
     gate: channel::Receiver<()>,
-    listed: AtomicUsize,
-    begun: AtomicUsize,
+    list_calls: AtomicUsize,
+    maintenance_calls: AtomicUsize,
 }
 
 impl Machines for GatedMachines {
     fn list(&self) -> BoxFuture<'_, Result<Vec<Machine>, NetError>> {
         Box::pin(async move {
-            self.listed.fetch_add(1, Ordering::SeqCst);
+            self.list_calls.fetch_add(1, Ordering::SeqCst);
             let _ = self.gate.recv().await;
             self.machines.list().await
         })
@@ -119,7 +119,7 @@
         holder: BoxId,
         fence: Fence,
     ) -> BoxFuture<'_, MaintenanceReply> {
-        self.begun.fetch_add(1, Ordering::SeqCst);
+        self.maintenance_calls.fetch_add(1, Ordering::SeqCst);
         self.machines.begin_maintenance(machine, wave, holder, fence)
     }
 }
@@ -191,17 +191,17 @@
         let machines = Arc::new(GatedMachines {
             machines: HttpMachines::new(Client::default(), world.platform.machines_addr),
             gate,
-            listed: AtomicUsize::new(0),
-            begun: AtomicUsize::new(0),
+            list_calls: AtomicUsize::new(0),
+            maintenance_calls: AtomicUsize::new(0),
         });
         let clock = Arc::new(JumpingClock::default());
         let services = OptionalServices { machines: Some(machines.clone()), ..OptionalServices::default() };
         let a_box = start_in_this_process(&world, Arc::new(Servers::default()), services, Arc::clone(&clock)).await;
-        until("the list of machines is requested", || async { machines.listed.load(Ordering::SeqCst) == 1 }).await;
+        until("the list of machines is requested", || async { machines.list_calls.load(Ordering::SeqCst) == 1 }).await;
         world.platform.set_store_down(true);
         clock.ahead_ms.store(SUSPENDED.millis(), Ordering::SeqCst);
         open.close();
         until("the box no longer schedules", || async { a_box.status().schedules_with_fence.is_none() }).await;
-        assert_eq!(machines.begun.load(Ordering::SeqCst), 0);
+        assert_eq!(machines.maintenance_calls.load(Ordering::SeqCst), 0);
     });
 }
