--- a/crates/martend/src/deployment/settings.rs
+++ b/crates/martend/src/deployment/settings.rs
@@ -67,7 +67,7 @@
     pub lease_ms: u64,
     /// Factor by which the run time of a task grows away from its data or spread over racks; at least 1.
     pub far_factor: f64,
-    /// Time between SIGTERM and the end of the process, in milliseconds, 1,000 to 600,000.
+    /// Longest time between SIGTERM and the end of the process, in milliseconds, 1,000 to 600,000.
     pub grace_ms: u64,
     /// Settings of the scheduler's mechanisms, for measuring the effect of each.
     #[serde(default, skip_serializing)]
@@ -96,7 +96,7 @@
     pub adviser_address: Option<SocketAddr>,
     /// Address of the service that lists machines and takes them for maintenance; `None` if there is none.
     pub machines_address: Option<SocketAddr>,
-    /// Time between SIGTERM and the end of the process.
+    /// Longest time between SIGTERM and the end of the process.
     pub grace: Duration,
     /// Most verbose level that is logged.
     pub log_level: log::LevelFilter,
--- a/crates/martend/tests/deployment.rs
+++ b/crates/martend/tests/deployment.rs
@@ -218,7 +218,7 @@
         until("the job runs", || async { world.platform.oracle.running_tasks(JobId(1)) == 3 }).await;
         let cancelled = world.caller.cancel(addr, JobId(1)).await.expect("the box responds");
         assert_eq!(cancelled.status, StatusCode::OK);
-        until("nothing of it runs", || async { world.platform.oracle.running_tasks(JobId(1)) == 0 }).await;
+        until("none of its tasks runs", || async { world.platform.oracle.running_tasks(JobId(1)) == 0 }).await;
         assert!(started.elapsed() < WITHOUT_WATCH_LIMIT, "it took {:?}", started.elapsed());
         world.platform.suppress_watch_events(false);
         world.submit(JobId(2), WORK).await;
--- a/crates/martend/tests/election.rs
+++ b/crates/martend/tests/election.rs
@@ -26,7 +26,7 @@
     platform.configure(1);
     let started = Instant::now();
     while platform.keys("marten/scheduler").is_empty() {
-        assert!(started.elapsed() < 50 * ELECTED_WITHIN, "it is never elected");
+        assert!(started.elapsed() < 50 * ELECTED_WITHIN, "the box is never elected");
         smol::Timer::after(Duration::from_millis(2)).await;
     }
     started.elapsed()
--- a/crates/martend/tests/memory.rs
+++ b/crates/martend/tests/memory.rs
@@ -14,7 +14,7 @@
 fn resident_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the process runs");
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).expect("the system reports it");
-    line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("it is a number")
+    line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).expect("the value is a number")
 }
 
 /// Returns the memory of a scheduling box, in KB, once this number of backend servers have responded.
--- a/crates/martend/tests/two_builds.rs
+++ b/crates/martend/tests/two_builds.rs
@@ -64,7 +64,7 @@
     let client = Client::default();
     let reply = client.call(world.boxes[i].addrs[3], method, path, Default::default(), TIMEOUT).await;
     let reply = reply.expect("the box responds");
-    (reply.status, reply.json().expect("it is JSON"))
+    (reply.status, reply.json().expect("the body is JSON"))
 }
 
 fn has_all_records(platform: &Platform) -> bool {
@@ -95,7 +95,7 @@
     // Emptying waits for the long task, so the maintenance is still open when the builds change.
     world.platform.request_maintenance(MAINTENANCE, 1);
     until("a machine is in maintenance", || async { !world.platform.keys("marten/wave/").is_empty() }).await;
-    let host = world.platform.oracle.running_on(JobId(4)).expect("it runs");
+    let host = world.platform.oracle.running_on(JobId(4)).expect("the task runs");
     let server = (0..SERVERS).find(|&i| world.platform.server(i).1 == host).expect("the platform has it");
     world.submit(JobId(5), GANG).await;
     world.platform.disconnect_server(server).await;
