--- a/crates/marten/src/client.rs
+++ b/crates/marten/src/client.rs
@@ -30,7 +30,7 @@
 
     /// Makes an idempotent call; `wait` is the longest time that the box may wait before it responds.
     ///
-    /// Returns [`Failure::Unavailable`] if no box responds in any round.
+    /// Returns [`Failure::Unavailable`] if no box answers in any round.
     pub(crate) async fn call(
         &self,
         method: Method,
@@ -53,7 +53,7 @@
             let pause = (PAUSE_MS << round) + fastrand::u64(0..PAUSE_MS);
             smol::Timer::after(Duration::from_millis(pause)).await;
         }
-        Err(Failure::Unavailable { why: format!("no box responds; last error: {last_error}") })
+        Err(Failure::Unavailable { why: format!("no box answers; last error: {last_error}") })
     }
 
     /// Makes a call that only the scheduling box can answer: tries each box until one does not redirect to another.
@@ -71,7 +71,7 @@
             }
             smol::Timer::after(Duration::from_millis(PAUSE_MS << round)).await;
         }
-        redirect.ok_or_else(|| Failure::Unavailable { why: "no box responds".to_owned() })
+        redirect.ok_or_else(|| Failure::Unavailable { why: "no box answers".to_owned() })
     }
 
     /// Gets a path and parses the body as JSON.
