--- a/xtask/src/tidy.rs
+++ b/xtask/src/tidy.rs
@@ -1,6 +1,6 @@
-//! Checks what the linter cannot: module docs, file sizes, fresh generated code, paths, words.
+//! Checks what the linter cannot: module docs, file sizes, fresh generated code, paths, words, names in docs.
 
-use std::{fs, path::Path, path::PathBuf};
+use std::{collections::BTreeSet, fs, path::Path, path::PathBuf};
 
 use crate::codegen::{self, root};
 
@@ -13,23 +13,60 @@
 /// Names for which the project has other words (docs/glossary.md).
 const WORDS: [&str; 6] =
     ["Tenan\u{74}", "tenant_i\u{64}", "ZoneI\u{64}(", "NodeI\u{64}", "struct Nod\u{65}", "struct Zon\u{65} "];
+/// Pages that may name files and types of earlier versions.
+const HISTORY: [&str; 3] = ["docs/incidents/", "docs/measurements.md", "docs/dev/renamed.md"];
 
 /// Runs every check.
 pub(crate) fn check() -> Result<String, String> {
     codegen::check()?;
     let mut problems = Vec::new();
-    let files = sources(&root());
-    for file in &files {
-        let text = fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-        let shown = file.strip_prefix(root()).unwrap_or(file).display().to_string();
-        check_file(&shown, &text, &mut problems);
+    let files = read_all(&sources(&root()))?;
+    for (shown, text) in &files {
+        check_file(shown, text, &mut problems);
     }
+    check_docs(&files, &mut problems);
     if problems.is_empty() {
         return Ok(format!("{} files are tidy, the generated code is fresh", files.len()));
     }
     Err(problems.join("\n"))
 }
 
+/// Reads files, each with its path from the root of the repository.
+fn read_all(paths: &[PathBuf]) -> Result<Vec<(String, String)>, String> {
+    let read = |path: &PathBuf| {
+        let text = fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
+        Ok((path.strip_prefix(root()).unwrap_or(path).display().to_string(), text))
+    };
+    paths.iter().map(read).collect()
+}
+
+/// Checks that the source files and types that docs name in backquotes exist.
+fn check_docs(files: &[(String, String)], problems: &mut Vec<String>) {
+    let rust = || files.iter().filter(|(shown, _)| shown.ends_with(".rs"));
+    let paths: Vec<String> = rust().map(|(shown, _)| format!("/{shown}")).collect();
+    let is_word = |c: char| c.is_alphanumeric() || c == '_';
+    let names: BTreeSet<&str> = rust().flat_map(|(_, text)| text.split(|c| !is_word(c))).collect();
+    let is_current = |shown: &str| shown.ends_with(".md") && !HISTORY.iter().any(|page| shown.starts_with(page));
+    for (shown, text) in files.iter().filter(|(shown, _)| is_current(shown)) {
+        for quoted in text.lines().flat_map(|line| line.split('`').skip(1).step_by(2)) {
+            let exists = match quoted.strip_suffix(".rs") {
+                Some(_) => paths.iter().any(|path| path.ends_with(&format!("/{quoted}"))),
+                None => quoted.split("::").filter(|part| is_type_name(part)).all(|part| names.contains(part)),
+            };
+            if !exists {
+                problems.push(format!("{shown}: `{quoted}` names no file or type of the code"));
+            }
+        }
+    }
+}
+
+/// Returns whether a word is written as types of several words are: `JobId`.
+fn is_type_name(word: &str) -> bool {
+    let is_camel =
+        word.starts_with(|c: char| c.is_ascii_uppercase()) && word.chars().all(|c| c.is_ascii_alphanumeric());
+    is_camel && word.contains(|c: char| c.is_ascii_lowercase()) && word[1..].contains(|c: char| c.is_ascii_uppercase())
+}
+
 fn check_file(shown: &str, text: &str, problems: &mut Vec<String>) {
     for path in PATHS {
         if text.contains(path) {
