--- a/crates/entry/src/adopt.rs
+++ b/crates/entry/src/adoption.rs
@@ -1,4 +1,4 @@
-//! The planner takes over gangs whose holder is gone.
+//! Adoption by the planner of gangs whose holder, the box that renewed their leases, has terminated.
 
 use std::collections::BTreeMap;
 
@@ -8,47 +8,48 @@
 use crate::{EntryBox, Observation};
 
 impl EntryBox {
-    /// Adopts every gang whose holder has been dead for a while, if this box plans, and every gang of
-    /// its own that it had given up.
+    /// Adopts gangs that this process held and abandoned and, if this box is the planner, gangs whose holder
+    /// has been dead for long enough.
     pub(crate) fn adopt_orphans(&mut self, now: Moment) {
-        // Whether a holder lives changes with heartbeats; looking more often finds nothing new.
+        // Liveness changes with heartbeats, so a more frequent check finds nothing new.
         let every = self.limits.membership.heartbeat_every;
-        if self.adopted_at.is_some_and(|at| now.since(at) < every) {
+        if self.orphans_checked_at.is_some_and(|at| now.since(at) < every) {
             return;
         }
-        self.adopted_at = Some(now);
+        self.orphans_checked_at = Some(now);
         let plans = *self.view.planner(now) == self.id.box_id && self.view.can_detect_failures(now) && !self.draining;
         let orphans: Vec<(JobId, BTreeMap<BackendServerId, Lease>)> = self
             .replicas
             .by_job()
             .into_iter()
-            .filter(|(_, lines)| lines.values().any(|lease| is_worth_adopting(lease)))
-            .filter(|(_, lines)| {
-                let newest = lines.values().max_by_key(|lease| lease.token);
-                newest.is_some_and(|l| self.has_given_up(l) || (plans && self.is_gone(&l.holder, now)))
+            .filter(|(_, leases)| leases.values().any(|lease| is_worth_adopting(lease)))
+            .filter(|(_, leases)| {
+                let newest = leases.values().max_by_key(|lease| lease.token);
+                newest.is_some_and(|l| self.has_abandoned(l) || (plans && self.is_gone(&l.holder, now)))
             })
-            .map(|(job, lines)| {
-                let lines = lines.into_iter().map(|(id, lease)| (id.clone(), lease.clone())).collect();
-                (job.clone(), lines)
+            .map(|(job, leases)| {
+                let leases = leases.into_iter().map(|(id, lease)| (id.clone(), lease.clone())).collect();
+                (job.clone(), leases)
             })
             .collect();
-        for (job, lines) in orphans {
+        for (job, leases) in orphans {
             let before = self.jobs.open_jobs();
-            self.jobs.adopt(&job, &lines, now);
+            self.jobs.adopt(&job, &leases, now);
             if self.jobs.open_jobs() > before {
                 self.observe(Observation::Adopting { job });
             }
         }
     }
 
-    /// Whether this very process holds a lease and no longer knows of the job: it gave it up when a
-    /// member did not answer, and the gang turned out to stand after all.
-    fn has_given_up(&self, lease: &Lease) -> bool {
+    /// Returns whether this very process holds the lease but no longer tracks the job: it abandoned the gang
+    /// when a member did not respond, and the gang was whole after all.
+    fn has_abandoned(&self, lease: &Lease) -> bool {
         let is_mine = lease.holder == *self.jobs.holder();
         is_mine && self.jobs.view(&lease.job).is_none_or(|view| view.stage == lifecycle::Stage::Void)
     }
 
-    /// Whether the life that holds a lease is gone: silent for long enough, or followed by another.
+    /// Returns whether the incarnation that holds a lease has terminated: unresponsive for long enough, or
+    /// succeeded by another.
     fn is_gone(&self, holder: &Holder, now: Moment) -> bool {
         if holder.box_id == self.id.box_id {
             return holder.incarnation < self.id.incarnation;
@@ -61,7 +62,7 @@
             Some(status) => {
                 now.since(status.last_heartbeat) > self.limits.adopt_after + self.limits.membership.dead_after
             }
-            // Never heard: this process is young, or the box was gone before it began.
+            // No heartbeat yet: this process is young, or the box terminated before this process started.
             None => self.view.can_detect_failures(now),
         }
     }
