--- a/crates/test-utils/src/caller.rs
+++ b/crates/test-utils/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller over HTTP that goes from box to box until the end of its job is known.
+//! A caller over HTTP that submits its job through one box after another until it receives the outcome.
 
 use std::{
     net::SocketAddr,
@@ -10,18 +10,20 @@
 use model::{JobSpec, Outcome};
 use net::http::Client;
 
-/// How long one call waits for the end of a job.
+/// Time that one call waits for the outcome of a job, in milliseconds.
 const WAIT_MS: u64 = 4000;
-/// Pause after a box that does not answer.
+/// Pause before the next attempt after a failed call or an unexpected answer.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// Sends a job through one box after another until its end is known; `None` when patience ends.
+/// Submits a job through one box after another until its outcome is known, and acknowledges the outcome.
+///
+/// Returns `None` when `patience` has passed without an outcome.
 pub async fn run_job(spec: &JobSpec, boxes: &[SocketAddr], patience: Duration) -> Option<Outcome> {
     let client = Client::default();
-    let body = serde_json::to_vec(spec).expect("our own types always serialize");
-    let began = Instant::now();
+    let body = serde_json::to_vec(spec).expect("a job specification serializes");
+    let started = Instant::now();
     let mut sent = 0;
-    while began.elapsed() < patience {
+    while started.elapsed() < patience {
         let addr = boxes[sent % boxes.len()];
         let path = format!("/v1/jobs?wait_ms={WAIT_MS}&retry={}", sent > 0);
         let limit = Duration::from_millis(WAIT_MS) + Duration::from_secs(2);
@@ -47,9 +49,9 @@
     None
 }
 
-/// Tells the boxes that the whole answer has arrived.
+/// Acknowledges through a box that the whole answer was received. A failed call is ignored.
 pub async fn acknowledge(client: &Client, addr: SocketAddr, spec: &JobSpec) {
     let path = format!("/v1/jobs/{}/{}/acknowledge", spec.customer, spec.request);
-    // An answer that is not acknowledged is kept for an hour; that is no loss.
+    // An unacknowledged answer is only kept for its full retention time of an hour.
     let _ = client.call(addr, Method::POST, &path, Default::default(), Duration::from_secs(5)).await;
 }
--- a/crates/test-utils/src/cluster.rs
+++ b/crates/test-utils/src/cluster.rs
@@ -1,7 +1,7 @@
-//! Several entry boxes, backend servers and the platform, in one thread and virtual time.
+//! A cluster of entry boxes, backend servers and the platform, simulated in one thread and virtual time.
 //!
-//! Messages take a random time, so that they pass one another; they may be lost, boxes may die or
-//! be paused, and backend servers and the store may be cut off. All randomness comes from one seed.
+//! Messages have random delays and may be reordered or lost. Boxes may crash or be paused, and backend servers
+//! and the store may become unreachable. All randomness comes from one seed, so that a run can be repeated.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,52 +15,52 @@
 use standins::{Checkpoints, KvTable, LeaseTable, Oracle, Violation};
 
 use crate::{
-    events::{Asker, Event, Life, Owed, Queue, trace},
+    events::{BoxIncarnation, Event, PendingReply, Queue, Requester, trace},
+    external::{StoreWatcher, Watcher},
     faults::Faults,
-    outside::{StoreWatcher, Watcher},
     virtual_caller::VirtualCaller,
 };
 
-/// A box is told the time this often.
+/// Interval between the ticks of a box.
 const TICK: Duration = Duration::from_millis(100);
-/// Allowed on top of leases for the rest of a gang whose member was lost.
+/// Time allowed beyond the leases for the remaining members of a gang to stop after a member was lost.
 const REMAINDER_SLACK: Duration = Duration::from_secs(10);
 
-/// Makes the planner of a box in an availability zone.
+/// Function that creates the planner of a box in the given availability zone.
 pub type MakePlanner = fn(&AvailabilityZoneId) -> Box<dyn Planner>;
 
-/// How large a cluster is.
+/// Size of a cluster.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Boxes in each.
+    /// Number of boxes in each availability zone.
     pub boxes: usize,
-    /// Backend servers in each, all in one rack.
+    /// Number of backend servers in each availability zone, all in one rack.
     pub servers: usize,
-    /// Accelerators of each backend server.
+    /// Number of accelerators of each backend server.
     pub accelerators: u32,
 }
 
 pub(crate) struct VirtualBox {
-    pub(crate) life: Life,
+    pub(crate) box_incarnation: BoxIncarnation,
     pub(crate) zone: AvailabilityZoneId,
-    /// `None` while it is dead.
+    /// State of the box; `None` while the box is not running.
     pub(crate) entry: Option<EntryBox>,
     pub(crate) paused: bool,
-    /// Inputs that wait for a paused box.
+    /// Inputs that arrived while the box was paused.
     pub(crate) backlog: Vec<Input>,
 }
 
 pub(crate) struct VirtualServer {
     pub(crate) table: LeaseTable,
-    pub(crate) lives: u64,
+    pub(crate) incarnations: u64,
     pub(crate) old_runs: Vec<standins::RunRecord>,
     pub(crate) watchers: Vec<Watcher>,
-    pub(crate) leaving_since: Option<Moment>,
+    pub(crate) draining_since: Option<Moment>,
 }
 
-/// A cluster.
+/// A simulated cluster, with the callers that use it and an oracle that checks it.
 pub struct Cluster {
     pub(crate) now: Moment,
     pub(crate) rng: Rng,
@@ -73,7 +73,7 @@
     pub(crate) limits: Limits,
     pub(crate) planner: MakePlanner,
     pub(crate) store_watchers: Vec<StoreWatcher>,
-    owed: BTreeMap<Owed, Asker>,
+    pending_replies: BTreeMap<PendingReply, Requester>,
     answered: BTreeSet<u64>,
     next_call: u64,
     next_reply: u64,
@@ -84,9 +84,10 @@
 }
 
 impl Cluster {
-    /// A cluster whose configuration is in the store; it is in force after a few moments.
+    /// Creates a cluster whose configuration is in the store. The boxes apply it once virtual time has advanced
+    /// far enough for them to read it.
     pub fn new(shape: Shape, file: OperatorFile, limits: Limits, planner: MakePlanner, seed: u64) -> Cluster {
-        let mut it = Cluster {
+        let mut cluster = Cluster {
             now: Moment::from_millis(1_000_000),
             rng: Rng::with_seed(seed),
             queue: Queue::default(),
@@ -98,7 +99,7 @@
             limits,
             planner,
             store_watchers: Vec::new(),
-            owed: BTreeMap::new(),
+            pending_replies: BTreeMap::new(),
             answered: BTreeSet::new(),
             next_call: 0,
             next_reply: 0,
@@ -107,12 +108,12 @@
             listed: Vec::new(),
             oracle: Oracle::default(),
         };
-        it.make_servers(&file);
+        cluster.make_servers(&file);
         let document = Document::following(None, "first".parse().expect("a valid id"), file).to_text();
         let req = StoreRequest::Create { key: CONFIG_KEY.to_owned(), value: document, ttl: None };
-        it.store.call(&req, it.now);
-        it.make_boxes(shape);
-        it
+        cluster.store.call(&req, cluster.now);
+        cluster.make_boxes(shape);
+        cluster
     }
 
     fn make_servers(&mut self, file: &OperatorFile) {
@@ -125,8 +126,13 @@
                 revision: Revision(0),
             };
             let table = LeaseTable::new(info, 1, Checkpoints::clone(&self.checkpoints), Moment::ZERO);
-            let server =
-                VirtualServer { table, lives: 1, old_runs: Vec::new(), watchers: Vec::new(), leaving_since: None };
+            let server = VirtualServer {
+                table,
+                incarnations: 1,
+                old_runs: Vec::new(),
+                watchers: Vec::new(),
+                draining_since: None,
+            };
             self.servers.insert(entry.id.clone(), server);
         }
     }
@@ -141,15 +147,20 @@
             }
         }
         for listed in self.listed.clone() {
-            let life = Life { id: listed.id.clone(), incarnation: Incarnation(0) };
-            let it =
-                VirtualBox { life, zone: listed.availability_zone, entry: None, paused: false, backlog: Vec::new() };
+            let box_incarnation = BoxIncarnation { id: listed.id.clone(), incarnation: Incarnation(0) };
+            let it = VirtualBox {
+                box_incarnation,
+                zone: listed.availability_zone,
+                entry: None,
+                paused: false,
+                backlog: Vec::new(),
+            };
             self.boxes.insert(listed.id.clone(), it);
             self.start_box(&listed.id);
         }
     }
 
-    /// Starts a dead box with a new life.
+    /// Starts a box under a new incarnation. Does nothing if the box is running.
     pub fn start_box(&mut self, id: &BoxId) {
         let incarnation = Incarnation(self.now.millis());
         let (limits, planner, now, listed) = (self.limits, self.planner, self.now, self.listed.clone());
@@ -157,71 +168,72 @@
         if it.entry.is_some() {
             return;
         }
-        it.life.incarnation = incarnation;
+        it.box_incarnation.incarnation = incarnation;
         it.paused = false;
         it.backlog.clear();
         let identity = Identity { box_id: id.clone(), incarnation, availability_zone: it.zone.clone() };
         it.entry = Some(EntryBox::new(identity, limits, listed, planner(&it.zone), now));
-        let life = it.life.clone();
-        self.queue.push(now, Event::Tick(life));
+        let box_incarnation = it.box_incarnation.clone();
+        self.queue.push(now, Event::Tick(box_incarnation));
     }
 
-    /// Lets time pass.
+    /// Advances virtual time by `span` and handles all events that are due.
     pub fn advance(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some((at, event)) = self.queue.pop(until) {
             self.now = at;
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = until;
     }
 
-    /// An operator applies a file, edited from a revision, through a box; gives the operator's number.
+    /// Applies an operator's file, edited from revision `base`, through a box. Returns the number under which
+    /// [`Cluster::applied`] gives the reply.
     pub fn apply(&mut self, id: &BoxId, apply: &str, base: Revision, file: OperatorFile) -> usize {
         let n = self.applied.len();
         self.applied.push(None);
-        if let Some(life) = self.live_life(id) {
-            let to = self.owe(&life, Asker::Operator(n));
+        if let Some(box_incarnation) = self.running_incarnation(id) {
+            let to = self.expect_reply(&box_incarnation, Requester::Operator(n));
             let apply = apply.parse().expect("a valid id");
             let req = entry::CallerRequest::Apply { id: apply, base, file };
-            self.give(&life, Input::Caller { to, req });
+            self.deliver(&box_incarnation, Input::Caller { to, req });
         }
         n
     }
 
-    /// What an operator was told.
+    /// Returns the reply to an operator's request; `None` until it arrives.
     pub fn applied(&self, n: usize) -> Option<&Applied> {
         self.applied[n].as_ref()
     }
 
-    /// The lowest revision in force on any live box or backend server.
+    /// Returns the lowest revision in force on any running box or backend server.
     pub fn lowest_revision(&self) -> Revision {
         let boxes = self.boxes.values().filter_map(|it| it.entry.as_ref()).map(|it| it.status(self.now).revision);
         let servers = self.servers.values().map(|it| it.table.info().revision);
         boxes.chain(servers).min().unwrap_or_default()
     }
 
-    /// When the tasks of a backend server began.
+    /// Returns the start times of the tasks of a backend server since its last restart.
     pub fn starts_on(&self, id: &BackendServerId) -> Vec<Moment> {
         self.servers[id].table.runs.iter().map(|run| run.began).collect()
     }
 
-    /// The time.
+    /// Returns the current virtual time.
     pub fn now(&self) -> Moment {
         self.now
     }
 
-    /// The ids of the boxes.
+    /// Returns the ids of all boxes, running or not.
     pub fn box_ids(&self) -> Vec<BoxId> {
         self.boxes.keys().cloned().collect()
     }
 
-    /// The ids of the backend servers.
+    /// Returns the ids of all backend servers.
     pub fn server_ids(&self) -> Vec<BackendServerId> {
         self.servers.keys().cloned().collect()
     }
 
-    /// Every promise that is broken so far.
+    /// Returns every violation of a guarantee so far.
     pub fn violations(&mut self) -> Vec<Violation> {
         let mut oracle = Oracle::default();
         for (id, server) in &mut self.servers {
@@ -237,7 +249,7 @@
                 oracle.saw_final(it);
             }
         }
-        self.see_revisions();
+        self.record_revisions();
         let ttl = self.limits.lifecycle.lease_ttl;
         let remainder = ttl + ttl + REMAINDER_SLACK;
         let mut found = oracle.check(remainder, self.now);
@@ -245,51 +257,50 @@
         found
     }
 
-    fn see_revisions(&mut self) {
+    fn record_revisions(&mut self) {
         for (id, it) in &self.boxes {
             if let Some(entry) = &it.entry {
                 let revision = entry.status(self.now).revision;
-                // A new life starts anew; what it must not do is serve with an old revision once
-                // it has heard of a newer one.
-                self.oracle.saw_revision(&format!("{id}@{}", it.life.incarnation), revision);
+                // A new incarnation starts without a revision, so revisions are compared within one incarnation.
+                self.oracle.saw_revision(&format!("{id}@{}", it.box_incarnation.incarnation), revision);
             }
         }
         for (id, server) in &self.servers {
             let revision = server.table.document().map_or(Revision(0), |(revision, _)| revision);
-            self.oracle.saw_revision(&format!("{id}@{}", server.lives), revision);
+            self.oracle.saw_revision(&format!("{id}@{}", server.incarnations), revision);
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick(life) => {
-                if self.is_alive(&life) {
-                    self.queue.push(self.now + TICK, Event::Tick(life.clone()));
-                    self.give(&life, Input::Tick);
+            Event::Tick(box_incarnation) => {
+                if self.is_running(&box_incarnation) {
+                    self.queue.push(self.now + TICK, Event::Tick(box_incarnation.clone()));
+                    self.deliver(&box_incarnation, Input::Tick);
                 }
             }
-            Event::AtServer { from, op, server, req, call } => self.at_server(from, op, server, req, call),
+            Event::AtServer { from, op, server, req, call } => self.handle_server_request(from, op, server, req, call),
             Event::FromServer { to, op, server, req, reply, call } => {
                 if self.answered.insert(call) {
-                    self.give(&to, Input::BackendReply { op, server, req, reply });
+                    self.deliver(&to, Input::BackendReply { op, server, req, reply });
                 }
             }
-            Event::AtStore { from, op, req, call } => self.at_store(from, op, req, call),
+            Event::AtStore { from, op, req, call } => self.handle_store_request(from, op, req, call),
             Event::FromStore { to, op, reply, call } => {
                 if self.answered.insert(call) {
-                    self.give(&to, Input::StoreReply { op, reply });
+                    self.deliver(&to, Input::StoreReply { op, reply });
                 }
             }
-            Event::AtPeer { from, op, peer, req, call } => self.at_peer(from, op, peer, req, call),
+            Event::AtPeer { from, op, peer, req, call } => self.handle_peer_request(from, op, peer, req, call),
             Event::FromPeer { to, op, peer, reply, call } => {
                 if self.answered.insert(call) {
-                    self.give(&to, Input::PeerReply { op, peer, reply });
+                    self.deliver(&to, Input::PeerReply { op, peer, reply });
                 }
             }
-            Event::AtBox { caller, id, req, call } => self.at_box(caller, id, req, call),
+            Event::AtBox { caller, id, req, call } => self.handle_caller_request(caller, id, req, call),
             Event::AtCaller { caller, reply, call } => {
                 if self.answered.insert(call) {
-                    self.at_caller(caller, reply);
+                    self.handle_caller_reply(caller, reply);
                 }
             }
             Event::ServerWake(id) => {
@@ -297,60 +308,62 @@
                 if let Some(server) = self.servers.get_mut(&id) {
                     server.table.advance(now);
                 }
-                self.after_server(&id);
+                self.answer_server_watches(&id);
             }
-            Event::StoreWake => self.after_store(),
+            Event::StoreWake => self.answer_store_watches(),
         }
     }
 
-    fn is_alive(&self, life: &Life) -> bool {
-        self.boxes.get(&life.id).is_some_and(|it| it.entry.is_some() && it.life == *life)
+    fn is_running(&self, box_incarnation: &BoxIncarnation) -> bool {
+        self.boxes
+            .get(&box_incarnation.id)
+            .is_some_and(|it| it.entry.is_some() && it.box_incarnation == *box_incarnation)
     }
 
-    /// Gives an input to a box, now or once it is no longer paused.
-    pub(crate) fn give(&mut self, life: &Life, input: Input) {
-        if !self.is_alive(life) {
+    /// Delivers an input to a box, or queues it while the box is paused. Discards it if the incarnation has ended.
+    pub(crate) fn deliver(&mut self, box_incarnation: &BoxIncarnation, input: Input) {
+        if !self.is_running(box_incarnation) {
             return;
         }
         let now = self.now;
-        let it = self.boxes.get_mut(&life.id).expect("a live box exists");
+        let it = self.boxes.get_mut(&box_incarnation.id).expect("a running box exists");
         if it.paused {
-            // One tick is as good as many.
+            // Several queued ticks have the effect of one.
             if input != Input::Tick || !it.backlog.contains(&Input::Tick) {
                 it.backlog.push(input);
             }
             return;
         }
-        let entry = it.entry.as_mut().expect("a live box has its state");
+        let entry = it.entry.as_mut().expect("a running box has its state");
         let outputs = entry.handle(input, now);
         let drained = entry.is_drained();
         for output in outputs {
-            trace(now, life, &output);
-            self.carry_out(life, output);
+            trace(now, box_incarnation, &output);
+            self.carry_out(box_incarnation, output);
         }
         if drained {
-            self.leave_if_free(life);
+            self.end_if_idle(box_incarnation);
         }
     }
 
-    fn carry_out(&mut self, from: &Life, output: Output) {
+    fn carry_out(&mut self, from: &BoxIncarnation, output: Output) {
         let from = from.clone();
         match output {
-            Output::ToCaller { to, reply } => match (self.owed.remove(&(from, to)), reply) {
-                (Some(Asker::Caller { caller, call }), reply) => {
+            Output::ToCaller { to, reply } => match (self.pending_replies.remove(&(from, to)), reply) {
+                (Some(Requester::Caller { caller, call }), reply) => {
                     self.send(Event::AtCaller { caller, reply: Some(reply), call });
                 }
-                (Some(Asker::Operator(n)), entry::CallerReply::Applied(applied)) => {
+                (Some(Requester::Operator(n)), entry::CallerReply::Applied(applied)) => {
                     self.applied[n] = Some(applied);
                 }
                 _ => {}
             },
             Output::ToPeer { to, reply } => {
                 let id = from.id.clone();
-                if let Some(Asker::Peer { life, op, call }) = self.owed.remove(&(from, to))
-                    && !self.faults.is_cut(&id, &life.id)
+                if let Some(Requester::Peer { box_incarnation, op, call }) = self.pending_replies.remove(&(from, to))
+                    && !self.faults.is_cut(&id, &box_incarnation.id)
                 {
-                    self.send(Event::FromPeer { to: life, op, peer: id, reply: Some(reply), call });
+                    self.send(Event::FromPeer { to: box_incarnation, op, peer: id, reply: Some(reply), call });
                 }
             }
             Output::CallPeer { op, peer, req, limit } => {
@@ -397,7 +410,7 @@
         self.next_call
     }
 
-    /// Sends a message: it takes a random time, and may be lost.
+    /// Sends a message with a random delay, or drops it by the configured loss rate.
     pub(crate) fn send(&mut self, event: Event) {
         if self.rng.u32(0..1000) < self.faults.loss_permille {
             return;
@@ -406,69 +419,82 @@
         self.queue.push(self.now + delay, event);
     }
 
-    fn at_peer(&mut self, from: Life, op: entry::OpId, peer: BoxId, req: entry::PeerRequest, call: u64) {
+    fn handle_peer_request(
+        &mut self,
+        from: BoxIncarnation,
+        op: entry::OpId,
+        peer: BoxId,
+        req: entry::PeerRequest,
+        call: u64,
+    ) {
         if self.faults.is_cut(&from.id, &peer) {
             return;
         }
-        let Some(life) = self.live_life(&peer) else {
-            // Nothing listens there: the connection is refused.
+        let Some(box_incarnation) = self.running_incarnation(&peer) else {
+            // The box is not running, so the connection is refused.
             return self.send(Event::FromPeer { to: from, op, peer, reply: None, call });
         };
-        let to = self.owe(&life, Asker::Peer { life: from, op, call });
-        self.give(&life, Input::Peer { to, req });
+        let to = self.expect_reply(&box_incarnation, Requester::Peer { box_incarnation: from, op, call });
+        self.deliver(&box_incarnation, Input::Peer { to, req });
     }
 
-    fn at_box(&mut self, caller: crate::CallerId, id: BoxId, req: entry::CallerRequest, call: u64) {
-        let Some(life) = self.live_life(&id) else {
+    fn handle_caller_request(&mut self, caller: crate::CallerId, id: BoxId, req: entry::CallerRequest, call: u64) {
+        let Some(box_incarnation) = self.running_incarnation(&id) else {
             return self.send(Event::AtCaller { caller, reply: None, call });
         };
-        let to = self.owe(&life, Asker::Caller { caller, call });
-        self.give(&life, Input::Caller { to, req });
+        let to = self.expect_reply(&box_incarnation, Requester::Caller { caller, call });
+        self.deliver(&box_incarnation, Input::Caller { to, req });
     }
 
-    fn owe(&mut self, life: &Life, asker: Asker) -> entry::ReplyTo {
+    fn expect_reply(&mut self, box_incarnation: &BoxIncarnation, requester: Requester) -> entry::ReplyTo {
         self.next_reply += 1;
         let to = entry::ReplyTo(self.next_reply);
-        self.owed.insert((life.clone(), to), asker);
+        self.pending_replies.insert((box_incarnation.clone(), to), requester);
         to
     }
 
-    pub(crate) fn live_life(&self, id: &BoxId) -> Option<Life> {
+    pub(crate) fn running_incarnation(&self, id: &BoxId) -> Option<BoxIncarnation> {
         let it = self.boxes.get(id)?;
-        it.entry.as_ref().map(|_| it.life.clone())
+        it.entry.as_ref().map(|_| it.box_incarnation.clone())
     }
 
-    /// Ends a box's life: its callers see their connections break.
-    pub(crate) fn end_life(&mut self, id: &BoxId) {
+    /// Ends the running incarnation of a box. Callers that wait for a reply see their connections break.
+    pub(crate) fn end_incarnation(&mut self, id: &BoxId) {
         let Some(it) = self.boxes.get_mut(id) else { return };
         it.entry = None;
         it.paused = false;
         it.backlog.clear();
-        let life = it.life.clone();
-        let broken: Vec<Owed> = self.owed.keys().filter(|(it, _)| *it == life).cloned().collect();
-        for owed in broken {
-            if let Some(Asker::Caller { caller, call }) = self.owed.remove(&owed) {
+        let box_incarnation = it.box_incarnation.clone();
+        let broken: Vec<PendingReply> =
+            self.pending_replies.keys().filter(|(it, _)| *it == box_incarnation).cloned().collect();
+        for pending in broken {
+            if let Some(Requester::Caller { caller, call }) = self.pending_replies.remove(&pending) {
                 let delay = Duration::from_millis(5);
                 self.queue.push(self.now + delay, Event::AtCaller { caller, reply: None, call });
             }
         }
     }
 
-    /// A drained box ends once it owes nobody a reply and nothing more has arrived.
-    fn leave_if_free(&mut self, life: &Life) {
-        let owes = self.owed.iter().any(|((it, _), asker)| it == life && matches!(asker, Asker::Caller { .. }));
-        let busy = self.boxes.get(&life.id).is_some_and(|it| !it.backlog.is_empty());
-        if !owes && !busy {
-            self.end_life(&life.id);
+    /// Ends a drained box if no caller waits for its reply and no input is queued.
+    fn end_if_idle(&mut self, box_incarnation: &BoxIncarnation) {
+        let awaits_reply = self
+            .pending_replies
+            .iter()
+            .any(|((it, _), requester)| it == box_incarnation && matches!(requester, Requester::Caller { .. }));
+        let busy = self.boxes.get(&box_incarnation.id).is_some_and(|it| !it.backlog.is_empty());
+        if !awaits_reply && !busy {
+            self.end_incarnation(&box_incarnation.id);
         }
     }
 
-    pub(crate) fn new_table(&mut self, id: &BackendServerId) {
+    /// Replaces a backend server's lease table by an empty one of a new incarnation, and keeps the old runs for
+    /// the oracle.
+    pub(crate) fn replace_table(&mut self, id: &BackendServerId) {
         let checkpoints = Checkpoints::clone(&self.checkpoints);
         let now = self.now;
         let Some(server) = self.servers.get_mut(id) else { return };
         server.table.advance(now);
-        server.lives += 1;
+        server.incarnations += 1;
         let mut runs = std::mem::take(&mut server.table.runs);
         for run in &mut runs {
             run.ended.get_or_insert((now, backend::TaskState::Lapsed { ran: true }));
@@ -476,12 +502,12 @@
         server.old_runs.extend(runs);
         let mut info = server.table.info().clone();
         info.revision = Revision(0);
-        server.table = LeaseTable::new(info, server.lives, checkpoints, now);
+        server.table = LeaseTable::new(info, server.incarnations, checkpoints, now);
     }
 }
 
 impl Cluster {
-    /// What every live box says of itself, for a failed test's message.
+    /// Returns the status of every running box as text, for the message of a failed test.
     pub fn statuses(&self) -> String {
         let live = self.boxes.values().filter_map(|it| it.entry.as_ref());
         let lines: Vec<String> = live.map(|entry| format!("{:?}", entry.status(self.now))).collect();
--- a/crates/test-utils/src/events.rs
+++ b/crates/test-utils/src/events.rs
@@ -1,4 +1,4 @@
-//! What happens in a virtual cluster, in the order of time.
+//! Events of a simulated cluster, and the queue that orders them by time.
 
 use std::{cmp::Ordering, collections::BinaryHeap};
 
@@ -9,55 +9,59 @@
 
 use crate::CallerId;
 
-/// One life of a box.
+/// One incarnation of a box.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Life {
+pub(crate) struct BoxIncarnation {
     pub(crate) id: BoxId,
     pub(crate) incarnation: Incarnation,
 }
 
-/// Something that happens.
+/// An event of a simulated cluster. `call` numbers calls, so that only the first reply or time-out counts.
 #[derive(Debug, Clone)]
 pub(crate) enum Event {
-    Tick(Life),
+    Tick(BoxIncarnation),
     /// A request arrives at a backend server.
     AtServer {
-        from: Life,
+        from: BoxIncarnation,
         op: BackendOp,
         server: BackendServerId,
         req: BackendRequest,
         call: u64,
     },
-    /// A reply of a backend server arrives, or its call's time is over.
+    /// A reply of a backend server arrives at a box; `None` when the call timed out.
     FromServer {
-        to: Life,
+        to: BoxIncarnation,
         op: BackendOp,
         server: BackendServerId,
         req: BackendRequest,
         reply: Option<BackendReply>,
         call: u64,
     },
+    /// A request arrives at the store.
     AtStore {
-        from: Life,
+        from: BoxIncarnation,
         op: OpId,
         req: StoreRequest,
         call: u64,
     },
+    /// A reply of the store arrives at a box; `None` when the call timed out.
     FromStore {
-        to: Life,
+        to: BoxIncarnation,
         op: OpId,
         reply: Option<StoreReply>,
         call: u64,
     },
+    /// A request of a box arrives at another box.
     AtPeer {
-        from: Life,
+        from: BoxIncarnation,
         op: OpId,
         peer: BoxId,
         req: PeerRequest,
         call: u64,
     },
+    /// A reply of another box arrives at a box; `None` when the call failed or timed out.
     FromPeer {
-        to: Life,
+        to: BoxIncarnation,
         op: OpId,
         peer: BoxId,
         reply: Option<PeerReply>,
@@ -70,34 +74,36 @@
         req: CallerRequest,
         call: u64,
     },
-    /// A reply arrives at a caller; `None` when its connection broke or its patience with it ended.
+    /// A reply arrives at a caller; `None` when its connection broke or its call timed out.
     AtCaller {
         caller: CallerId,
         reply: Option<CallerReply>,
         call: u64,
     },
+    /// A lease table has something to do, or a watch on it times out.
     ServerWake(BackendServerId),
+    /// A watch on the store times out.
     StoreWake,
 }
 
-/// Whom a box replies to.
+/// Sender of a request that a box has to reply to.
 #[derive(Debug, Clone)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     Caller {
         caller: CallerId,
         call: u64,
     },
-    /// The operator of that number.
+    /// An operator, by the number of the request.
     Operator(usize),
     Peer {
-        life: Life,
+        box_incarnation: BoxIncarnation,
         op: OpId,
         call: u64,
     },
 }
 
-/// A reply that a box owes.
-pub(crate) type Owed = (Life, ReplyTo);
+/// Key of a reply that a box has not sent yet.
+pub(crate) type PendingReply = (BoxIncarnation, ReplyTo);
 
 struct At {
     at: Moment,
@@ -125,7 +131,7 @@
     }
 }
 
-/// Events to come.
+/// Pending events, in the order of time; events of the same time keep the order in which they were added.
 #[derive(Default)]
 pub(crate) struct Queue {
     heap: BinaryHeap<At>,
@@ -138,7 +144,7 @@
         self.heap.push(At { at, seq: self.seq, event });
     }
 
-    /// The next event, if it happens by `until`.
+    /// Removes and returns the next event, if it is due by `until`.
     pub(crate) fn pop(&mut self, until: Moment) -> Option<(Moment, Event)> {
         if self.heap.peek()?.at > until {
             return None;
@@ -147,14 +153,14 @@
     }
 }
 
-/// With `MARTENSCALE_TRACE` set, prints what boxes do, for following a failed case by eye.
-pub(crate) fn trace(now: Moment, life: &Life, output: &Output) {
+/// Prints the outputs of boxes if `MARTENSCALE_TRACE` is set, to follow a failed case.
+pub(crate) fn trace(now: Moment, box_incarnation: &BoxIncarnation, output: &Output) {
     if std::env::var_os("MARTENSCALE_TRACE").is_none() {
         return;
     }
     let text = format!("{output:?}");
-    // Watches and heartbeats go on all the time and hide the rest.
+    // Watches and heartbeats are so frequent that they would hide the rest.
     if !text.contains("Watch") && !text.contains("Heartbeat") {
-        println!("{now} {} {text}", life.id);
+        println!("{now} {} {text}", box_incarnation.id);
     }
 }
--- a/crates/test-utils/src/outside.rs
+++ b/crates/test-utils/src/external.rs
@@ -1,4 +1,4 @@
-//! Backend servers and the platform inside a virtual cluster: calls that arrive, watches that wait.
+//! Backend servers and the platform of a simulated cluster: how their calls are answered, and pending watches.
 
 use backend::{BackendReply, BackendRequest, TaskState};
 use model::{BackendServerId, Duration, Moment};
@@ -7,20 +7,20 @@
 
 use crate::{
     Cluster,
-    events::{Event, Life},
+    events::{BoxIncarnation, Event},
 };
 
-/// A watch on a lease table that waits.
+/// A pending watch on a lease table.
 pub(crate) struct Watcher {
-    pub(crate) to: Life,
+    pub(crate) to: BoxIncarnation,
     pub(crate) req: BackendRequest,
     pub(crate) until: Moment,
     pub(crate) call: u64,
 }
 
-/// A watch on the store that waits.
+/// A pending watch on the store.
 pub(crate) struct StoreWatcher {
-    pub(crate) to: Life,
+    pub(crate) to: BoxIncarnation,
     pub(crate) op: entry::OpId,
     pub(crate) key: String,
     pub(crate) above: u64,
@@ -29,9 +29,9 @@
 }
 
 impl Cluster {
-    pub(crate) fn at_server(
+    pub(crate) fn handle_server_request(
         &mut self,
-        from: Life,
+        from: BoxIncarnation,
         op: entry::BackendOp,
         id: BackendServerId,
         req: BackendRequest,
@@ -43,11 +43,11 @@
         let now = self.now;
         let Some(server) = self.servers.get_mut(&id) else { return };
         if let BackendRequest::Reserve { .. } = &req
-            && let Some(since) = server.leaving_since
+            && let Some(since) = server.draining_since
         {
-            let held = server.table.free();
+            let free_before = server.table.free();
             let reply = server.table.call(req.clone(), now);
-            if held != server.table.free() {
+            if free_before != server.table.free() {
                 self.oracle.saw_violation(Violation::WorkWhileLeaving { server: id.clone(), after: now.since(since) });
             }
             return self.reply_from_server(from, op, id, req, reply, call);
@@ -64,20 +64,20 @@
             self.queue.push(until, Event::ServerWake(id));
             return;
         }
-        self.check_begun(&id, &began);
+        self.check_gang_armed(&id, &began);
         self.reply_from_server(from, op, id.clone(), req, reply, call);
-        self.after_server(&id);
+        self.answer_server_watches(&id);
     }
 
-    /// When a member begins, every other one must have been armed for the same attempt. A member that
-    /// was lost since, by a lapse or a restart, had been.
-    fn check_begun(&mut self, began: &BackendServerId, runs: &[standins::RunRecord]) {
+    /// Checks that when a member of a gang starts, all others have been armed for the same attempt. A member whose
+    /// lease expired or whose backend server restarted since counts as armed.
+    fn check_gang_armed(&mut self, began: &BackendServerId, runs: &[standins::RunRecord]) {
         for run in runs {
             for member in run.task.members.iter().filter(|m| m.server != *began) {
                 let Some(other) = self.servers.get(&member.server) else { continue };
                 let armed = match other.table.state_of(&run.job) {
                     Some((token, state)) => token.attempt > run.token.attempt || *state != TaskState::Reserved,
-                    None => other.lives > 1,
+                    None => other.incarnations > 1,
                 };
                 if !armed {
                     self.oracle.saw_violation(Violation::BeganInPart {
@@ -93,7 +93,7 @@
 
     fn reply_from_server(
         &mut self,
-        to: Life,
+        to: BoxIncarnation,
         op: entry::BackendOp,
         server: BackendServerId,
         req: BackendRequest,
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Answers watches that have news or have waited long enough, and plans the next change.
-    pub(crate) fn after_server(&mut self, id: &BackendServerId) {
+    /// Answers the watches on a lease table that has changed or that timed out, and schedules the table's next event.
+    pub(crate) fn answer_server_watches(&mut self, id: &BackendServerId) {
         let now = self.now;
         let Some(server) = self.servers.get_mut(id) else { return };
         let version = server.table.version();
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(crate) fn at_store(&mut self, from: Life, op: entry::OpId, req: StoreRequest, call: u64) {
+    pub(crate) fn handle_store_request(&mut self, from: BoxIncarnation, op: entry::OpId, req: StoreRequest, call: u64) {
         if self.faults.store_down || self.faults.is_cut_from_platform(&from.id) {
             return;
         }
@@ -140,10 +140,10 @@
             return;
         }
         self.reply_from_store(from, op, reply, call);
-        self.after_store();
+        self.answer_store_watches();
     }
 
-    fn reply_from_store(&mut self, to: Life, op: entry::OpId, reply: StoreReply, call: u64) {
+    fn reply_from_store(&mut self, to: BoxIncarnation, op: entry::OpId, reply: StoreReply, call: u64) {
         if self.faults.lose_store_answers > 0 {
             self.faults.lose_store_answers -= 1;
             return;
@@ -153,7 +153,8 @@
         }
     }
 
-    pub(crate) fn after_store(&mut self) {
+    /// Answers the watches on the store whose key has changed or that timed out.
+    pub(crate) fn answer_store_watches(&mut self) {
         let now = self.now;
         let mut replies = Vec::new();
         let mut waiting = Vec::new();
--- a/crates/test-utils/src/faults.rs
+++ b/crates/test-utils/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of a virtual cluster.
+//! Faults that tests inject into a simulated cluster.
 
 use std::collections::BTreeSet;
 
@@ -7,14 +7,14 @@
 
 use crate::{Cluster, events::Event};
 
-/// What is out of order.
+/// Faults in effect.
 #[derive(Debug, Clone)]
 pub(crate) struct Faults {
     pub(crate) loss_permille: u32,
     pub(crate) max_delay_ms: u64,
     pub(crate) store_down: bool,
     pub(crate) lose_store_answers: u32,
-    /// Boxes that reach no other box, and no other box reaches.
+    /// Boxes that are disconnected from all other boxes, in both directions.
     cut_boxes: BTreeSet<BoxId>,
     cut_from_platform: BTreeSet<BoxId>,
     cut_from_servers: BTreeSet<BoxId>,
@@ -59,113 +59,113 @@
 }
 
 impl Cluster {
-    /// Ends a box without notice.
+    /// Crashes a box.
     pub fn kill_box(&mut self, id: &BoxId) {
-        self.end_life(id);
+        self.end_incarnation(id);
     }
 
-    /// Stops a box from doing anything, without it or others noticing.
+    /// Pauses a box: its inputs are queued, and neither the box nor its peers are notified.
     pub fn pause_box(&mut self, id: &BoxId) {
         if let Some(it) = self.boxes.get_mut(id) {
             it.paused = it.entry.is_some();
         }
     }
 
-    /// Lets a paused box go on.
+    /// Resumes a paused box and delivers its queued inputs.
     pub fn resume_box(&mut self, id: &BoxId) {
         let Some(it) = self.boxes.get_mut(id) else { return };
         it.paused = false;
-        let life = it.life.clone();
+        let box_incarnation = it.box_incarnation.clone();
         while let Some(it) = self.boxes.get_mut(id)
             && !it.backlog.is_empty()
         {
             let input = it.backlog.remove(0);
-            self.give(&life, input);
+            self.deliver(&box_incarnation, input);
         }
     }
 
-    /// Tells a box to leave.
+    /// Asks a box to drain and end.
     pub fn drain_box(&mut self, id: &BoxId) {
-        if let Some(life) = self.live_life(id) {
-            self.give(&life, Input::Drain);
+        if let Some(box_incarnation) = self.running_incarnation(id) {
+            self.deliver(&box_incarnation, Input::Drain);
         }
     }
 
-    /// Cuts a box off from all other boxes.
+    /// Disconnects a box from all other boxes, or reconnects it.
     pub fn cut_box_from_peers(&mut self, id: &BoxId, on: bool) {
         set(&mut self.faults.cut_boxes, id, on);
     }
 
-    /// Cuts a box off from the platform.
+    /// Disconnects a box from the platform, or reconnects it.
     pub fn cut_box_from_platform(&mut self, id: &BoxId, on: bool) {
         set(&mut self.faults.cut_from_platform, id, on);
     }
 
-    /// Cuts a box off from all backend servers.
+    /// Disconnects a box from all backend servers, or reconnects it.
     pub fn cut_box_from_servers(&mut self, id: &BoxId, on: bool) {
         set(&mut self.faults.cut_from_servers, id, on);
     }
 
-    /// Cuts a backend server off from all boxes.
+    /// Disconnects a backend server from all boxes, or reconnects it.
     pub fn cut_server(&mut self, id: &BackendServerId, on: bool) {
         set(&mut self.faults.cut_servers, id, on);
     }
 
-    /// Has a backend server fail every task that it starts.
+    /// Makes a backend server fail every task that it runs, or ends this fault.
     pub fn fail_server(&mut self, id: &BackendServerId, on: bool) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(id) {
             server.table.advance(now);
             server.table.set_fail_tasks(on, now);
         }
-        self.after_server(id);
+        self.answer_server_watches(id);
     }
 
-    /// Restarts a backend server, which forgets everything.
+    /// Restarts a backend server, which loses its lease table.
     pub fn restart_server(&mut self, id: &BackendServerId) {
-        self.new_table(id);
-        self.after_server(id);
+        self.replace_table(id);
+        self.answer_server_watches(id);
     }
 
-    /// Has a backend server say that it is leaving.
+    /// Marks a backend server as draining, or ends its draining.
     pub fn leave_server(&mut self, id: &BackendServerId, on: bool) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(id) {
             server.table.set_leaving(on);
-            server.leaving_since = on.then_some(now);
+            server.draining_since = on.then_some(now);
         }
-        self.after_server(id);
+        self.answer_server_watches(id);
     }
 
-    /// Takes the store down, or up again.
+    /// Makes the store unreachable, or reachable again.
     pub fn set_store_down(&mut self, down: bool) {
         self.faults.store_down = down;
     }
 
-    /// Loses the next answers of the store, after they took effect.
+    /// Drops the next `n` replies of the store, whose requests take effect.
     pub fn lose_store_answers(&mut self, n: u32) {
         self.faults.lose_store_answers = n;
     }
 
-    /// Loses that many messages in a thousand, and delays each by up to so long.
+    /// Sets the message loss rate, per thousand, and the longest delay of a message, in milliseconds.
     pub fn set_network(&mut self, loss_permille: u32, max_delay_ms: u64) {
         self.faults.loss_permille = loss_permille;
         self.faults.max_delay_ms = max_delay_ms;
     }
 
-    /// Whether a box has left or died.
+    /// Returns whether a box is not running, because it drained or crashed.
     pub fn has_left(&self, id: &BoxId) -> bool {
-        self.live_life(id).is_none()
+        self.running_incarnation(id).is_none()
     }
 
-    /// Starts every box that is dead or has left with a new life.
+    /// Starts every box that is not running, under a new incarnation.
     pub fn start_all(&mut self) {
         for id in self.box_ids() {
             self.start_box(&id);
         }
     }
 
-    /// Ends all faults; dead boxes start anew and paused ones go on.
+    /// Ends all faults, resumes paused boxes and starts the boxes that are not running.
     pub fn heal(&mut self) {
         self.faults = Faults::default();
         for id in self.box_ids() {
--- a/crates/test-utils/src/lib.rs
+++ b/crates/test-utils/src/lib.rs
@@ -1,11 +1,13 @@
-//! Helpers for tests: several entry boxes with stand-ins in one thread and virtual time, and a
-//! caller that retries like a real one.
+//! Helpers for tests of the entry boxes.
+//!
+//! [`Cluster`] runs several boxes with stand-ins of the platform and of backend servers in one thread and virtual
+//! time. [`run_job`] is a caller over HTTP that retries, for tests with real processes.
 
 mod caller;
 mod cluster;
 mod events;
+mod external;
 mod faults;
-mod outside;
 mod virtual_caller;
 
 pub use crate::{
--- a/crates/test-utils/src/virtual_caller.rs
+++ b/crates/test-utils/src/virtual_caller.rs
@@ -1,4 +1,4 @@
-//! Callers in virtual time: each has one job, and goes from box to box until its end is known.
+//! Callers in virtual time. Each submits one job, and retries through other boxes until it receives the outcome.
 
 use entry::{CallerReply, CallerRequest, JobAnswer, Submission};
 use model::{BoxId, Duration, JobId, JobSpec, Moment, Outcome};
@@ -6,14 +6,14 @@
 
 use crate::{Cluster, events::Event};
 
-/// Pause before a caller asks again, unless the reply names a time.
+/// Pause before a caller retries; a longer pause that the reply names takes precedence.
 const PAUSE: Duration = Duration::from_millis(200);
-/// How long a caller lets a box wait for the end of its job.
+/// Time that a caller lets a box wait for the outcome of its job.
 const WAIT: Duration = Duration::from_secs(5);
-/// A caller takes a box that does not reply for this long for gone.
-const PATIENCE: Duration = Duration::from_secs(9);
+/// Time after which a caller abandons a call that has no reply.
+const CALL_TIMEOUT: Duration = Duration::from_secs(9);
 
-/// The number of a caller.
+/// Number of a caller, in the order of submission from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CallerId(pub usize);
 
@@ -23,7 +23,7 @@
     cancel: bool,
     sent: u32,
     outcome: Option<Outcome>,
-    over: bool,
+    finished: bool,
     pub(crate) not_run: Vec<JobId>,
     pub(crate) log: Vec<(Moment, BoxId, String)>,
 }
@@ -35,7 +35,7 @@
 }
 
 impl Cluster {
-    /// A new caller hands in a job through a box.
+    /// Submits a job of a new caller through the box `first`; retries go through random boxes.
     pub fn submit(&mut self, spec: JobSpec, durable: bool, first: &BoxId) -> CallerId {
         let id = CallerId(self.callers.len());
         let caller = VirtualCaller {
@@ -44,50 +44,51 @@
             cancel: false,
             sent: 0,
             outcome: None,
-            over: false,
+            finished: false,
             not_run: Vec::new(),
             log: Vec::new(),
         };
         self.callers.push(caller);
-        self.ask(id, Some(first.clone()), Duration::ZERO);
+        self.send_request(id, Some(first.clone()), Duration::ZERO);
         id
     }
 
-    /// A caller takes its job back.
+    /// Makes a caller cancel its job with its next request.
     pub fn cancel(&mut self, id: CallerId) {
         self.callers[id.0].cancel = true;
     }
 
-    /// The end of a caller's job, once it is known.
+    /// Returns the outcome of a caller's job; `None` until the caller has received it.
     pub fn outcome(&self, id: CallerId) -> Option<&Outcome> {
         self.callers[id.0].outcome.as_ref()
     }
 
-    /// Callers that do not know the end of their job.
+    /// Returns the callers that are still waiting for the end of their job.
     pub fn open_callers(&self) -> Vec<CallerId> {
-        let open = self.callers.iter().enumerate().filter(|(_, caller)| !caller.over);
+        let open = self.callers.iter().enumerate().filter(|(_, caller)| !caller.finished);
         open.map(|(n, _)| CallerId(n)).collect()
     }
 
-    /// What a caller was told, and when.
+    /// Returns the job of a caller with its requests and replies as text, for the message of a failed test.
     pub fn story(&self, id: CallerId) -> String {
         let caller = &self.callers[id.0];
         let mut text = format!("{:?}", caller.spec);
-        for (at, id, said) in &caller.log {
-            text.push_str(&format!("\n  {at} {id}: {said}"));
+        for (at, id, event) in &caller.log {
+            text.push_str(&format!("\n  {at} {id}: {event}"));
         }
         text
     }
 
-    /// How many callers there are.
+    /// Returns the number of callers.
     pub fn caller_count(&self) -> usize {
         self.callers.len()
     }
 
-    /// A caller was told that its request was not run: nothing may have run of it so far.
+    /// Checks that no task of a request has run when its caller is told that the request was not run.
     fn check_has_not_run(&mut self, spec: &JobSpec) {
-        let of = |run: &RunRecord| run.task.spec.customer == spec.customer && run.task.spec.request == spec.request;
-        let ran = self.servers.values().any(|s| s.table.runs.iter().chain(&s.old_runs).any(of));
+        let belongs =
+            |run: &RunRecord| run.task.spec.customer == spec.customer && run.task.spec.request == spec.request;
+        let ran = self.servers.values().any(|s| s.table.runs.iter().chain(&s.old_runs).any(belongs));
         if ran {
             self.oracle.saw_violation(Violation::RanAfterAll {
                 customer: spec.customer.clone(),
@@ -97,7 +98,7 @@
         }
     }
 
-    fn ask(&mut self, id: CallerId, to: Option<BoxId>, pause: Duration) {
+    fn send_request(&mut self, id: CallerId, to: Option<BoxId>, pause: Duration) {
         let boxes = self.box_ids();
         let to = to.unwrap_or_else(|| boxes[self.rng.usize(0..boxes.len())].clone());
         let caller = &mut self.callers[id.0];
@@ -116,41 +117,41 @@
             })
         };
         caller.sent += 1;
-        caller.log.push((self.now, to.clone(), "asked".to_owned()));
+        caller.log.push((self.now, to.clone(), "request sent".to_owned()));
         let call = self.new_call();
         let arrives = self.now + pause + Duration::from_millis(1 + self.rng.u64(0..10));
         self.queue.push(arrives, Event::AtBox { caller: id, id: to, req, call });
-        self.queue.push(arrives + PATIENCE, Event::AtCaller { caller: id, reply: None, call });
+        self.queue.push(arrives + CALL_TIMEOUT, Event::AtCaller { caller: id, reply: None, call });
     }
 
-    pub(crate) fn at_caller(&mut self, id: CallerId, reply: Option<CallerReply>) {
+    pub(crate) fn handle_caller_reply(&mut self, id: CallerId, reply: Option<CallerReply>) {
         let now = self.now;
         let caller = &mut self.callers[id.0];
-        if caller.over {
+        if caller.finished {
             return;
         }
         caller.log.push((now, "caller".parse().expect("a valid id"), format!("{reply:?}")));
         let Some(CallerReply::Job(answer)) = reply else {
-            return self.ask(id, None, PAUSE);
+            return self.send_request(id, None, PAUSE);
         };
         match answer {
             JobAnswer::Ended { job, outcome: Outcome::NotRun { retry_after: Some(after), .. } } => {
                 caller.not_run.push(job);
                 let spec = caller.spec.clone();
                 self.check_has_not_run(&spec);
-                self.ask(id, None, after.max(PAUSE));
+                self.send_request(id, None, after.max(PAUSE));
             }
             JobAnswer::Ended { outcome, .. } => {
                 caller.outcome = Some(outcome);
-                caller.over = true;
+                caller.finished = true;
             }
-            // It ended for another caller of the same request, or for an earlier call of this one.
-            JobAnswer::Over { .. } => caller.over = true,
-            // A cancellation that found nothing: the job is nowhere, so it is handed in no more.
-            JobAnswer::NotKnown if caller.cancel => caller.over = true,
-            JobAnswer::Unsettled { retry_after, .. } => self.ask(id, None, retry_after.max(PAUSE)),
+            // The job ended under another caller of the same request or an earlier call of this one.
+            JobAnswer::Over { .. } => caller.finished = true,
+            // The cancellation found no such job, so that there is nothing left to submit or cancel.
+            JobAnswer::NotKnown if caller.cancel => caller.finished = true,
+            JobAnswer::Unsettled { retry_after, .. } => self.send_request(id, None, retry_after.max(PAUSE)),
             JobAnswer::Pending { .. } | JobAnswer::Orphaned | JobAnswer::NotKnown | JobAnswer::NameInUse => {
-                self.ask(id, None, PAUSE)
+                self.send_request(id, None, PAUSE)
             }
         }
     }
