--- a/crates/entry/tests/crashes.rs
+++ b/crates/entry/tests/crashes.rs
@@ -54,7 +54,7 @@
     let starts = starts_until_given_up(&mut cluster, Duration::from_secs(1));
     // Each box that holds the job counts for itself; it goes from one availability zone to the other once.
     assert!(starts <= 6, "it began {starts} times");
-    assert!(matches!(cluster.outcome(caller), Some(Outcome::Failed { .. })), "{}", cluster.story(caller));
+    assert!(matches!(cluster.outcome(caller), Some(Outcome::Failed { .. })), "{}", cluster.transcript(caller));
     assert_eq!(cluster.violations(), vec![]);
 }
 
--- a/crates/entry/tests/failures.rs
+++ b/crates/entry/tests/failures.rs
@@ -27,7 +27,7 @@
         cluster.advance(Duration::from_secs(10));
     }
     assert_eq!(cluster.violations(), vec![]);
-    let open: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.story(id)).collect();
+    let open: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.transcript(id)).collect();
     assert!(open.is_empty(), "callers without an end:\n{}\n{}", open.join("\n"), cluster.statuses());
     cluster
 }
--- a/crates/entry/tests/fuzz.rs
+++ b/crates/entry/tests/fuzz.rs
@@ -126,7 +126,7 @@
             cluster.advance(Duration::from_secs(10));
         }
         assert_eq!(cluster.violations(), vec![]);
-        let stories: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.story(id)).collect();
+        let stories: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.transcript(id)).collect();
         assert!(stories.is_empty(), "callers without an end:\n{}", stories.join("\n"));
     }
 }
--- a/crates/entry/tests/promises.rs
+++ b/crates/entry/tests/promises.rs
@@ -89,7 +89,7 @@
     // And the availability zone goes on serving without the platform.
     let caller = cluster.submit(spec(1, 0, 2, 100), false, &a_box("az-1-box-1"));
     cluster.advance(Duration::from_secs(5));
-    assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.story(caller));
+    assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.transcript(caller));
 }
 
 #[test]
@@ -124,7 +124,7 @@
     cluster.advance(Duration::from_secs(40));
     assert!(cluster.has_left(&first), "{}", cluster.statuses());
     for caller in [running, waiting] {
-        assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.story(caller));
+        assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.transcript(caller));
     }
     // What may run only once ran once: nothing was cut off and begun again.
     assert_eq!(cluster.violations(), vec![]);
--- a/crates/test-utils/src/virtual_caller.rs
+++ b/crates/test-utils/src/virtual_caller.rs
@@ -70,7 +70,7 @@
     }
 
     /// Returns the job of a caller with its requests and replies as text, for the message of a failed test.
-    pub fn story(&self, id: CallerId) -> String {
+    pub fn transcript(&self, id: CallerId) -> String {
         let caller = &self.callers[id.0];
         let mut text = format!("{:?}", caller.spec);
         for (at, id, event) in &caller.log {
