--- a/crates/entry/tests/failures.rs
+++ b/crates/entry/tests/failures.rs
@@ -110,7 +110,7 @@
     cluster.kill_box(&a_box(b[0]));
     cluster.cut_box_from_servers(&a_box(b[1]), true);
     let s = cluster.server_ids()[3].clone();
-    cluster.leave_server(&s, true);
+    cluster.drain_server(&s, true);
     cluster.advance(Duration::from_millis(6897));
     cluster.submit(spec(1, 109, 84, 18098), false, &a_box(b[3]));
     cluster.pause_box(&a_box(b[2]));
@@ -329,7 +329,7 @@
     cluster.fail_server(&s, true);
     cluster.submit(spec(6, 172, 3, 8749), true, &a_box(b[0]));
     let s = cluster.server_ids()[1].clone();
-    cluster.leave_server(&s, true);
+    cluster.drain_server(&s, true);
     cluster.drain_box(&a_box(b[0]));
     check_settles(cluster);
 }
@@ -348,7 +348,7 @@
     cluster.cut_box_from_platform(&a_box(b[1]), true);
     cluster.advance(Duration::from_millis(12008));
     let s = cluster.server_ids()[3].clone();
-    cluster.leave_server(&s, true);
+    cluster.drain_server(&s, true);
     cluster.submit(spec(5, 118, 59, 3224), false, &a_box(b[3]));
     cluster.lose_store_answers(3);
     cluster.pause_box(&a_box(b[1]));
@@ -358,7 +358,7 @@
     cluster.advance(Duration::from_millis(4657));
     cluster.drain_box(&a_box(b[3]));
     let s = cluster.server_ids()[3].clone();
-    cluster.leave_server(&s, true);
+    cluster.drain_server(&s, true);
     cluster.submit(spec(6, 242, 98, 15288), false, &a_box(b[0]));
     cluster.drain_box(&a_box(b[2]));
     cluster.advance(Duration::from_millis(1712));
@@ -392,7 +392,7 @@
     cluster.kill_box(&a_box(b[0]));
     cluster.submit(spec(2, 112, 34, 3079), false, &a_box(b[3]));
     let s = cluster.server_ids()[0].clone();
-    cluster.leave_server(&s, false);
+    cluster.drain_server(&s, false);
     cluster.advance(Duration::from_millis(4226));
     let s = cluster.server_ids()[4].clone();
     cluster.restart_server(&s);
--- a/crates/entry/tests/fuzz.rs
+++ b/crates/entry/tests/fuzz.rs
@@ -158,7 +158,7 @@
         Step::CutServer { server, on } => cluster.cut_server(&a_server(server), on),
         Step::RestartServer { server } => cluster.restart_server(&a_server(server)),
         Step::FailServer { server, on } => cluster.fail_server(&a_server(server), on),
-        Step::LeaveServer { server, on } => cluster.leave_server(&a_server(server), on),
+        Step::LeaveServer { server, on } => cluster.drain_server(&a_server(server), on),
         Step::StoreDown { on } => cluster.set_store_down(on),
         Step::LoseStoreAnswers { n } => cluster.lose_store_answers(n),
         Step::Network { loss_permille, max_delay_ms } => cluster.set_network(loss_permille, max_delay_ms),
--- a/crates/test-utils/src/faults.rs
+++ b/crates/test-utils/src/faults.rs
@@ -128,7 +128,7 @@
     }
 
     /// Marks a backend server as draining, or ends its draining.
-    pub fn leave_server(&mut self, id: &BackendServerId, on: bool) {
+    pub fn drain_server(&mut self, id: &BackendServerId, on: bool) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(id) {
             server.table.set_leaving(on);
@@ -174,7 +174,7 @@
         }
         for id in self.server_ids() {
             self.fail_server(&id, false);
-            self.leave_server(&id, false);
+            self.drain_server(&id, false);
             self.queue.push(self.now, Event::ServerWake(id));
         }
     }
