--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -1,8 +1,8 @@
-//! Faults that can be ordered while a stand-in runs.
+//! Faults that tests inject into a running stand-in.
 
 use std::sync::Mutex;
 
-/// Faults of one stand-in. All off at first.
+/// Faults of one stand-in. All are off by default.
 #[derive(Debug, Default)]
 pub struct Faults {
     inner: Mutex<Inner>,
@@ -17,14 +17,14 @@
     stale_list: bool,
 }
 
-/// What happens to one call.
+/// Fault that applies to one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It goes through.
+    /// The call is handled and answered.
     None,
-    /// It is not seen.
+    /// The call is dropped before it takes effect.
     Down,
-    /// It takes effect, and its answer is lost.
+    /// The call takes effect, and its answer is dropped.
     LoseAnswer,
 }
 
@@ -37,52 +37,52 @@
         self.inner.lock().expect("no holder panics").clone()
     }
 
-    /// Every call takes so many milliseconds longer.
+    /// Delays every call by `ms` milliseconds.
     pub fn set_slow(&self, ms: u64) {
         self.set(|f| f.slow_ms = ms);
     }
 
-    /// No call is seen while this is set: the stand-in is down or cut off.
+    /// Drops all calls while set, as if the stand-in were down or unreachable.
     pub fn set_down(&self, down: bool) {
         self.set(|f| f.down = down);
     }
 
-    /// The next `n` calls take effect, and their answers are lost.
+    /// Drops the answers of the next `n` calls, which take effect.
     pub fn lose_answers(&self, n: u32) {
         self.set(|f| f.lose_answers = n);
     }
 
-    /// Every task of the backend server fails soon after it began.
+    /// Makes every task of the backend server fail soon after its start.
     pub fn set_fail_tasks(&self, fail: bool) {
         self.set(|f| f.fail_tasks = fail);
     }
 
-    /// The list of boxes stays as it is.
+    /// Keeps the platform's list of boxes from changing while set.
     pub fn set_stale_list(&self, stale: bool) {
         self.set(|f| f.stale_list = stale);
     }
 
-    /// How much longer a call takes, in milliseconds.
+    /// Returns the delay of every call, in milliseconds.
     pub fn slow_ms(&self) -> u64 {
         self.get().slow_ms
     }
 
-    /// Whether the stand-in is down.
+    /// Returns whether all calls are dropped.
     pub fn is_down(&self) -> bool {
         self.get().down
     }
 
-    /// Whether the list is kept as it is.
+    /// Returns whether changes of the list of boxes are ignored.
     pub fn stale_list(&self) -> bool {
         self.get().stale_list
     }
 
-    /// Whether tasks fail.
+    /// Returns whether every task fails.
     pub fn fail_tasks(&self) -> bool {
         self.get().fail_tasks
     }
 
-    /// What happens to the next call; counts down the lost answers.
+    /// Returns the fault for the next call, and counts it against the answers to drop.
     pub fn next_call(&self) -> StoreFault {
         let mut inner = self.inner.lock().expect("no holder panics");
         if inner.down {
--- a/crates/standins/src/kv_table.rs
+++ b/crates/standins/src/kv_table.rs
@@ -1,19 +1,20 @@
-//! The platform's key-value service, as a table in memory and virtual time.
+//! Stand-in of the platform's key-value service: a table in memory and virtual time.
 
 use std::collections::BTreeMap;
 
 use model::{Duration, Moment};
 use outside::{StoreReply, StoreRequest, Versioned};
 
-/// Longest value, in bytes (brief).
-const MAX_VALUE: usize = 1_000_000;
+/// Longest value, in bytes, by the platform's rules. A longer one is refused as a conflict.
+const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Keys and values; a version counts all writes, so that a key made anew never repeats one.
+/// Keys and values with their versions. A version is the number of writes to the whole table, so that a key that
+/// expired and is created again never has an earlier version.
 #[derive(Debug, Default)]
 pub struct KvTable {
     entries: BTreeMap<String, Entry>,
     last_version: u64,
-    /// Calls that wrote, and calls that read.
+    /// Numbers of write calls and of read calls.
     pub calls: (u64, u64),
 }
 
@@ -25,7 +26,7 @@
 }
 
 impl KvTable {
-    /// Carries out one request; a `Watch` answers at once with what stands there.
+    /// Carries out one request. A `Watch` returns the current value at once; waiting is up to the caller.
     pub fn call(&mut self, req: &StoreRequest, now: Moment) -> StoreReply {
         self.entries.retain(|_, e| e.expires.is_none_or(|at| at > now));
         match req {
@@ -55,7 +56,7 @@
         }
     }
 
-    /// What stands at a key, without counting as a call: for a watch that waits.
+    /// Returns the value of a key without counting a call, for a watch that is waiting.
     pub fn look(&mut self, key: &str, now: Moment) -> StoreReply {
         self.entries.retain(|_, e| e.expires.is_none_or(|at| at > now));
         StoreReply::Found { value: self.get(key) }
@@ -67,7 +68,7 @@
     }
 
     fn write(&mut self, key: &str, value: &str, ttl: Option<Duration>, now: Moment) -> StoreReply {
-        if value.len() > MAX_VALUE {
+        if value.len() > MAX_VALUE_BYTES {
             return StoreReply::Conflict { value: self.get(key) };
         }
         self.last_version += 1;
--- a/crates/standins/src/lease_row.rs
+++ b/crates/standins/src/lease_row.rs
@@ -1,41 +1,49 @@
-//! One row of a lease table.
+//! A row of a lease table: one lease and the state of its task.
 
 use backend::{Holder, Lease, TaskSpec, TaskState};
 use model::{CustomerId, Duration, JobId, LeaseToken, Moment, RequestId};
 
-/// A task on a backend server that fails everything fails after this long.
+/// Run time after which a task fails on a backend server that fails every task.
 const FAIL_AFTER: Duration = Duration::from_millis(10);
-/// A lease and what its task does.
+
+/// A lease, with the state and the timing of its task.
 pub(crate) struct Row {
     pub(crate) task: TaskSpec,
     pub(crate) holder: Holder,
     pub(crate) token: LeaseToken,
     pub(crate) state: TaskState,
+    /// Version of the table at the last change of this row.
     pub(crate) changed: u64,
+    /// Time at which the lease expires.
     pub(crate) until: Moment,
     pub(crate) began: Option<Moment>,
+    /// Time at which the task finishes; `None` before its start.
     pub(crate) done_at: Option<Moment>,
+    /// Time at which the task stops after a checkpoint; `None` if none is requested.
     pub(crate) stop_at: Option<Moment>,
     pub(crate) ended: Option<Moment>,
+    /// Work done before this run, from the checkpoint that it resumed.
     pub(crate) progress: Duration,
+    /// Index of the run in the table's record of runs; `None` unless the task is running.
     pub(crate) run: Option<usize>,
     pub(crate) acknowledged: bool,
 }
 
-pub(crate) fn request_name(task: &TaskSpec) -> (CustomerId, RequestId) {
+pub(crate) fn request_key(task: &TaskSpec) -> (CustomerId, RequestId) {
     (task.spec.customer.clone(), task.spec.request.clone())
 }
 
-/// What happens to a row by time alone.
+/// Change of a row that is due to the passing of time.
 pub(crate) enum Event {
     Lapse,
     Stop,
-    BadServer,
+    ServerFault,
     Done,
 }
 
 impl Row {
-    /// What happens next, and when.
+    /// Returns the next change by time and when it is due; `None` once the lease holds no resources. If every task
+    /// fails, `fail_since` is the start of that fault.
     pub(crate) fn next_event(&self, fail_since: Option<Moment>) -> Option<(Moment, Event)> {
         if !self.state.holds() {
             return None;
@@ -51,13 +59,13 @@
         consider(self.stop_at, Event::Stop);
         consider(self.done_at, Event::Done);
         if let (Some(since), Some(began)) = (fail_since, self.began) {
-            consider(Some(since.max(began + FAIL_AFTER)), Event::BadServer);
+            consider(Some(since.max(began + FAIL_AFTER)), Event::ServerFault);
         }
         Some(next)
     }
 
-    /// The row as it stands in the table.
-    pub(crate) fn line(&self, job: &JobId, now: Moment) -> Lease {
+    /// Returns the lease as a table update lists it.
+    pub(crate) fn lease(&self, job: &JobId, now: Moment) -> Lease {
         let spec = &self.task.spec;
         Lease {
             job: job.clone(),
--- a/crates/standins/src/lease_table.rs
+++ b/crates/standins/src/lease_table.rs
@@ -1,4 +1,4 @@
-//! A backend server's lease table, in memory and virtual time.
+//! Stand-in of a backend server: its lease table, in memory and virtual time.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,53 +12,54 @@
 
 use crate::{
     Work,
-    lease_row::{Event, Row, request_name},
+    lease_row::{Event, Row, request_key},
 };
 
-/// How long an ended lease and its answer are kept unless acknowledged.
+/// Time that an ended lease and its answer are kept, unless they are acknowledged earlier.
 const RETENTION: Duration = Duration::from_secs(3600);
-/// How long a token that was seen is remembered; a ticket may wait for a day at most.
-const MEMORY: Duration = Duration::from_secs(48 * 3600);
-/// How long a stand-in task takes to write a checkpoint.
+/// Time that the highest token of a job is kept. It exceeds the day for which a ticket may wait.
+const TOKEN_RETENTION: Duration = Duration::from_secs(48 * 3600);
+/// Time that a task takes to write a checkpoint.
 const CHECKPOINT_COST: Duration = Duration::from_millis(20);
-/// Removed lines that a watch can still be told of one by one.
-const REMOVED_KEPT: usize = 1024;
+/// Number of removed rows that are kept, so that a watch can list them instead of sending the full table.
+const MAX_REMOVED: usize = 1024;
 
-/// Progress of checkpointed jobs, shared by the backend servers of a test: the platform's part.
+/// Progress of checkpointed jobs, shared by the backend servers of a test as the platform's storage would be.
 pub type Checkpoints = Arc<Mutex<BTreeMap<(CustomerId, RequestId), Duration>>>;
 
-/// One stretch in which a task ran, for oracles.
+/// Record of one run of a task, for oracles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
     /// The job.
     pub job: JobId,
-    /// Attempt and epoch when it began.
+    /// Attempt and epoch at the start of the run.
     pub token: LeaseToken,
-    /// What ran.
+    /// The task that ran.
     pub task: TaskSpec,
-    /// Since when.
+    /// Start of the run.
     pub began: Moment,
-    /// Until when, and how it ended; `None` while it runs.
+    /// End of the run and the state in which it ended; `None` while the task is running.
     pub ended: Option<(Moment, TaskState)>,
 }
 
-/// The table of one backend server.
+/// Lease table of one backend server, and the tasks that it simulates.
 pub struct LeaseTable {
     info: ServerInfo,
-    life: u64,
-    born: Moment,
+    incarnation: u64,
+    started: Moment,
     version: u64,
     rows: BTreeMap<JobId, Row>,
     seen: BTreeMap<JobId, Seen>,
     removed: VecDeque<(u64, JobId)>,
     document: Option<String>,
     checkpoints: Checkpoints,
-    /// Since when every task fails.
+    /// Time since which every task fails; `None` without that fault.
     fail_since: Option<Moment>,
-    /// Every stretch in which a task ran.
+    /// All runs of tasks, in the order of their starts.
     pub runs: Vec<RunRecord>,
 }
 
+/// Highest token received for a job, and whether the job has run.
 struct Seen {
     token: LeaseToken,
     ran: bool,
@@ -66,12 +67,12 @@
 }
 
 impl LeaseTable {
-    /// An empty table; `life` differs from that of every earlier table of this backend server.
-    pub fn new(info: ServerInfo, life: u64, checkpoints: Checkpoints, born: Moment) -> LeaseTable {
+    /// Creates an empty table. `incarnation` must differ from that of every earlier table of this backend server.
+    pub fn new(info: ServerInfo, incarnation: u64, checkpoints: Checkpoints, started: Moment) -> LeaseTable {
         LeaseTable {
             info,
-            life,
-            born,
+            incarnation,
+            started,
             version: 1,
             rows: BTreeMap::new(),
             seen: BTreeMap::new(),
@@ -83,54 +84,54 @@
         }
     }
 
-    /// The id of the backend server.
+    /// Returns the id of the backend server.
     pub fn id(&self) -> &BackendServerId {
         &self.info.id
     }
 
-    /// What it says of itself.
+    /// Returns the backend server's description of itself.
     pub fn info(&self) -> &ServerInfo {
         &self.info
     }
 
-    /// From now on every task fails soon after it began, or no longer does.
+    /// Makes every task fail soon after its start, or ends this fault.
     pub fn set_fail_tasks(&mut self, fail: bool, now: Moment) {
         self.fail_since = fail.then(|| self.fail_since.unwrap_or(now));
     }
 
-    /// Marks the backend server as leaving or staying.
+    /// Marks the backend server as draining, or ends its draining.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.info.leaving = leaving;
         self.version += 1;
     }
 
-    /// The table's version, which rises with each change.
+    /// Returns the version of the table, which rises with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The configuration that it was last told.
+    /// Returns the configuration in force with its revision; `None` before the first.
     pub fn document(&self) -> Option<(Revision, &str)> {
         Some((self.info.revision, self.document.as_deref()?))
     }
 
-    /// Where a job's lease stands here, if one is known.
+    /// Returns the token and state of a job's lease; `None` if the table has no row for the job.
     pub fn state_of(&self, job: &JobId) -> Option<(LeaseToken, &TaskState)> {
         self.rows.get(job).map(|row| (row.token, &row.state))
     }
 
-    /// Free resources.
+    /// Returns the free resources.
     pub fn free(&self) -> Resources {
         let held: Resources = self.rows.values().filter(|r| r.state.holds()).map(|r| r.task.resources()).sum();
         self.info.resources.saturating_sub(&held)
     }
 
-    /// When [`LeaseTable::advance`] next has something to do.
+    /// Returns the time of the next change that [`LeaseTable::advance`] would make; `None` if no change is due.
     pub fn next_event(&self) -> Option<Moment> {
         self.rows.values().filter_map(|r| r.next_event(self.fail_since)).map(|(at, _)| at).min()
     }
 
-    /// Lets time pass: tasks end, leases lapse.
+    /// Applies all changes due by `now`: ends tasks, expires leases, and removes old records.
     pub fn advance(&mut self, now: Moment) {
         let jobs: Vec<JobId> = self.rows.keys().cloned().collect();
         for job in jobs {
@@ -143,12 +144,12 @@
         self.purge(now);
     }
 
-    /// Carries out one request. A `Watch` answers at once, perhaps with no change.
+    /// Carries out one request. A `Watch` returns at once, even without a change; waiting is up to the caller.
     pub fn call(&mut self, req: BackendRequest, now: Moment) -> BackendReply {
         self.advance(now);
         let result = match req {
             BackendRequest::Reserve { job, token, holder, task, ttl, ticket_age } => {
-                let remembers = now.since(self.born).min(MEMORY);
+                let remembers = now.since(self.started).min(TOKEN_RETENTION);
                 match task.spec.repeatable || ticket_age <= remembers {
                     true => self.reserve(job, token, holder, task, now + ttl, now),
                     false => Err(Refusal::TooYoung { remembers }),
@@ -258,7 +259,7 @@
     fn begin(&mut self, job: &JobId, now: Moment) {
         let run = self.runs.len();
         let row = self.rows.get_mut(job).expect("the caller has read the row");
-        let name = request_name(&row.task);
+        let name = request_key(&row.task);
         let resumed = self.checkpoints.lock().expect("no holder panics").get(&name).copied();
         row.progress = if row.task.resume { resumed.unwrap_or_default() } else { Duration::ZERO };
         let left = Work::of(&row.task.spec).run_ms.saturating_sub(row.progress.millis());
@@ -306,7 +307,7 @@
         let seen = self.seen.entry(job.clone()).or_insert(Seen { token, ran: false, at: now });
         seen.token = seen.token.max(token);
         seen.at = now;
-        let remembers = now.since(self.born).min(MEMORY);
+        let remembers = now.since(self.started).min(TOKEN_RETENTION);
         Ok(BackendReply::Stopped { ran: seen.ran, remembers })
     }
 
@@ -381,7 +382,9 @@
         Ok(BackendReply::Configured { revision })
     }
 
-    /// The row of exactly this token.
+    /// Returns the row of a job if its token equals `token`.
+    ///
+    /// Fails with `Stale` if a higher token was received for the job, and with `UnknownLease` otherwise.
     fn current(&self, job: &JobId, token: LeaseToken) -> Result<&Row, Refusal> {
         match self.rows.get(job) {
             Some(row) if row.token == token => Ok(row),
@@ -397,6 +400,7 @@
         Refusal::Stale { seen, holder }
     }
 
+    /// Marks a row as changed at a new version of the table, and returns it.
     fn touch(&mut self, job: &JobId) -> &mut Row {
         self.version += 1;
         let row = self.rows.get_mut(job).expect("the caller has read the row");
@@ -411,7 +415,7 @@
         let state = match event {
             Event::Lapse => TaskState::Lapsed { ran },
             Event::Stop => TaskState::Stopped { ran, checkpointed: spec.checkpointable && ran },
-            Event::BadServer => TaskState::Failed { why: format!("{} fails every task", self.info.id) },
+            Event::ServerFault => TaskState::Failed { why: format!("{} fails every task", self.info.id) },
             Event::Done => match Work::of(spec).fail {
                 Some(why) => TaskState::Failed { why },
                 None => {
@@ -424,7 +428,7 @@
             && let Some(began) = row.began
         {
             let progress = row.progress + at.since(began);
-            self.checkpoints.lock().expect("no holder panics").insert(request_name(&row.task), progress);
+            self.checkpoints.lock().expect("no holder panics").insert(request_key(&row.task), progress);
         }
         self.end(job, at, state);
     }
@@ -439,28 +443,28 @@
     }
 
     fn purge(&mut self, now: Moment) {
-        let gone = |row: &Row| row.ended.is_some_and(|at| row.acknowledged || now.since(at) > RETENTION);
-        let jobs: Vec<JobId> = self.rows.iter().filter(|(_, row)| gone(row)).map(|(job, _)| job.clone()).collect();
+        let removable = |row: &Row| row.ended.is_some_and(|at| row.acknowledged || now.since(at) > RETENTION);
+        let jobs: Vec<JobId> = self.rows.iter().filter(|(_, row)| removable(row)).map(|(job, _)| job.clone()).collect();
         for job in jobs {
             self.rows.remove(&job);
             self.version += 1;
             self.removed.push_back((self.version, job));
         }
-        while self.removed.len() > REMOVED_KEPT {
+        while self.removed.len() > MAX_REMOVED {
             self.removed.pop_front();
         }
-        self.seen.retain(|job, seen| self.rows.contains_key(job) || now.since(seen.at) < MEMORY);
+        self.seen.retain(|job, seen| self.rows.contains_key(job) || now.since(seen.at) < TOKEN_RETENTION);
     }
 
     fn update(&self, table: u64, since: u64, now: Moment) -> TableUpdate {
         let oldest_removed = self.removed.front().map_or(0, |(version, _)| *version);
-        let full = table != self.life || (self.removed.len() == REMOVED_KEPT && since < oldest_removed);
+        let full = table != self.incarnation || (self.removed.len() == MAX_REMOVED && since < oldest_removed);
         let since = if full { 0 } else { since };
         let changed = |row: &&Row| row.changed > since;
-        let leases = self.rows.iter().filter(|(_, row)| changed(row)).map(|(job, row)| row.line(job, now));
+        let leases = self.rows.iter().filter(|(_, row)| changed(row)).map(|(job, row)| row.lease(job, now));
         let removed = self.removed.iter().filter(|(version, _)| *version > since).map(|(_, job)| job.clone());
         TableUpdate {
-            table: self.life,
+            table: self.incarnation,
             version: self.version,
             full,
             leases: leases.collect(),
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -1,9 +1,9 @@
-//! Small stand-ins for what lies outside: backend servers and the platform.
+//! Stand-ins of external systems for tests: backend servers and the platform.
 //!
-//! [`LeaseTable`] and [`KvTable`] are pure and run in virtual time, for fuzzing; [`serve_backend`]
-//! and [`serve_platform`] put them behind HTTP on loopback, for the quickstart and the tests with
-//! real processes. Faults are ordered through [`Faults`]. This is no cluster simulator: there is
-//! no model of networks, load or hardware.
+//! [`LeaseTable`] and [`KvTable`] do no I/O and take the time as an argument, so that fuzz tests run them in virtual
+//! time. [`serve_backend`] and [`serve_platform`] serve them over HTTP on loopback, for the quickstart and the tests
+//! with real processes. [`Faults`] injects faults, and [`Oracle`] checks what ran and what callers were told. There
+//! is no model of networks, load or hardware.
 
 mod faults;
 mod kv_table;
--- a/crates/standins/src/oracle.rs
+++ b/crates/standins/src/oracle.rs
@@ -1,5 +1,5 @@
-//! What must always hold, checked from the outside: from what ran on the backend servers and what
-//! callers were told. It knows nothing of the code under test.
+//! Checks the guarantees of the service from its external effects: which tasks ran on the backend servers, and which
+//! outcomes callers received. The checks share no logic with the code under test.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,105 +9,105 @@
 
 use crate::{RunRecord, Work};
 
-/// A promise that was broken.
+/// Violation of a guarantee.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Violation {
-    /// A member ran for longer than allowed while another member of its gang did not.
+    /// A member of a gang ran without another member for longer than allowed.
     #[display("partial gang: {job} attempt {attempt} ran on {ran} for {alone} without {missing}")]
     PartialGang {
         /// The job.
         job: JobId,
         /// The attempt.
         attempt: Attempt,
-        /// A member that ran.
+        /// Backend server of the member that ran.
         ran: BackendServerId,
-        /// A member that did not.
+        /// Backend server of the member that did not run.
         missing: BackendServerId,
-        /// For how long.
+        /// Time that the member ran without the other.
         alone: Duration,
     },
-    /// A member began while another had not been armed.
-    #[display("began in part: {job} attempt {attempt} began on {began} while {missing} was not armed")]
+    /// A member of a gang started while another had not been armed.
+    #[display("partial start: {job} attempt {attempt} started on {began} while {missing} was not armed")]
     BeganInPart {
         /// The job.
         job: JobId,
         /// The attempt.
         attempt: Attempt,
-        /// The member that began.
+        /// Backend server of the member that started.
         began: BackendServerId,
-        /// The member that was not armed.
+        /// Backend server of the member that was not armed.
         missing: BackendServerId,
     },
-    /// A caller was given something else than the whole answer to its own request.
+    /// A caller received something else than the complete answer to its request.
     #[display("wrong answer: {customer}/{request} got {got:?}")]
     WrongAnswer {
-        /// Whose request.
+        /// Customer of the request.
         customer: CustomerId,
-        /// Which.
+        /// Id of the request.
         request: RequestId,
-        /// What was given.
+        /// Start of the text that the caller received.
         got: String,
     },
-    /// A request ran although its caller was told that it was not run.
-    #[display("ran after all: {customer}/{request}, told {told}")]
+    /// A request ran although its caller was told that it had not run.
+    #[display("ran, but reported as not run: {customer}/{request}, reported {reported}")]
     RanAfterAll {
-        /// Whose request.
+        /// Customer of the request.
         customer: CustomerId,
-        /// Which.
+        /// Id of the request.
         request: RequestId,
-        /// What the caller was told.
-        told: String,
+        /// Outcome that the caller received.
+        reported: String,
     },
-    /// A request that may run only once ran more often.
+    /// A request that may run only once ran several times.
     #[display("ran {times} times: {customer}/{request} is not repeatable")]
     RanTwice {
-        /// Whose request.
+        /// Customer of the request.
         customer: CustomerId,
-        /// Which.
+        /// Id of the request.
         request: RequestId,
-        /// How often.
+        /// Number of attempts that started without a checkpoint.
         times: usize,
     },
-    /// A backend server was given new work when it had been leaving for long enough.
-    #[display("new work: {server} was given work {after} after it began to leave")]
+    /// A draining backend server accepted new work.
+    #[display("new work: {server} accepted work {after} after it started to drain")]
     WorkWhileLeaving {
         /// The backend server.
         server: BackendServerId,
-        /// How long it had been leaving.
+        /// Time since the start of the draining.
         after: Duration,
     },
-    /// A configuration was in force and then an older one.
+    /// An older configuration replaced a newer one.
     #[display("reverted: {who} went from revision {from} to {to}")]
     Reverted {
-        /// The box or backend server.
+        /// Box or backend server, with its incarnation.
         who: String,
-        /// Before.
+        /// Revision in force before.
         from: Revision,
-        /// After.
+        /// Older revision that replaced it.
         to: Revision,
     },
-    /// A guarantee was not given back in time.
+    /// A request of a guaranteed shape did not start in time.
     #[display("late guarantee: {customer}/{request} waited {waited} for its guaranteed shape")]
     LateGuarantee {
-        /// Whose guarantee.
+        /// Customer with the guarantee.
         customer: CustomerId,
         /// The request that waited.
         request: RequestId,
-        /// How long.
+        /// Time that it waited.
         waited: Duration,
     },
 }
 
-/// What a caller was finally told.
+/// Final outcome that a caller received.
 #[derive(Debug, Clone)]
 pub struct Final {
-    /// The request.
+    /// Job that the caller submitted.
     pub spec: JobSpec,
-    /// The outcome.
+    /// Outcome of the job.
     pub outcome: Outcome,
 }
 
-/// Collects what was seen.
+/// Collects observations of runs, outcomes and revisions, and checks the guarantees against them.
 #[derive(Debug, Default)]
 pub struct Oracle {
     runs: Vec<(BackendServerId, RunRecord)>,
@@ -118,22 +118,22 @@
 }
 
 impl Oracle {
-    /// Everything that ran on a backend server.
+    /// Records runs on a backend server.
     pub fn saw_runs(&mut self, server: &BackendServerId, runs: &[RunRecord]) {
         self.runs.extend(runs.iter().map(|run| (server.clone(), run.clone())));
     }
 
-    /// What a caller was finally told.
+    /// Records the final outcome that a caller received.
     pub fn saw_final(&mut self, it: Final) {
         self.finals.push(it);
     }
 
-    /// A ticket of which a caller was told, for good or for now, that it was not run.
+    /// Records that a caller was told, finally or with a time to retry, that this job was not run.
     pub fn saw_not_run(&mut self, job: JobId) {
         self.not_run.insert(job);
     }
 
-    /// A revision in force somewhere.
+    /// Records the revision in force on a box or backend server. A revision lower than the last one is a violation.
     pub fn saw_revision(&mut self, who: &str, revision: Revision) {
         let last = self.revisions.entry(who.to_owned()).or_default();
         if revision < *last {
@@ -142,20 +142,20 @@
         *last = revision;
     }
 
-    /// A violation that was found elsewhere.
+    /// Records a violation that the test itself detected.
     pub fn saw_violation(&mut self, violation: Violation) {
         self.found.insert(violation);
     }
 
-    /// Every promise that was broken. `remainder` is the longest that the rest of a gang may go on
-    /// once a member is lost; `now` ends what still runs.
+    /// Returns all violations. `remainder` is the longest time that the remaining members of a gang may run after a
+    /// member was lost. Tasks that are still running count as running until `now`.
     pub fn check(&self, remainder: Duration, now: Moment) -> Vec<Violation> {
         let mut found = self.found.clone();
         self.check_gangs(remainder, now, &mut found);
         self.check_answers(&mut found);
         self.check_not_run(&mut found);
-        self.check_tickets(&mut found);
-        self.check_once(&mut found);
+        self.check_jobs_not_run(&mut found);
+        self.check_single_runs(&mut found);
         found.into_iter().collect()
     }
 
@@ -167,7 +167,7 @@
         for ((job, attempt), runs) in attempts {
             for (server, run) in &runs {
                 for member in &run.task.members {
-                    let alone = alone(run, runs.get(&member.server).copied(), now);
+                    let alone = time_alone(run, runs.get(&member.server).copied(), now);
                     if alone > remainder {
                         found.insert(Violation::PartialGang {
                             job: job.clone(),
@@ -198,33 +198,33 @@
 
     fn check_not_run(&self, found: &mut BTreeSet<Violation>) {
         for it in &self.finals {
-            let told_not = match it.outcome {
+            let reported_not_run = match it.outcome {
                 Outcome::NotRun { .. } => true,
                 Outcome::Cancelled { ran } => !ran && !it.spec.repeatable,
                 _ => false,
             };
-            if told_not && self.runs.iter().any(|(_, run)| is_of(run, &it.spec)) {
+            if reported_not_run && self.runs.iter().any(|(_, run)| belongs_to(run, &it.spec)) {
                 found.insert(Violation::RanAfterAll {
                     customer: it.spec.customer.clone(),
                     request: it.spec.request.clone(),
-                    told: it.outcome.to_string(),
+                    reported: it.outcome.to_string(),
                 });
             }
         }
     }
 
-    fn check_tickets(&self, found: &mut BTreeSet<Violation>) {
+    fn check_jobs_not_run(&self, found: &mut BTreeSet<Violation>) {
         for (_, run) in self.runs.iter().filter(|(_, run)| self.not_run.contains(&run.job)) {
             found.insert(Violation::RanAfterAll {
                 customer: run.task.spec.customer.clone(),
                 request: run.task.spec.request.clone(),
-                told: format!("ticket {} was not run", run.job),
+                reported: format!("job {} was not run", run.job),
             });
         }
     }
 
-    /// Attempts that began afresh count; one that goes on from a checkpoint is the same run.
-    fn check_once(&self, found: &mut BTreeSet<Violation>) {
+    /// Counts attempts that started from the beginning; an attempt that resumes from a checkpoint continues a run.
+    fn check_single_runs(&self, found: &mut BTreeSet<Violation>) {
         let mut fresh: BTreeMap<(&CustomerId, &RequestId), BTreeSet<(&JobId, Attempt)>> = BTreeMap::new();
         for (_, run) in &self.runs {
             let spec = &run.task.spec;
@@ -243,12 +243,12 @@
     }
 }
 
-fn is_of(run: &RunRecord, spec: &JobSpec) -> bool {
+fn belongs_to(run: &RunRecord, spec: &JobSpec) -> bool {
     run.task.spec.customer == spec.customer && run.task.spec.request == spec.request
 }
 
-/// How long `run` went on while the other member did not run, and had not finished its part.
-fn alone(run: &RunRecord, other: Option<&RunRecord>, now: Moment) -> Duration {
+/// Returns how long `run` was running while the other member had not started, or had ended without finishing.
+fn time_alone(run: &RunRecord, other: Option<&RunRecord>, now: Moment) -> Duration {
     let end = |run: &RunRecord| run.ended.as_ref().map_or(now, |(at, _)| *at);
     let Some(other) = other else { return end(run).since(run.began) };
     let before = other.began.min(end(run)).since(run.began);
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -1,4 +1,4 @@
-//! The stand-ins behind HTTP/1 on loopback.
+//! HTTP/1 servers on loopback for the stand-ins.
 
 use std::{
     net::SocketAddr,
@@ -21,21 +21,21 @@
 
 type Body = http_body_util::Full<Bytes>;
 
-/// How often a waiting watch looks again.
-const WATCH_STEP: Duration = Duration::from_millis(5);
+/// Interval between the checks of a waiting watch.
+const WATCH_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A backend server that runs until this is dropped.
+/// Handle of a served backend server, which stops when the handle is dropped.
 pub struct BackendHandle {
-    /// Where it answers.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Faults of this stand-in.
     pub faults: Arc<Faults>,
     shared: Arc<BackendShared>,
     _task: Task<()>,
 }
 
 impl BackendHandle {
-    /// Its table, brought to the present.
+    /// Locks and returns the lease table, with all changes due by now applied.
     pub fn table(&self) -> MutexGuard<'_, LeaseTable> {
         self.shared.table()
     }
@@ -60,7 +60,7 @@
     }
 
     async fn watch(&self, req: BackendRequest) -> BackendReply {
-        let BackendRequest::Watch { table: life, since, wait } = &req else {
+        let BackendRequest::Watch { table: incarnation, since, wait } = &req else {
             return self.table().call(req, self.now());
         };
         let until = self.now() + *wait;
@@ -69,10 +69,10 @@
             let BackendReply::Table(update) = &reply else {
                 return reply;
             };
-            if update.table != *life || update.version != *since || self.now() >= until {
+            if update.table != *incarnation || update.version != *since || self.now() >= until {
                 return reply;
             }
-            smol::Timer::after(WATCH_STEP).await;
+            smol::Timer::after(WATCH_INTERVAL).await;
         }
     }
 }
@@ -80,18 +80,18 @@
 impl Handler for BackendShared {
     fn handle(&self, call: Call) -> BoxFuture<'_, Option<Response<Body>>> {
         Box::pin(async move {
-            let fault = enter(&self.faults).await?;
+            let fault = admit(&self.faults).await?;
             let req = match read_json::<BackendRequest>(&call) {
                 Ok(req) => req,
                 Err(res) => return Some(res),
             };
             let reply = self.watch(req).await;
-            leave(&self.faults, fault, &reply)
+            respond(&self.faults, fault, &reply)
         })
     }
 }
 
-/// Serves a lease table on a free port of loopback.
+/// Serves a lease table on a free port of loopback. Fails if no port can be bound.
 pub async fn serve_backend(table: LeaseTable, clock: Arc<SystemClock>) -> std::io::Result<BackendHandle> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
@@ -101,25 +101,25 @@
     Ok(BackendHandle { addr, faults, shared, _task: task })
 }
 
-/// The platform, which runs until this is dropped.
+/// Handle of the served platform, which stops when the handle is dropped.
 pub struct PlatformHandle {
-    /// Where it answers.
+    /// Address that it listens on.
     pub addr: SocketAddr,
-    /// Its faults.
+    /// Faults of this stand-in.
     pub faults: Arc<Faults>,
     shared: Arc<PlatformShared>,
     _task: Task<()>,
 }
 
 impl PlatformHandle {
-    /// Sets the list of boxes, unless a fault keeps it as it is.
+    /// Sets the list of boxes. Has no effect during the fault of a stale list.
     pub fn set_boxes(&self, boxes: Vec<ListedBox>) {
         if !self.faults.stale_list() {
             *self.shared.boxes.lock().expect("no holder panics") = boxes;
         }
     }
 
-    /// The key-value service's table.
+    /// Locks and returns the table of the key-value service.
     pub fn store(&self) -> MutexGuard<'_, KvTable> {
         self.shared.store.lock().expect("no holder panics")
     }
@@ -141,7 +141,7 @@
         let until = self.clock.now() + *wait;
         let mut reply = reply;
         while self.clock.now() < until && version_of(&reply) <= *above {
-            smol::Timer::after(WATCH_STEP).await;
+            smol::Timer::after(WATCH_INTERVAL).await;
             reply = self.store.lock().expect("no holder panics").look(key, self.clock.now());
         }
         reply
@@ -162,22 +162,22 @@
 impl Handler for PlatformShared {
     fn handle(&self, call: Call) -> BoxFuture<'_, Option<Response<Body>>> {
         Box::pin(async move {
-            let fault = enter(&self.faults).await?;
+            let fault = admit(&self.faults).await?;
             if call.path == outside::LISTING_PATH {
                 let boxes = self.boxes.lock().expect("no holder panics").clone();
-                return leave(&self.faults, fault, &boxes);
+                return respond(&self.faults, fault, &boxes);
             }
             let req = match read_json::<StoreRequest>(&call) {
                 Ok(req) => req,
                 Err(res) => return Some(res),
             };
             let reply = self.store_call(&req).await;
-            leave(&self.faults, fault, &reply)
+            respond(&self.faults, fault, &reply)
         })
     }
 }
 
-/// Serves an empty platform on a free port of loopback.
+/// Serves a platform with an empty store and no boxes on a free port of loopback. Fails if no port can be bound.
 pub async fn serve_platform() -> std::io::Result<PlatformHandle> {
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
@@ -192,8 +192,8 @@
     Ok(PlatformHandle { addr, faults, shared, _task: task })
 }
 
-/// Waits out slowness; `None` when the call is not to be seen.
-async fn enter(faults: &Faults) -> Option<StoreFault> {
+/// Delays a call by the configured time and returns its fault; `None` if the call is to be dropped.
+async fn admit(faults: &Faults) -> Option<StoreFault> {
     let slow = faults.slow_ms();
     if slow > 0 {
         smol::Timer::after(Duration::from_millis(slow)).await;
@@ -202,8 +202,8 @@
     (fault != StoreFault::Down).then_some(fault)
 }
 
-/// The reply, unless it is to be lost or the stand-in went down while the call waited.
-fn leave(faults: &Faults, fault: StoreFault, reply: &impl serde::Serialize) -> Option<Response<Body>> {
+/// Returns the response; `None` if it is to be dropped or the stand-in went down during the call.
+fn respond(faults: &Faults, fault: StoreFault, reply: &impl serde::Serialize) -> Option<Response<Body>> {
     if fault == StoreFault::LoseAnswer || faults.is_down() {
         return None;
     }
--- a/crates/standins/src/work.rs
+++ b/crates/standins/src/work.rs
@@ -1,24 +1,24 @@
-//! What a stand-in task does, read from the job's payload.
+//! Behaviour of a stand-in task, given by the job's payload.
 
 use model::JobSpec;
 use serde::{Deserialize, Serialize};
 
-/// Instructions to a stand-in task. A payload that is none stands for a task that runs as long as declared.
+/// Instructions to a stand-in task, in JSON as the job's payload.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Work {
-    /// How long the task runs, in milliseconds.
+    /// Run time of the task, in milliseconds.
     pub run_ms: u64,
-    /// The failure that it reports at the end, on whichever backend server.
+    /// Failure that the task reports at its end, on any backend server; `None` if it succeeds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fail: Option<String>,
-    /// Length of the answer, in bytes.
+    /// Least length of the answer, in bytes.
     #[serde(default)]
     pub answer_bytes: usize,
 }
 
 impl Work {
-    /// The work of this job.
+    /// Returns the work of a job. If its payload is not a `Work`, the task runs for its declared time and succeeds.
     pub fn of(spec: &JobSpec) -> Work {
         serde_json::from_str(&spec.payload).unwrap_or(Work {
             run_ms: spec.declared.millis(),
@@ -27,13 +27,13 @@
         })
     }
 
-    /// The work as a payload.
+    /// Returns the work as a payload.
     pub fn to_payload(&self) -> String {
-        serde_json::to_string(self).expect("our own types always serialize")
+        serde_json::to_string(self).expect("the work serializes")
     }
 
-    /// The one right answer to this job: it names its customer and request, so that a foreign
-    /// answer shows.
+    /// Returns the expected answer to a job. It names the customer and the request, so that a test detects the
+    /// answer of another job.
     pub fn answer(spec: &JobSpec) -> String {
         let name = format!("answer to {}/{};", spec.customer, spec.request);
         let len = Work::of(spec).answer_bytes.max(name.len());
--- a/crates/test-utils/src/virtual_caller.rs
+++ b/crates/test-utils/src/virtual_caller.rs
@@ -93,7 +93,7 @@
             self.oracle.saw_violation(Violation::RanAfterAll {
                 customer: spec.customer.clone(),
                 request: spec.request.clone(),
-                told: "for now, that it was not run".to_owned(),
+                reported: "as not run, with a time to retry".to_owned(),
             });
         }
     }
