--- a/crates/martend/examples/quickstart/report.rs
+++ b/crates/martend/examples/quickstart/report.rs
@@ -25,10 +25,10 @@
     print_store(world);
     let mut oracle = Oracle::default();
     for (id, handle) in &world.servers {
-        oracle.saw_runs(id, &handle.table().runs);
+        oracle.record_runs(id, &handle.table().runs);
     }
     for it in done.iter().filter_map(Done::as_final) {
-        oracle.saw_final(it);
+        oracle.record_final(it);
     }
     let remainder = Duration::from_millis(LEASE_MS + SLACK_MS);
     let violations = oracle.check(remainder, world.clock.now());
--- a/crates/martend/tests/processes.rs
+++ b/crates/martend/tests/processes.rs
@@ -211,10 +211,10 @@
         let (spec, outcome) = caller.await;
         let outcome = outcome.unwrap_or_else(|| panic!("{} has no outcome", spec.request));
         done += usize::from(matches!(outcome, Outcome::Done { .. }));
-        oracle.saw_final(Final { spec, outcome });
+        oracle.record_final(Final { spec, outcome });
     }
     for (id, handle) in &outside.servers {
-        oracle.saw_runs(id, &handle.table().runs);
+        oracle.record_runs(id, &handle.table().runs);
     }
     let remainder = model::Duration::from_millis(2 * LEASE_MS + 10_000);
     assert_eq!(oracle.check(remainder, outside.clock.now()), vec![]);
--- a/crates/standins/src/oracle.rs
+++ b/crates/standins/src/oracle.rs
@@ -119,22 +119,22 @@
 
 impl Oracle {
     /// Records runs on a backend server.
-    pub fn saw_runs(&mut self, server: &BackendServerId, runs: &[RunRecord]) {
+    pub fn record_runs(&mut self, server: &BackendServerId, runs: &[RunRecord]) {
         self.runs.extend(runs.iter().map(|run| (server.clone(), run.clone())));
     }
 
     /// Records the final outcome that a caller received.
-    pub fn saw_final(&mut self, it: Final) {
+    pub fn record_final(&mut self, it: Final) {
         self.finals.push(it);
     }
 
     /// Records that a caller was told, finally or with a time to retry, that this job was not run.
-    pub fn saw_not_run(&mut self, job: JobId) {
+    pub fn record_not_run(&mut self, job: JobId) {
         self.not_run.insert(job);
     }
 
     /// Records the revision in force on a box or backend server. A revision lower than the last one is a violation.
-    pub fn saw_revision(&mut self, who: &str, revision: Revision) {
+    pub fn record_revision(&mut self, who: &str, revision: Revision) {
         let last = self.revisions.entry(who.to_owned()).or_default();
         if revision < *last {
             self.found.insert(Violation::Reverted { who: who.to_owned(), from: *last, to: revision });
@@ -143,7 +143,7 @@
     }
 
     /// Records a violation that the test itself detected.
-    pub fn saw_violation(&mut self, violation: Violation) {
+    pub fn record_violation(&mut self, violation: Violation) {
         self.found.insert(violation);
     }
 
--- a/crates/test-utils/src/cluster.rs
+++ b/crates/test-utils/src/cluster.rs
@@ -238,15 +238,15 @@
         let mut oracle = Oracle::default();
         for (id, server) in &mut self.servers {
             server.table.advance(self.now);
-            oracle.saw_runs(id, &server.old_runs);
-            oracle.saw_runs(id, &server.table.runs);
+            oracle.record_runs(id, &server.old_runs);
+            oracle.record_runs(id, &server.table.runs);
         }
         for caller in &self.callers {
             for job in &caller.not_run {
-                oracle.saw_not_run(job.clone());
+                oracle.record_not_run(job.clone());
             }
             if let Some(it) = caller.as_final() {
-                oracle.saw_final(it);
+                oracle.record_final(it);
             }
         }
         self.record_revisions();
@@ -262,12 +262,12 @@
             if let Some(entry) = &it.entry {
                 let revision = entry.status(self.now).revision;
                 // A new incarnation starts without a revision, so revisions are compared within one incarnation.
-                self.oracle.saw_revision(&format!("{id}@{}", it.box_incarnation.incarnation), revision);
+                self.oracle.record_revision(&format!("{id}@{}", it.box_incarnation.incarnation), revision);
             }
         }
         for (id, server) in &self.servers {
             let revision = server.table.document().map_or(Revision(0), |(revision, _)| revision);
-            self.oracle.saw_revision(&format!("{id}@{}", server.incarnations), revision);
+            self.oracle.record_revision(&format!("{id}@{}", server.incarnations), revision);
         }
     }
 
--- a/crates/test-utils/src/external.rs
+++ b/crates/test-utils/src/external.rs
@@ -48,7 +48,8 @@
             let free_before = server.table.free();
             let reply = server.table.call(req.clone(), now);
             if free_before != server.table.free() {
-                self.oracle.saw_violation(Violation::WorkWhileLeaving { server: id.clone(), after: now.since(since) });
+                self.oracle
+                    .record_violation(Violation::WorkWhileLeaving { server: id.clone(), after: now.since(since) });
             }
             return self.reply_from_server(from, op, id, req, reply, call);
         }
@@ -80,7 +81,7 @@
                     None => other.incarnations > 1,
                 };
                 if !armed {
-                    self.oracle.saw_violation(Violation::BeganInPart {
+                    self.oracle.record_violation(Violation::BeganInPart {
                         job: run.job.clone(),
                         attempt: run.token.attempt,
                         began: began.clone(),
--- a/crates/test-utils/src/virtual_caller.rs
+++ b/crates/test-utils/src/virtual_caller.rs
@@ -90,7 +90,7 @@
             |run: &RunRecord| run.task.spec.customer == spec.customer && run.task.spec.request == spec.request;
         let ran = self.servers.values().any(|s| s.table.runs.iter().chain(&s.old_runs).any(belongs));
         if ran {
-            self.oracle.saw_violation(Violation::RanAfterAll {
+            self.oracle.record_violation(Violation::RanAfterAll {
                 customer: spec.customer.clone(),
                 request: spec.request.clone(),
                 reported: "as not run, with a time to retry".to_owned(),
