--- a/crates/standins/src/kv_table.rs
+++ b/crates/standins/src/kv_table.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns the value of a key without counting a call, for a watch that is waiting.
-    pub fn look(&mut self, key: &str, now: Moment) -> StoreReply {
+    pub fn peek(&mut self, key: &str, now: Moment) -> StoreReply {
         self.entries.retain(|_, e| e.expires.is_none_or(|at| at > now));
         StoreReply::Found { value: self.get(key) }
     }
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -142,7 +142,7 @@
         let mut reply = reply;
         while self.clock.now() < until && version_of(&reply) <= *above {
             smol::Timer::after(WATCH_INTERVAL).await;
-            reply = self.store.lock().expect("no holder panics").look(key, self.clock.now());
+            reply = self.store.lock().expect("no holder panics").peek(key, self.clock.now());
         }
         reply
     }
--- a/crates/test-utils/src/external.rs
+++ b/crates/test-utils/src/external.rs
@@ -160,7 +160,7 @@
         let mut replies = Vec::new();
         let mut waiting = Vec::new();
         for watcher in std::mem::take(&mut self.store_watchers) {
-            let reply = self.store.look(&watcher.key, now);
+            let reply = self.store.peek(&watcher.key, now);
             if store_version(&reply) > watcher.above || watcher.until <= now {
                 replies.push((watcher, reply));
             } else {
