--- a/crates/replay/src/lib.rs
+++ b/crates/replay/src/lib.rs
@@ -1,8 +1,8 @@
 //! Replays arrivals through a planner in virtual time, to measure policies side by side.
 //!
-//! There are no boxes, messages or leases here, only the pure policy and a model of how gangs run:
-//! a gang starts [`sim::START`] after it was placed, and a checkpoint takes [`sim::CHECKPOINT`].
-//! Arrivals are drawn from the users' brief by a fixed seed; see [`workload`].
+//! There are no boxes, messages or leases here, only the planner and a model of how gangs run: a gang starts
+//! [`sim::START`] after it was placed, and a checkpoint takes [`sim::CHECKPOINT`]. Arrivals are drawn with a fixed
+//! seed from the kinds of work in the platform's brief; see [`workload`].
 
 pub mod measure;
 pub mod sim;
--- a/crates/replay/src/measure.rs
+++ b/crates/replay/src/measure.rs
@@ -1,4 +1,4 @@
-//! What a replay measures.
+//! Measures of a replay: times by class, counts of jobs and runs, and use of the accelerators.
 
 use std::{collections::BTreeMap, time};
 
@@ -7,68 +7,72 @@
 
 use crate::workload::Arrival;
 
-/// Digits kept by histograms.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of the histograms' values.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Times of one class, in milliseconds.
+/// Times of the jobs of one class, in milliseconds except for `slowdown`.
 #[derive(Debug, Clone)]
 pub struct ClassTimes {
-    /// From arrival to end.
+    /// Time from arrival to completion.
     pub completion: Histogram<u64>,
-    /// From arrival to first start.
+    /// Time from arrival to the first start.
     pub start: Histogram<u64>,
-    /// Completion over run time, in thousandths.
+    /// Completion time divided by run time, in thousandths.
     pub slowdown: Histogram<u64>,
-    /// Run times alone on an empty availability zone.
+    /// Run time in an otherwise empty availability zone: a lower bound of the completion time.
     pub alone: Histogram<u64>,
 }
 
 impl Default for ClassTimes {
     fn default() -> ClassTimes {
-        let new = || Histogram::new(DIGITS).expect("so many digits are allowed");
+        let new = || Histogram::new(SIGNIFICANT_DIGITS).expect("the number of digits is allowed");
         ClassTimes { completion: new(), start: new(), slowdown: new(), alone: new() }
     }
 }
 
-/// Everything that a replay measures.
+/// Measures of one replay, or of several merged.
 #[derive(Debug, Clone, Default)]
 pub struct Measures {
-    /// By class.
+    /// Times by class.
     pub classes: BTreeMap<ClassId, ClassTimes>,
-    /// All classes together.
+    /// Times of all classes together.
     pub all: ClassTimes,
-    /// Start delay of jobs with a right to a guaranteed shape, in milliseconds.
+    /// Times of jobs that were entitled to a guaranteed shape on arrival; only `start` is recorded.
     pub reclaim: ClassTimes,
-    /// Jobs that came.
+    /// Number of jobs that arrived.
     pub arrived: usize,
-    /// Jobs refused because they can never run.
+    /// Number of jobs refused because they can never run.
     pub refused: usize,
-    /// Jobs taken back.
+    /// Number of jobs cancelled while they waited.
     pub cancelled: usize,
-    /// Jobs ended after failing.
+    /// Number of jobs that ended as failed.
     pub failed: usize,
-    /// Runs that failed.
+    /// Number of runs that failed.
     pub failed_runs: usize,
-    /// Runs stopped to make room.
+    /// Number of runs preempted for other jobs.
     pub preempted: usize,
-    /// Jobs still waiting at the end.
+    /// Number of jobs still waiting at the end.
     pub left_waiting: usize,
-    /// Accelerator-seconds of work thrown away.
+    /// Work lost to preemption without a checkpoint and to lost racks, in accelerator-seconds.
     pub lost: f64,
-    /// Seconds times free accelerators, and those that the largest gang could not use.
-    free: f64,
+    /// All accelerators over the time in which jobs waited, in accelerator-seconds.
+    waiting_capacity: f64,
+    /// Free accelerators that the largest gang could not use while jobs waited, in accelerator-seconds.
     unusable: f64,
+    /// Accelerators in use, in accelerator-seconds.
     busy: f64,
+    /// All accelerators, in accelerator-seconds.
     capacity: f64,
+    /// Duration of each plan.
     planning: Vec<time::Duration>,
 }
 
 impl Measures {
-    pub(crate) fn started(&mut self, it: &Arrival, delay: Duration, had_right: bool) {
+    pub(crate) fn started(&mut self, it: &Arrival, delay: Duration, entitled: bool) {
         let times = self.classes.entry(it.class.clone()).or_default();
         record(&mut times.start, delay.millis());
         record(&mut self.all.start, delay.millis());
-        if had_right {
+        if entitled {
             record(&mut self.reclaim.start, delay.millis());
         }
     }
@@ -91,33 +95,34 @@
         self.planning.push(took);
     }
 
+    /// Adds the use of the accelerators over `span` seconds.
     pub(crate) fn account(&mut self, span: f64, free: u32, usable: u32, capacity: u32, waiting: bool) {
         self.busy += span * f64::from(capacity - free);
         self.capacity += span * f64::from(capacity);
         if waiting {
-            self.free += span * f64::from(capacity);
+            self.waiting_capacity += span * f64::from(capacity);
             self.unusable += span * f64::from(free - usable);
         }
     }
 
-    /// While jobs wait: the part of all accelerators that is free and that the largest waiting or
-    /// guaranteed gang cannot use.
+    /// Returns the share of all accelerators, from 0 to 1, that were free but that the largest waiting or guaranteed
+    /// gang could not use, over the time in which jobs waited.
     pub fn fragmentation(&self) -> f64 {
-        if self.free > 0.0 { self.unusable / self.free } else { 0.0 }
+        if self.waiting_capacity > 0.0 { self.unusable / self.waiting_capacity } else { 0.0 }
     }
 
-    /// The part of all accelerator time that was used.
+    /// Returns the share of all accelerator time, from 0 to 1, that was used.
     pub fn utilization(&self) -> f64 {
         if self.capacity > 0.0 { self.busy / self.capacity } else { 0.0 }
     }
 
-    /// Mean and longest time of a round of planning.
+    /// Returns the mean and the longest duration of a plan.
     pub fn planning(&self) -> (time::Duration, time::Duration) {
         let sum: time::Duration = self.planning.iter().sum();
         (sum / self.planning.len().max(1) as u32, self.planning.iter().max().copied().unwrap_or_default())
     }
 
-    /// Adds another replay's measures.
+    /// Adds the measures of another replay.
     pub fn merge(&mut self, other: &Measures) {
         for (class, times) in &other.classes {
             add(self.classes.entry(class.clone()).or_default(), times);
@@ -132,7 +137,7 @@
         self.preempted += other.preempted;
         self.left_waiting += other.left_waiting;
         self.lost += other.lost;
-        self.free += other.free;
+        self.waiting_capacity += other.waiting_capacity;
         self.unusable += other.unusable;
         self.busy += other.busy;
         self.capacity += other.capacity;
--- a/crates/replay/src/sim.rs
+++ b/crates/replay/src/sim.rs
@@ -1,4 +1,4 @@
-//! Gangs in virtual time under one planner.
+//! Simulation of gangs in one availability zone, in virtual time and under one planner.
 
 use std::{
     cmp::Reverse,
@@ -11,49 +11,49 @@
 
 use crate::{measure::Measures, workload::Arrival};
 
-/// From the decision to the first task's start: three round trips and their processing.
+/// Delay from the decision to the start of a gang: three round trips and their processing.
 pub const START: Duration = Duration::from_millis(100);
-/// From the decision to the end of a checkpointed gang.
+/// Delay from the decision to preempt a gang with a checkpoint to its end.
 pub const CHECKPOINT: Duration = Duration::from_millis(1000);
-/// From the decision to the end of a gang that is stopped without a checkpoint.
+/// Delay from the decision to preempt a gang without a checkpoint to its end.
 const STOP: Duration = Duration::from_millis(100);
-/// A task on a worker that fails everything fails after this.
+/// Run time after which a gang fails on a backend server that fails every task.
 const FAIL_AFTER: Duration = Duration::from_secs(10);
-/// Jobs that fail on a worker in a row before it is closed, for every planner alike.
-const FAILURES: usize = 3;
-/// How long a closed worker stays closed.
-const CLOSED_FOR: Duration = Duration::from_secs(1800);
-/// A job that failed so often is ended.
+/// Consecutive failures on a backend server after which it is quarantined, under every planner.
+const MAX_CONSECUTIVE_FAILURES: usize = 3;
+/// Duration of a quarantine.
+const QUARANTINE: Duration = Duration::from_secs(1800);
+/// Number of failed runs after which a job ends as failed.
 const MAX_FAILURES: u32 = 3;
-/// Planning happens at least this often while jobs wait.
+/// Half of the longest time between plans while jobs wait and gangs run.
 const REPLAN: Duration = Duration::from_secs(2);
 
-/// Something that goes wrong.
+/// Fault or disturbance during a replay.
 #[derive(Debug, Clone)]
 pub enum Trouble {
-    /// A worker fails everything that it starts.
+    /// A backend server fails every task that it starts.
     FailAll {
-        /// The worker's backend server.
+        /// The backend server.
         server: BackendServerId,
-        /// From when.
+        /// Start of the fault.
         from: Moment,
-        /// Until when.
+        /// End of the fault.
         until: Moment,
     },
-    /// A rack is gone.
+    /// A rack is lost, with all gangs that have a member on it.
     LostRack {
         /// The rack.
         rack: RackId,
-        /// From when.
+        /// Start of the fault.
         from: Moment,
-        /// Until when.
+        /// End of the fault.
         until: Moment,
     },
-    /// Callers take back this part of the waiting jobs.
+    /// Callers cancel a share of the waiting jobs at once.
     CancelWave {
-        /// When.
+        /// Time of the cancellations.
         at: Moment,
-        /// 0 to 1.
+        /// Share of the waiting jobs, above 0 and at most 1.
         part: f64,
     },
 }
@@ -61,19 +61,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
+    /// A disturbance starts (`true`) or ends (`false`).
     Trouble(usize, bool),
-    Reopen(usize),
-    /// A gang ends; the number is that of its start, so that an event of an earlier start is stale.
+    /// The quarantine of a backend server ends.
+    EndQuarantine(usize),
+    /// A gang ends. The second number is that of its start, to ignore events of earlier starts.
     End(usize, u64),
     Replan,
 }
 
+/// State of a job that has not ended.
 struct Waiting {
     since: Moment,
+    /// Work saved by checkpoints.
     done: Duration,
     failures: u32,
     started: bool,
-    had_right: bool,
+    /// Whether the job was entitled to a guaranteed shape on arrival.
+    entitled: bool,
 }
 
 struct Gang {
@@ -87,11 +92,12 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Ending {
     Done,
+    /// The gang fails on this backend server.
     Failed(usize),
     Preempted,
 }
 
-/// One replay.
+/// One replay of arrivals in an availability zone. Backend servers and arrivals are identified by their indices.
 pub struct Sim<'a> {
     file: Arc<OperatorFile>,
     zone: AvailabilityZoneId,
@@ -105,16 +111,17 @@
     running: BTreeMap<usize, Gang>,
     failing: BTreeSet<usize>,
     lost: BTreeSet<usize>,
-    closed: BTreeSet<usize>,
+    quarantined: BTreeSet<usize>,
     failures: BTreeMap<usize, usize>,
     starts: u64,
-    replan_comes: bool,
+    is_replan_scheduled: bool,
+    /// Whether each arrival fits into the empty availability zone.
     possible: Vec<bool>,
     measures: Measures,
 }
 
 impl<'a> Sim<'a> {
-    /// A replay of `arrivals` in one availability zone of a file.
+    /// Creates a replay of `arrivals` in one availability zone of an operators' file, with the given disturbances.
     pub fn new(
         file: &Arc<OperatorFile>,
         zone: &AvailabilityZoneId,
@@ -151,22 +158,25 @@
             running: BTreeMap::new(),
             failing: BTreeSet::new(),
             lost: BTreeSet::new(),
-            closed: BTreeSet::new(),
+            quarantined: BTreeSet::new(),
             failures: BTreeMap::new(),
             starts: 0,
-            replan_comes: false,
+            is_replan_scheduled: false,
             possible,
             measures: Measures::default(),
         }
     }
 
-    /// Runs until nothing is left.
+    /// Runs the replay until no event is left, and returns its measures.
+    ///
+    /// Panics if the planner starts a job that isn't waiting, stops work that may not be stopped, or exceeds the
+    /// resources of a backend server.
     pub fn run(mut self) -> Measures {
         while let Some(Reverse((at, event))) = self.events.pop() {
             self.account(at);
             self.now = at;
-            self.happen(event);
-            // All events of one moment come before the planner sees it.
+            self.handle_event(event);
+            // The planner runs once all events of the same time are handled.
             let more = self.events.peek().is_some_and(|Reverse((next, _))| *next == at);
             if !more {
                 self.plan();
@@ -176,12 +186,12 @@
         self.measures
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive(n) => self.arrive(n),
             Event::Trouble(n, on) => self.trouble(n, on),
-            Event::Reopen(i) => {
-                self.closed.remove(&i);
+            Event::EndQuarantine(i) => {
+                self.quarantined.remove(&i);
                 self.failures.remove(&i);
             }
             Event::End(n, start) => {
@@ -189,31 +199,33 @@
                     self.end(n);
                 }
             }
-            Event::Replan => self.replan_comes = false,
+            Event::Replan => self.is_replan_scheduled = false,
         }
     }
 
     fn arrive(&mut self, n: usize) {
-        let had_right = self.has_right(n);
-        let state = Waiting { since: self.now, done: Duration::ZERO, failures: 0, started: false, had_right };
+        let entitled = self.is_entitled(n);
+        let state = Waiting { since: self.now, done: Duration::ZERO, failures: 0, started: false, entitled };
         self.waiting.insert(n, state);
         self.measures.arrived += 1;
     }
 
-    /// Whether the job's customer holds nothing and nothing of it waits, and the job is no more than
-    /// one of its guaranteed gangs: then it must start within the time of a checkpoint.
-    fn has_right(&self, n: usize) -> bool {
+    /// Returns whether a job is entitled to a guaranteed shape: its customer has no other job that runs or waits, no
+    /// backend server is faulty, and the job fits within one of the customer's guaranteed gangs. Such a job must
+    /// start within the time of a checkpoint.
+    fn is_entitled(&self, n: usize) -> bool {
         let it = &self.arrivals[n];
         let Some(customer) = self.file.customers.get(&it.customer) else { return false };
-        let alone = self.running.keys().chain(self.waiting.keys()).all(|m| self.arrivals[*m].customer != it.customer);
-        let whole = self.lost.is_empty() && self.closed.is_empty() && self.failing.is_empty();
-        let shape = customer.guarantees.iter().any(|g| {
+        let only_job =
+            self.running.keys().chain(self.waiting.keys()).all(|m| self.arrivals[*m].customer != it.customer);
+        let no_faults = self.lost.is_empty() && self.quarantined.is_empty() && self.failing.is_empty();
+        let guaranteed = customer.guarantees.iter().any(|g| {
             g.availability_zone == self.zone
                 && it.gang.tasks <= g.gang.tasks
                 && it.gang.within >= g.gang.within
                 && g.gang.per_task.contains(&it.gang.per_task)
         });
-        alone && whole && shape
+        only_job && no_faults && guaranteed
     }
 
     fn trouble(&mut self, n: usize, on: bool) {
@@ -227,8 +239,8 @@
                 }
             }
             Trouble::LostRack { rack, .. } => {
-                let places: Vec<usize> = (0..self.servers.len()).filter(|i| self.servers[*i].rack == *rack).collect();
-                for i in places {
+                let in_rack: Vec<usize> = (0..self.servers.len()).filter(|i| self.servers[*i].rack == *rack).collect();
+                for i in in_rack {
                     if on {
                         self.lost.insert(i);
                     } else {
@@ -249,12 +261,13 @@
     }
 
     fn index(&self, id: &BackendServerId) -> usize {
-        self.servers.iter().position(|s| s.id == *id).expect("troubles name servers of the file")
+        self.servers.iter().position(|s| s.id == *id).expect("disturbances name backend servers of the file")
     }
 
+    /// Ends the gangs with a member on a lost backend server, and requeues their jobs.
     fn lose_gangs(&mut self) {
-        let touched = |gang: &Gang| gang.members.iter().any(|m| self.lost.contains(&self.index(&m.server)));
-        let lost: Vec<usize> = self.running.iter().filter(|(_, gang)| touched(gang)).map(|(n, _)| *n).collect();
+        let affected = |gang: &Gang| gang.members.iter().any(|m| self.lost.contains(&self.index(&m.server)));
+        let lost: Vec<usize> = self.running.iter().filter(|(_, gang)| affected(gang)).map(|(n, _)| *n).collect();
         for n in lost {
             let gang = self.running.remove(&n).expect("the gang was just read");
             self.measures.lose(&self.arrivals[n], self.now.since(gang.began));
@@ -284,7 +297,7 @@
             Ending::Failed(i) => {
                 state.failures += 1;
                 self.measures.failed_runs += 1;
-                self.note_failure(i);
+                self.record_failure(i);
                 if state.failures >= MAX_FAILURES || !it.repeatable {
                     self.measures.failed += 1;
                 } else {
@@ -303,11 +316,12 @@
         }
     }
 
-    fn note_failure(&mut self, i: usize) {
+    /// Counts a failure on a backend server, and quarantines it after too many.
+    fn record_failure(&mut self, i: usize) {
         let failures = self.failures.entry(i).or_default();
         *failures += 1;
-        if *failures >= FAILURES && self.closed.insert(i) {
-            self.events.push(Reverse((self.now + CLOSED_FOR, Event::Reopen(i))));
+        if *failures >= MAX_CONSECUTIVE_FAILURES && self.quarantined.insert(i) {
+            self.events.push(Reverse((self.now + QUARANTINE, Event::EndQuarantine(i))));
         }
     }
 
@@ -316,9 +330,9 @@
             return;
         }
         let snapshot = self.snapshot();
-        let begun = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let decisions = self.planner.plan(&snapshot);
-        self.measures.planned(begun.elapsed());
+        self.measures.planned(started.elapsed());
         for decision in decisions {
             match decision {
                 Decision::Start { job, members } => self.start(job.serial as usize, members),
@@ -329,8 +343,8 @@
                 }
             }
         }
-        if !self.waiting.is_empty() && !self.replan_comes && !self.running.is_empty() {
-            self.replan_comes = true;
+        if !self.waiting.is_empty() && !self.is_replan_scheduled && !self.running.is_empty() {
+            self.is_replan_scheduled = true;
             self.events.push(Reverse((self.now + REPLAN + REPLAN, Event::Replan)));
         }
     }
@@ -338,7 +352,7 @@
     fn snapshot(&self) -> Snapshot {
         let mut servers = self.servers.clone();
         for (i, server) in servers.iter_mut().enumerate() {
-            server.open = !self.lost.contains(&i) && !self.closed.contains(&i);
+            server.open = !self.lost.contains(&i) && !self.quarantined.contains(&i);
         }
         let running = self.running.iter().map(|(n, gang)| {
             let it = &self.arrivals[*n];
@@ -374,12 +388,12 @@
     }
 
     fn start(&mut self, n: usize, members: Vec<Member>) {
-        let mut state = self.waiting.remove(&n).expect("planners start waiting jobs only");
+        let mut state = self.waiting.remove(&n).expect("the planner starts only waiting jobs");
         let it = &self.arrivals[n];
         let began = self.now + START;
         if !state.started {
             state.started = true;
-            self.measures.started(it, began.since(it.at), state.had_right);
+            self.measures.started(it, began.since(it.at), state.entitled);
         }
         let bad = members.iter().map(|m| self.index(&m.server)).find(|i| self.failing.contains(i));
         let left = Duration::from_millis(it.actual.millis().saturating_sub(state.done.millis()).max(1));
@@ -399,7 +413,10 @@
             return;
         }
         let it = &self.arrivals[n];
-        assert!(it.repeatable || it.checkpointable, "a planner stopped work that may not be stopped");
+        assert!(
+            it.repeatable || it.checkpointable,
+            "the planner preempted a job that is neither repeatable nor checkpointable"
+        );
         gang.ending = Ending::Preempted;
         self.starts += 1;
         gang.start = self.starts;
@@ -407,6 +424,7 @@
         self.events.push(Reverse((self.now.max(gang.began) + delay, Event::End(n, self.starts))));
     }
 
+    /// Checks that no backend server runs more than its resources allow.
     fn check_capacity(&self) {
         let mut used = vec![model::Resources::default(); self.servers.len()];
         for (n, gang) in &self.running {
@@ -415,19 +433,19 @@
             }
         }
         for (server, used) in self.servers.iter().zip(&used) {
-            assert!(server.resources.contains(used), "{} holds {used}, more than it has", server.id);
+            assert!(server.resources.contains(used), "{} runs {used}, which exceeds its resources", server.id);
         }
     }
 
-    /// Adds up fragmentation and use over the time since the last event.
+    /// Records fragmentation and use of the accelerators for the time since the last event.
     fn account(&mut self, until: Moment) {
         let span = until.since(self.now).secs_f64();
         if span <= 0.0 {
             return;
         }
-        let mut room = Room::empty(&self.servers);
+        let mut free_capacity = Room::empty(&self.servers);
         for (n, gang) in &self.running {
-            room.take(&gang.members, &self.arrivals[*n].gang.per_task);
+            free_capacity.take(&gang.members, &self.arrivals[*n].gang.per_task);
         }
         let waiting = self.waiting.keys().filter(|n| self.possible[**n]).map(|n| self.arrivals[*n].gang);
         let guaranteed =
@@ -435,9 +453,9 @@
         let largest = waiting.chain(guaranteed.map(|g| g.gang)).max_by_key(|gang| gang.total().accelerators);
         let Some(largest) = largest else { return };
         let (mut free, mut usable) = (0, 0);
-        for rack in room.racks() {
-            let here: u32 = rack.iter().map(|i| room.free(*i).accelerators).sum();
-            let tasks: u32 = rack.iter().map(|i| room.fits(*i, &largest.per_task)).sum();
+        for rack in free_capacity.racks() {
+            let here: u32 = rack.iter().map(|i| free_capacity.free(*i).accelerators).sum();
+            let tasks: u32 = rack.iter().map(|i| free_capacity.fits(*i, &largest.per_task)).sum();
             free += here;
             usable += tasks / largest.tasks * largest.total().accelerators;
         }
