--- a/crates/replay/src/sim.rs
+++ b/crates/replay/src/sim.rs
@@ -30,7 +30,7 @@
 
 /// Fault or disturbance during a replay.
 #[derive(Debug, Clone)]
-pub enum Trouble {
+pub enum Disturbance {
     /// A backend server fails every task that it starts.
     FailAll {
         /// The backend server.
@@ -62,7 +62,7 @@
 enum Event {
     Arrive(usize),
     /// A disturbance starts (`true`) or ends (`false`).
-    Trouble(usize, bool),
+    Disturbance(usize, bool),
     /// The quarantine of a backend server ends.
     EndQuarantine(usize),
     /// A gang ends. The second number is that of its start, to ignore events of earlier starts.
@@ -103,7 +103,7 @@
     zone: AvailabilityZoneId,
     servers: Vec<Server>,
     arrivals: &'a [Arrival],
-    troubles: &'a [Trouble],
+    disturbances: &'a [Disturbance],
     planner: Box<dyn Planner>,
     now: Moment,
     events: BinaryHeap<Reverse<(Moment, Event)>>,
@@ -126,7 +126,7 @@
         file: &Arc<OperatorFile>,
         zone: &AvailabilityZoneId,
         arrivals: &'a [Arrival],
-        troubles: &'a [Trouble],
+        disturbances: &'a [Disturbance],
         planner: Box<dyn Planner>,
     ) -> Sim<'a> {
         let here = file.backend_servers.values().filter(|s| s.availability_zone == *zone);
@@ -135,13 +135,15 @@
             .collect();
         let mut events = BinaryHeap::new();
         events.extend(arrivals.iter().enumerate().map(|(n, it)| Reverse((it.at, Event::Arrive(n)))));
-        for (n, trouble) in troubles.iter().enumerate() {
-            let (from, until) = match trouble {
-                Trouble::FailAll { from, until, .. } | Trouble::LostRack { from, until, .. } => (*from, Some(*until)),
-                Trouble::CancelWave { at, .. } => (*at, None),
+        for (n, disturbance) in disturbances.iter().enumerate() {
+            let (from, until) = match disturbance {
+                Disturbance::FailAll { from, until, .. } | Disturbance::LostRack { from, until, .. } => {
+                    (*from, Some(*until))
+                }
+                Disturbance::CancelWave { at, .. } => (*at, None),
             };
-            events.push(Reverse((from, Event::Trouble(n, true))));
-            events.extend(until.map(|until| Reverse((until, Event::Trouble(n, false)))));
+            events.push(Reverse((from, Event::Disturbance(n, true))));
+            events.extend(until.map(|until| Reverse((until, Event::Disturbance(n, false)))));
         }
         let empty = Room::empty(&servers);
         let possible = arrivals.iter().map(|it| empty.check_ever_fits(&it.gang).is_ok()).collect();
@@ -150,7 +152,7 @@
             zone: zone.clone(),
             servers,
             arrivals,
-            troubles,
+            disturbances,
             planner,
             now: Moment::ZERO,
             events,
@@ -189,7 +191,7 @@
     fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive(n) => self.arrive(n),
-            Event::Trouble(n, on) => self.trouble(n, on),
+            Event::Disturbance(n, on) => self.set_disturbance(n, on),
             Event::EndQuarantine(i) => {
                 self.quarantined.remove(&i);
                 self.failures.remove(&i);
@@ -228,9 +230,9 @@
         only_job && no_faults && guaranteed
     }
 
-    fn trouble(&mut self, n: usize, on: bool) {
-        match &self.troubles[n] {
-            Trouble::FailAll { server, .. } => {
+    fn set_disturbance(&mut self, n: usize, on: bool) {
+        match &self.disturbances[n] {
+            Disturbance::FailAll { server, .. } => {
                 let i = self.index(server);
                 if on {
                     self.failing.insert(i);
@@ -238,7 +240,7 @@
                     self.failing.remove(&i);
                 }
             }
-            Trouble::LostRack { rack, .. } => {
+            Disturbance::LostRack { rack, .. } => {
                 let in_rack: Vec<usize> = (0..self.servers.len()).filter(|i| self.servers[*i].rack == *rack).collect();
                 for i in in_rack {
                     if on {
@@ -249,7 +251,7 @@
                 }
                 self.lose_gangs();
             }
-            Trouble::CancelWave { part, .. } => {
+            Disturbance::CancelWave { part, .. } => {
                 let jobs: Vec<usize> = self.waiting.keys().copied().collect();
                 let every = (1.0 / part).round().max(1.0) as usize;
                 for n in jobs.into_iter().step_by(every) {
--- a/xtask/src/replays.rs
+++ b/xtask/src/replays.rs
@@ -7,7 +7,7 @@
 use policy::{CellPlanner, Easy, FirstFit, Planner};
 use replay::{
     measure::Measures,
-    sim::{Sim, Trouble},
+    sim::{Disturbance, Sim},
     workload::Deployment,
 };
 
@@ -51,18 +51,18 @@
         let accelerators = here().map(|s| s.resources.accelerators).sum();
         let arrivals = deployment.arrivals(accelerators, LENGTH, SEED + n as u64);
         let hours = |h: u64| Moment::ZERO + Duration::from_secs(h * 3600);
-        let troubles = [
-            Trouble::FailAll {
+        let disturbances = [
+            Disturbance::FailAll {
                 server: here().nth(2).expect("each availability zone has servers").id.clone(),
                 from: hours(6),
                 until: hours(8),
             },
-            Trouble::CancelWave { at: hours(12), part: 0.3 },
-            Trouble::LostRack { rack: "r2".parse().expect("a valid id"), from: hours(16), until: hours(17) },
+            Disturbance::CancelWave { at: hours(12), part: 0.3 },
+            Disturbance::LostRack { rack: "r2".parse().expect("a valid id"), from: hours(16), until: hours(17) },
         ];
         for ((name, make), (_, measures)) in PLANNERS.iter().zip(&mut results) {
             eprintln!("{deployment:?} {zone}: {} jobs under {name} ...", arrivals.len());
-            measures.merge(&Sim::new(file, zone, &arrivals, &troubles, make(zone)).run());
+            measures.merge(&Sim::new(file, zone, &arrivals, &disturbances, make(zone)).run());
         }
     }
     results
