--- a/crates/replay/src/sim.rs
+++ b/crates/replay/src/sim.rs
@@ -50,11 +50,11 @@
         until: Moment,
     },
     /// Callers cancel a share of the waiting jobs at once.
-    CancelWave {
+    CancelBurst {
         /// Time of the cancellations.
         at: Moment,
         /// Share of the waiting jobs, above 0 and at most 1.
-        part: f64,
+        share: f64,
     },
 }
 
@@ -140,7 +140,7 @@
                 Disturbance::FailAll { from, until, .. } | Disturbance::LostRack { from, until, .. } => {
                     (*from, Some(*until))
                 }
-                Disturbance::CancelWave { at, .. } => (*at, None),
+                Disturbance::CancelBurst { at, .. } => (*at, None),
             };
             events.push(Reverse((from, Event::Disturbance(n, true))));
             events.extend(until.map(|until| Reverse((until, Event::Disturbance(n, false)))));
@@ -251,9 +251,9 @@
                 }
                 self.lose_gangs();
             }
-            Disturbance::CancelWave { part, .. } => {
+            Disturbance::CancelBurst { share, .. } => {
                 let jobs: Vec<usize> = self.waiting.keys().copied().collect();
-                let every = (1.0 / part).round().max(1.0) as usize;
+                let every = (1.0 / share).round().max(1.0) as usize;
                 for n in jobs.into_iter().step_by(every) {
                     self.waiting.remove(&n);
                     self.measures.cancelled += 1;
--- a/xtask/src/replays.rs
+++ b/xtask/src/replays.rs
@@ -57,7 +57,7 @@
                 from: hours(6),
                 until: hours(8),
             },
-            Disturbance::CancelWave { at: hours(12), part: 0.3 },
+            Disturbance::CancelBurst { at: hours(12), share: 0.3 },
             Disturbance::LostRack { rack: "r2".parse().expect("a valid id"), from: hours(16), until: hours(17) },
         ];
         for ((name, make), (_, measures)) in PLANNERS.iter().zip(&mut results) {
