--- a/xtask/src/codegen.rs
+++ b/xtask/src/codegen.rs
@@ -1,12 +1,14 @@
-//! Makes the Rust code of the calls between boxes from its `.proto`, without `protoc`.
+//! Generates the Rust code of the calls between boxes from the `.proto` files. The files are compiled in Rust, so that
+//! `protoc` need not be installed.
 
 use std::{fs, path::PathBuf};
 
-const INCLUDE: &str = "crates/wire/proto";
+const INCLUDE_DIR: &str = "crates/wire/proto";
 
-/// One definition and what is made of it.
+/// A `.proto` file and the code generated from it, as paths from the root of the workspace.
 struct Definition {
     proto: &'static str,
+    /// Name that the generator gives to the file of the package.
     package_file: &'static str,
     generated: &'static str,
 }
@@ -24,39 +26,43 @@
     },
 ];
 
-/// The root of the workspace.
+/// Returns the root of the workspace.
 pub(crate) fn root() -> PathBuf {
     let mut root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     root.pop();
     root
 }
 
-/// Writes the generated code.
+/// Generates the code and writes it to the source tree.
 pub(crate) fn write() -> Result<String, String> {
     for definition in &DEFINITIONS {
         let code = generate(definition)?;
         let path = definition.generated;
         fs::write(root().join(path), code).map_err(|e| format!("{path}: {e}"))?;
     }
-    Ok("the generated code is written".to_owned())
+    Ok("wrote the generated code".to_owned())
 }
 
-/// Compares the committed code with what would be generated.
+/// Checks that the committed code equals the generated code.
 pub(crate) fn check() -> Result<String, String> {
     for definition in &DEFINITIONS {
         let path = definition.generated;
         let committed = fs::read_to_string(root().join(path)).map_err(|e| format!("{path}: {e}"))?;
         if committed != generate(definition)? {
-            return Err(format!("{path} is not what {} gives: run `cargo xtask codegen`", definition.proto));
+            return Err(format!(
+                "{path} differs from the code generated from {}: run `cargo xtask codegen`",
+                definition.proto
+            ));
         }
     }
-    Ok("the generated code is fresh".to_owned())
+    Ok("the generated code is up to date".to_owned())
 }
 
 fn generate(definition: &Definition) -> Result<String, String> {
     let root = root();
     let proto = definition.proto;
-    let descriptors = protox::compile([root.join(proto)], [root.join(INCLUDE)]).map_err(|e| format!("{proto}: {e}"))?;
+    let descriptors =
+        protox::compile([root.join(proto)], [root.join(INCLUDE_DIR)]).map_err(|e| format!("{proto}: {e}"))?;
     let dir = root.join("target/codegen");
     fs::create_dir_all(&dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     tonic_prost_build::configure()
@@ -64,8 +70,8 @@
         .out_dir(&dir)
         .compile_fds(descriptors)
         .map_err(|e| format!("{proto}: {e}"))?;
-    let made = dir.join(definition.package_file);
-    let code = fs::read_to_string(&made).map_err(|e| format!("{}: {e}", made.display()))?;
+    let generated = dir.join(definition.package_file);
+    let code = fs::read_to_string(&generated).map_err(|e| format!("{}: {e}", generated.display()))?;
     let file = proto.rsplit('/').next().unwrap_or(proto);
     Ok(format!("// Made by `cargo xtask codegen` from proto/{file}; do not edit.\n{code}"))
 }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,5 @@
-//! Chores of the project: `cargo xtask codegen`, `cargo xtask tidy`.
+//! Development tasks of the project, run as `cargo xtask COMMAND`: code generation, measurements of planners, and
+//! checks that the linter can't make.
 
 mod codegen;
 mod plans;
@@ -11,11 +12,11 @@
 const USAGE: &str = "usage: cargo xtask COMMAND
 
 commands:
-  codegen [--check]  make the generated code from its sources; with --check only compare
-  replay             measure placement against two baselines (use `cargo run --release -p xtask -- replay`)
-  plans              measure what a plan costs at several sizes (use --release, as above)
-  slopes             measure what one more worker, task or byte costs (use --release, as above)
-  tidy               check what the linter cannot: docs, file sizes, generated code, paths, words";
+  codegen [--check]  generate code from the .proto files; with --check only compare it with the committed code
+  replay             compare placement with two baselines (use `cargo run --release -p xtask -- replay`)
+  plans              measure the cost of a plan at several sizes (use --release, as above)
+  slopes             measure the marginal cost of a worker, task or byte (use --release, as above)
+  tidy               check what the linter can't: docs, file sizes, generated code, paths, words";
 
 fn main() -> ExitCode {
     let args: Vec<String> = std::env::args().skip(1).collect();
@@ -34,12 +35,12 @@
         _ => Err(USAGE.to_owned()),
     };
     match result {
-        Ok(said) => {
-            println!("{said}");
+        Ok(output) => {
+            println!("{output}");
             ExitCode::SUCCESS
         }
-        Err(why) => {
-            eprintln!("{why}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -1,4 +1,4 @@
-//! What a plan of the elected scheduler costs, by the number of backend servers and of groups that wait.
+//! Measures the time of a plan of the elected scheduler, by the numbers of backend servers and of waiting groups.
 
 use std::{fmt::Write, sync::Arc, time::Instant};
 
@@ -10,20 +10,21 @@
 };
 
 const SERVICE: &str = "service";
-/// Backend servers of a rack, and accelerators of each, as on the users' largest site.
-const IN_RACK: usize = 20;
+/// Backend servers of a rack, as on the platform's largest site.
+const SERVERS_PER_RACK: usize = 20;
+/// Accelerators of a backend server, as on the platform's largest site.
 const ACCELERATORS: u64 = 8;
-/// Share of the accelerators that run something before anything is measured, in percent: above what stays free for
-/// urgent work, so that what waits has to go on waiting.
+/// Share of the accelerators in use before the measurements, in percent. The rest is within the capacity that is
+/// reserved for urgent work, so that other work has to wait.
 const USED_PERCENT: u64 = 70;
-/// Tasks of a job that waits.
-const TASKS: u32 = 100;
+/// Largest number of tasks of a waiting job.
+const WAITING_JOB_TASKS: u32 = 100;
 /// Tasks of the urgent job that a plan places.
-const PLACED: u32 = 64;
-/// Each figure is the median of so many repetitions.
+const PLACED_TASKS: u32 = 64;
+/// Repetitions of a measurement, whose median is printed.
 const REPETITIONS: usize = 41;
 
-/// Measures and prints a table.
+/// Measures all sizes and returns the table.
 pub(crate) fn run() -> Result<String, String> {
     let mut table = format!(
         "{:>15} {:>15} {:>20} {:>20} {:>20} {:>20} {:>20}\n",
@@ -37,17 +38,17 @@
     );
     for servers in [50, 350, 1100, 3000, 6000, 12_000] {
         for waiting in [100, 1000, 10_000] {
-            let mut bed = Bed::new(servers, Tuning::default());
-            bed.fill();
-            bed.let_wait(waiting);
-            let idle = median(|| bed.time_plan());
-            let end = median(|| bed.time_end());
-            let placed = median(|| bed.time_placing());
-            let evacuated = median(|| bed.time_evacuating());
-            let preempting = Bed::full(servers, waiting).time_preempting();
+            let mut fixture = Fixture::new(servers, Tuning::default());
+            fixture.fill();
+            fixture.add_waiting(waiting);
+            let idle = median(|| fixture.time_plan());
+            let completion = median(|| fixture.time_completion());
+            let placed = median(|| fixture.time_placing());
+            let evacuated = median(|| fixture.time_evacuating());
+            let preempting = Fixture::full(servers, waiting).time_preempting();
             let _ = writeln!(
                 table,
-                "{servers:>15} {waiting:>15} {idle:>20.1} {end:>20.1} {placed:>20.1} {preempting:>20.1} {evacuated:>20.1}"
+                "{servers:>15} {waiting:>15} {idle:>20.1} {completion:>20.1} {placed:>20.1} {preempting:>20.1} {evacuated:>20.1}"
             );
         }
     }
@@ -60,8 +61,8 @@
     all[REPETITIONS / 2]
 }
 
-/// A scheduler whose backend servers do what they are told at once.
-struct Bed {
+/// A scheduler whose backend servers accept every start at once.
+struct Fixture {
     scheduler: Scheduler,
     now: Moment,
     revision: u64,
@@ -70,8 +71,8 @@
     serial: u64,
 }
 
-impl Bed {
-    fn new(servers: usize, tuning: Tuning) -> Bed {
+impl Fixture {
+    fn new(servers: usize, tuning: Tuning) -> Fixture {
         let now = Moment::from_millis(1000);
         let mut scheduler = Scheduler::new(Fence(10), now, Timing { tuning, ..Timing::default() }, policy());
         for i in 0..servers {
@@ -79,23 +80,23 @@
             scheduler.lease_sent(&id(i), Timing::default().lease, now);
             scheduler.listing(&id(i), &Listing::default(), now, now);
         }
-        Bed { scheduler, now, revision: 1, next_job: 1, servers, serial: 0 }
+        Fixture { scheduler, now, revision: 1, next_job: 1, servers, serial: 0 }
     }
 
-    /// One whose accelerators are all taken by work that can wait; more of it waits.
-    fn full(servers: usize, waiting: u32) -> Bed {
-        let mut bed = Bed::new(servers, Tuning { headroom: Some(0.0), ..Tuning::default() });
+    /// Creates a fixture whose accelerators are all used by work of low priority, with more such work waiting.
+    fn full(servers: usize, waiting: u32) -> Fixture {
+        let mut fixture = Fixture::new(servers, Tuning { headroom: Some(0.0), ..Tuning::default() });
         let tasks = servers as u64 * ACCELERATORS;
         for _ in 0..tasks / 50 {
-            bed.submit("batch", 50);
+            fixture.submit("batch", 50);
         }
-        bed.plan();
-        bed.settle();
-        bed.let_wait(waiting);
-        bed
+        fixture.plan();
+        fixture.store_and_reply();
+        fixture.add_waiting(waiting);
+        fixture
     }
 
-    /// A plan that makes room for an urgent gang.
+    /// Measures a plan that preempts work for an urgent gang.
     fn time_preempting(&mut self) -> f64 {
         let id = self.submit_step("urgent", Step { gang: true, same_rack: true, ..step(8, 8) });
         let took = self.plan();
@@ -103,23 +104,23 @@
         took
     }
 
-    /// Takes most accelerators with tasks that go on.
+    /// Fills most accelerators with tasks that keep running.
     fn fill(&mut self) {
         let tasks = self.servers as u64 * ACCELERATORS * USED_PERCENT / 100;
         for _ in 0..tasks / 50 {
             self.submit("urgent", 50);
         }
         self.plan();
-        self.settle();
+        self.store_and_reply();
     }
 
-    /// Hands in work that has to wait.
-    fn let_wait(&mut self, groups: u32) {
-        for _ in 0..groups.div_ceil(TASKS) {
-            self.submit("archive", TASKS.min(groups));
+    /// Submits work that has to wait.
+    fn add_waiting(&mut self, groups: u32) {
+        for _ in 0..groups.div_ceil(WAITING_JOB_TASKS) {
+            self.submit("archive", WAITING_JOB_TASKS.min(groups));
         }
         self.plan();
-        self.settle();
+        self.store_and_reply();
     }
 
     fn submit(&mut self, queue: &str, count: u32) -> JobId {
@@ -127,7 +128,7 @@
     }
 
     fn submit_step(&mut self, queue: &str, step: Step) -> JobId {
-        // Spread over all ids, as callers' are.
+        // Ids are spread over their whole range, as those of callers are.
         let id = JobId(self.next_job.wrapping_mul(0x9e37_79b9_7f4a_7c15));
         self.next_job += 1;
         let (queue, text) = (queue.into(), Arc::from("text"));
@@ -136,15 +137,16 @@
         id
     }
 
+    /// Makes a plan and returns its duration in microseconds.
     fn plan(&mut self) -> f64 {
         self.now = self.now + Duration::from_millis(4);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.scheduler.plan(self.now, self.now.millis());
-        begun.elapsed().as_secs_f64() * 1e6
+        started_at.elapsed().as_secs_f64() * 1e6
     }
 
-    /// Stores everything and answers all orders.
-    fn settle(&mut self) -> Vec<(BackendServerId, jobs::TaskId, jobs::RunNumber)> {
+    /// Completes all pending writes and replies to all orders to start. Returns the started runs.
+    fn store_and_reply(&mut self) -> Vec<(BackendServerId, jobs::TaskId, jobs::RunNumber)> {
         while let Some(batch) = self.scheduler.next_write_batch(15) {
             self.revision += 1;
             self.scheduler.batch_stored(batch, Revision(self.revision));
@@ -159,19 +161,19 @@
         started
     }
 
-    /// A plan for which nothing has moved since the one before.
+    /// Measures a plan without any change since the previous one.
     fn time_plan(&mut self) -> f64 {
         self.plan();
         self.plan()
     }
 
-    /// A plan after one backend server has listed an end.
-    fn time_end(&mut self) -> f64 {
+    /// Measures a plan after a backend server has listed a completion.
+    fn time_completion(&mut self) -> f64 {
         self.submit("urgent", 1);
         self.plan();
-        let (server, task, run) = self.settle().pop().expect("there is room for urgent work");
+        let (server, task, run) = self.store_and_reply().pop().expect("there is free capacity for urgent work");
         self.serial += 1;
-        let end = scheduler::Completion {
+        let completion = scheduler::Completion {
             serial: self.serial,
             task,
             run,
@@ -180,43 +182,44 @@
         };
         let listing = Listing {
             running: Vec::<RunningTask>::new(),
-            completions: vec![end],
+            completions: vec![completion],
             more_completions: true,
             ..Listing::default()
         };
         self.scheduler.listing(&server, &listing, self.now, self.now);
         let took = self.plan();
-        self.settle();
+        self.store_and_reply();
         took
     }
 
-    /// A plan that places an urgent job, which is cancelled after.
+    /// Measures a plan that places an urgent job, and cancels the job.
     fn time_placing(&mut self) -> f64 {
-        let id = self.submit("urgent", PLACED);
+        let id = self.submit("urgent", PLACED_TASKS);
         let took = self.plan();
         self.scheduler.cancel(id, self.now);
-        self.settle();
+        self.store_and_reply();
         took
     }
 
-    /// An availability zone is evacuated while an urgent job stands placed and is not ordered: until all of it has a place elsewhere.
+    /// Measures the evacuation of an availability zone until an urgent job is placed elsewhere. The job had been
+    /// placed before, but its starts were not ordered.
     fn time_evacuating(&mut self) -> f64 {
-        let id = self.submit("urgent", PLACED);
+        let id = self.submit("urgent", PLACED_TASKS);
         self.plan();
         let zone = zone(0);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.scheduler.evacuate(&zone, EvacuatedBy::Platform, self.now);
-        let closing = begun.elapsed().as_secs_f64() * 1e6;
-        let took = closing + self.plan();
+        let evacuating = started_at.elapsed().as_secs_f64() * 1e6;
+        let took = evacuating + self.plan();
         self.scheduler.end_evacuation(&zone, EvacuatedBy::Platform);
         self.scheduler.cancel(id, self.now);
-        self.settle();
+        self.store_and_reply();
         took
     }
 }
 
 fn zone(i: usize) -> AvailabilityZoneId {
-    format!("az-{}", i % 5).parse().expect("it is a valid id")
+    format!("az-{}", i % 5).parse().expect("a valid id")
 }
 
 fn step(count: u32, accelerators: u64) -> Step {
@@ -225,11 +228,11 @@
 }
 
 fn id(i: usize) -> BackendServerId {
-    format!("i-{:010x}", (i as u64).wrapping_mul(0x9e37_79b9) & 0xff_ffff_ffff).parse().expect("it is a valid id")
+    format!("i-{:010x}", (i as u64).wrapping_mul(0x9e37_79b9) & 0xff_ffff_ffff).parse().expect("a valid id")
 }
 
 fn info(i: usize) -> ServerInfo {
-    let rack: Arc<str> = Arc::from(format!("r{}-{}", i % 5, i / IN_RACK / 5));
+    let rack: Arc<str> = Arc::from(format!("r{}-{}", i % 5, i / SERVERS_PER_RACK / 5));
     ServerInfo {
         service: ServiceId::from(SERVICE),
         availability_zone: zone(i),
--- a/xtask/src/replays.rs
+++ b/xtask/src/replays.rs
@@ -1,4 +1,4 @@
-//! Measures placement: the same arrivals under three planners, for both deployments.
+//! Compares three planners on the same arrivals, for both deployments.
 
 use std::{fmt::Write as _, fs, sync::Arc};
 
@@ -13,9 +13,9 @@
 
 use crate::codegen::root;
 
-/// Length of a replay.
+/// Virtual time of a replay.
 const LENGTH: Duration = Duration::from_secs(24 * 3600);
-/// One seed for each availability zone of a deployment, in turn.
+/// Seed of a deployment's first availability zone; each further zone adds one.
 const SEED: u64 = 2026;
 
 type MakePlanner = fn(&AvailabilityZoneId) -> Box<dyn Planner>;
@@ -26,7 +26,7 @@
     ("cells", |zone| Box::new(CellPlanner::new(zone.clone()))),
 ];
 
-/// Runs every replay and prints the table.
+/// Runs all replays and returns the tables.
 pub(crate) fn run() -> Result<String, String> {
     let mut text = String::new();
     for deployment in [Deployment::Tsehay, Deployment::Yonghe] {
@@ -34,7 +34,7 @@
         let raw = fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         let file: OperatorFile = model::from_json(&raw).map_err(|e| format!("{}: {e}", path.display()))?;
         let results = replay(deployment, &Arc::new(file));
-        print(&mut text, deployment, &results);
+        write_table(&mut text, deployment, &results);
     }
     Ok(text)
 }
@@ -53,7 +53,7 @@
         let hours = |h: u64| Moment::ZERO + Duration::from_secs(h * 3600);
         let disturbances = [
             Disturbance::FailAll {
-                server: here().nth(2).expect("each availability zone has servers").id.clone(),
+                server: here().nth(2).expect("each availability zone has at least three backend servers").id.clone(),
                 from: hours(6),
                 until: hours(8),
             },
@@ -68,7 +68,7 @@
     results
 }
 
-fn print(text: &mut String, deployment: Deployment, results: &[(&'static str, Measures)]) {
+fn write_table(text: &mut String, deployment: Deployment, results: &[(&'static str, Measures)]) {
     let mut row = |name: String, values: Vec<String>| {
         let values: Vec<String> = values.iter().map(|v| format!("{v:>12}")).collect();
         writeln!(text, "| {name:44} | {} |", values.join(" | ")).expect("writing to a string cannot fail");
@@ -110,6 +110,7 @@
     text.push('\n');
 }
 
+/// Formats a quantile of a histogram of milliseconds in seconds.
 fn secs(histogram: &Histogram<u64>, quantile: f64) -> String {
     format!("{:.2}", histogram.value_at_quantile(quantile) as f64 / 1000.0)
 }
--- a/xtask/src/slopes.rs
+++ b/xtask/src/slopes.rs
@@ -1,7 +1,7 @@
-//! Measures what one more worker, task, box or byte costs, for `docs/CAPACITY.md`.
+//! Measures the marginal cost of a worker, task, box or byte, for `docs/CAPACITY.md`.
 //!
-//! Everything runs in this process on one thread: entry boxes are driven without I/O, and message
-//! sizes are those of the real encodings. Times are the median of several runs.
+//! Everything runs in this process on one thread: entry boxes are driven without I/O, and messages are measured in
+//! their encoding on the wire. Times are medians of several runs.
 
 use std::{
     fmt::Write as _,
@@ -18,10 +18,10 @@
 use policy::{CellPlanner, Planner, Queued, Running, Server, Snapshot};
 use spread::Document;
 
-/// Runs of which the median is taken.
+/// Number of runs whose median is taken.
 const RUNS: usize = 9;
 
-/// Measures everything and gives the table.
+/// Runs all measurements and returns the table.
 pub(crate) fn run() -> Result<String, String> {
     let mut text = String::new();
     planning(&mut text);
@@ -36,7 +36,7 @@
     times[times.len() / 2]
 }
 
-/// A straight line through points, and how well it fits (R squared).
+/// Fits a straight line to points by least squares. Returns its slope, its value at 0 and R squared.
 fn fit(points: &[(f64, f64)]) -> (f64, f64, f64) {
     let n = points.len() as f64;
     let mean_x = points.iter().map(|p| p.0).sum::<f64>() / n;
@@ -49,6 +49,7 @@
     (slope, mean_y - slope * mean_x, r2)
 }
 
+/// Appends a row of the table with the measured points and their fitted line.
 fn line(text: &mut String, name: &str, unit: &str, points: &[(f64, f64)]) {
     let (slope, base, r2) = fit(points);
     let shown: Vec<String> = points.iter().map(|(x, y)| format!("{x:.0}: {y:.1}")).collect();
@@ -78,14 +79,14 @@
         "customers": customers,
         "backend_servers": servers,
     });
-    model::from_json(text.to_string().as_bytes()).expect("the file is well formed")
+    model::from_json(text.to_string().as_bytes()).expect("a valid operators' file")
 }
 
 fn job(n: usize) -> JobId {
     JobId { minted_by: "az-1-box-1".parse().expect("a valid id"), incarnation: Incarnation(1), serial: n as u64 }
 }
 
-/// A availability zone full of tasks that need no accelerator, 14 on a worker, and a queue.
+/// Returns an availability zone with 14 tasks on each worker, none of which needs an accelerator, and a queue.
 fn snapshot(workers: usize, queue: usize) -> Snapshot {
     let file = Arc::new(file(workers, 110));
     let servers: Vec<Server> = file
@@ -95,7 +96,7 @@
         .collect();
     let team = |n: usize| format!("team-{}", n % 110).parse().expect("a valid id");
     let class = "batch".parse::<model::ClassId>().expect("a valid id");
-    // Gangs of seven on one worker, two gangs a worker: 14 tasks.
+    // Two gangs of seven tasks on each worker.
     let running = (0..workers * 2).map(|n| Running {
         job: job(n + 1),
         customer: team(n),
@@ -125,17 +126,19 @@
     Snapshot { file, servers, running, queue }
 }
 
+/// Returns the median time of a plan in microseconds.
 fn plan_time(workers: usize, queue: usize) -> f64 {
     let snapshot = snapshot(workers, queue);
     let mut planner = CellPlanner::new(zone());
     let times = (0..RUNS).map(|_| {
-        let begun = Instant::now();
+        let started = Instant::now();
         std::hint::black_box(planner.plan(&snapshot));
-        begun.elapsed()
+        started.elapsed()
     });
     median(times.collect()).as_secs_f64() * 1e6
 }
 
+/// Measures the time of a plan, by workers and by waiting jobs.
 fn planning(text: &mut String) {
     text.push_str("| what | measured | slope | at 0 | R2 |\n| --- | --- | ---: | ---: | ---: |\n");
     let by_workers: Vec<_> = [143, 286, 500, 1000].iter().map(|n| (*n as f64, plan_time(*n, 32))).collect();
@@ -144,7 +147,7 @@
     line(text, "planning, us by waiting jobs (143 workers)", "us", &by_queue);
 }
 
-/// A box that knows its configuration and the tables of `workers` backend servers with 14 leases each.
+/// Returns a box with its configuration and the lease tables of `workers` backend servers, with 14 leases each.
 fn loaded_box(workers: usize) -> EntryBox {
     let identity = Identity {
         box_id: "az-1-box-1".parse().expect("a valid id"),
@@ -193,7 +196,7 @@
         stopping: false,
         acknowledged: false,
     };
-    // Jobs are numbered by backend server, so that each is a job of its own.
+    // Numbers depend on the backend server, so that all jobs differ.
     let first = server.as_str().trim_start_matches('w').parse::<usize>().unwrap_or(0) * leases;
     TableUpdate {
         table: 1,
@@ -211,7 +214,7 @@
     }
 }
 
-/// The holder of all leases lives.
+/// Returns a heartbeat of the box that holds all leases.
 fn heartbeat() -> PeerRequest {
     PeerRequest::Heartbeat {
         from: "az-1-box-2".parse().expect("a valid id"),
@@ -221,7 +224,7 @@
     }
 }
 
-/// Processor time of an idle box's tick, and of one changed lease.
+/// Measures the processor time of an idle box's tick and of one changed lease.
 fn ticks(text: &mut String) {
     let mut tick_points = Vec::new();
     let mut change_points = Vec::new();
@@ -231,9 +234,9 @@
         let times = (0..200).map(|_| {
             now = now + Duration::from_millis(100);
             entry.handle(Input::Peer { to: ReplyTo(1), req: heartbeat() }, now);
-            let begun = Instant::now();
+            let started = Instant::now();
             std::hint::black_box(entry.handle(Input::Tick, now));
-            begun.elapsed()
+            started.elapsed()
         });
         tick_points.push((workers as f64, median(times.collect()).as_secs_f64() * 1e6));
         let server: model::BackendServerId = "w0001".parse().expect("a valid id");
@@ -245,9 +248,9 @@
             let req = BackendRequest::Watch { table: 1, since: 15 + n, wait: Duration::ZERO };
             let reply = Some(BackendReply::Table(update));
             let input = Input::BackendReply { op: BackendOp::Watch, server: server.clone(), req, reply };
-            let begun = Instant::now();
+            let started = Instant::now();
             std::hint::black_box(entry.handle(input, now));
-            begun.elapsed()
+            started.elapsed()
         });
         change_points.push((workers as f64, median(times.collect()).as_secs_f64() * 1e6));
     }
@@ -255,8 +258,9 @@
     line(text, "one changed lease taken in, us by workers", "us", &change_points);
 }
 
+/// Measures the sizes of messages, and the time to read a configuration.
 fn messages(text: &mut String) -> Result<(), String> {
-    let size = |value: &dyn erased::Size| value.size();
+    let size = |value: &dyn wire_size::Size| value.size();
     let renewal = |n: usize| {
         let lease = Renewal { job: job(n), token: LeaseToken::default(), go: true };
         size(&BackendRequest::Renew { leases: vec![lease; n], ttl: Duration::from_secs(90) }) as f64
@@ -288,9 +292,9 @@
         .map(|n| {
             let text = Document::following(None, "a".parse().expect("a valid id"), file(*n, 110)).to_text();
             let times = (0..RUNS).map(|_| {
-                let begun = Instant::now();
+                let started = Instant::now();
                 std::hint::black_box(spread::Current::default().take(&text)).ok();
-                begun.elapsed()
+                started.elapsed()
             });
             (*n as f64, median(times.collect()).as_secs_f64() * 1e6)
         })
@@ -299,11 +303,11 @@
     Ok(())
 }
 
-/// Sizes of values in their real encoding.
-mod erased {
-    /// Something that is sent as JSON.
+/// Sizes of values in their encoding on the wire.
+mod wire_size {
+    /// A value that is sent as JSON.
     pub(super) trait Size {
-        /// Its bytes.
+        /// Returns the length of the encoding in bytes.
         fn size(&self) -> usize;
     }
 
@@ -314,15 +318,17 @@
     }
 }
 
-/// Resident memory of this process in kilobytes (proc(5), field VmRSS).
+/// Returns the resident memory of this process in kB (field VmRSS of `/proc/self/status`, see proc(5)); 0 if it
+/// can't be read.
 fn resident_kb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:")).unwrap_or_default();
     line.split_whitespace().nth(1).and_then(|kb| kb.parse().ok()).unwrap_or(0.0)
 }
 
+/// Measures the resident memory of the replicated lease tables.
 fn memory(text: &mut String) {
-    // Boxes are kept, so that each adds to what is resident.
+    // Earlier boxes are kept, so that their memory isn't reused for the next one.
     let mut kept = Vec::new();
     let points: Vec<_> = [36, 72, 143, 286]
         .iter()
