--- a/crates/test-utils/src/cluster.rs
+++ b/crates/test-utils/src/cluster.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use backend::ServerInfo;
-use entry::{EntryBox, Identity, Input, Limits, Output};
+use entry::{CallerRequest, EntryBox, Identity, Input, Limits, OpId, Output, PeerRequest};
 use fastrand::Rng;
 use model::{AvailabilityZoneId, BackendServerId, BoxId, Duration, Incarnation, Moment, OperatorFile, Revision};
 use outside::{ListedBox, StoreRequest};
@@ -16,7 +16,7 @@
 
 use crate::{
     events::{BoxIncarnation, Event, PendingReply, Queue, Requester, trace},
-    external::{StoreWatcher, Watcher},
+    external::{StoreWatch, Watch},
     faults::Faults,
     virtual_caller::VirtualCaller,
 };
@@ -43,21 +43,22 @@
 }
 
 pub(crate) struct VirtualBox {
-    pub(crate) box_incarnation: BoxIncarnation,
+    pub(crate) incarnation: BoxIncarnation,
     pub(crate) zone: AvailabilityZoneId,
     /// State of the box; `None` while the box is not running.
     pub(crate) entry: Option<EntryBox>,
     pub(crate) paused: bool,
     /// Inputs that arrived while the box was paused.
-    pub(crate) backlog: Vec<Input>,
+    pub(crate) inputs: Vec<Input>,
 }
 
 pub(crate) struct VirtualServer {
     pub(crate) table: LeaseTable,
-    pub(crate) incarnations: u64,
+    pub(crate) incarnation: u64,
     pub(crate) old_runs: Vec<standins::RunRecord>,
-    pub(crate) watchers: Vec<Watcher>,
-    pub(crate) draining_since: Option<Moment>,
+    pub(crate) watches: Vec<Watch>,
+    /// Start of the draining; `None` unless the server is draining.
+    pub(crate) drain_start: Option<Moment>,
 }
 
 /// A simulated cluster, with the callers that use it and an oracle that checks it.
@@ -72,7 +73,7 @@
     pub(crate) callers: Vec<VirtualCaller>,
     pub(crate) limits: Limits,
     pub(crate) planner: MakePlanner,
-    pub(crate) store_watchers: Vec<StoreWatcher>,
+    pub(crate) store_watches: Vec<StoreWatch>,
     pending_replies: BTreeMap<PendingReply, Requester>,
     answered: BTreeSet<u64>,
     next_call: u64,
@@ -84,8 +85,7 @@
 }
 
 impl Cluster {
-    /// Creates a cluster whose configuration is in the store. The boxes apply it once virtual time has advanced
-    /// far enough for them to read it.
+    /// Creates a cluster whose configuration is in the store. The boxes read it as virtual time advances.
     pub fn new(shape: Shape, file: OperatorFile, limits: Limits, planner: MakePlanner, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             now: Moment::from_millis(1_000_000),
@@ -98,7 +98,7 @@
             callers: Vec::new(),
             limits,
             planner,
-            store_watchers: Vec::new(),
+            store_watches: Vec::new(),
             pending_replies: BTreeMap::new(),
             answered: BTreeSet::new(),
             next_call: 0,
@@ -126,13 +126,8 @@
                 revision: Revision(0),
             };
             let table = LeaseTable::new(info, 1, Checkpoints::clone(&self.checkpoints), Moment::ZERO);
-            let server = VirtualServer {
-                table,
-                incarnations: 1,
-                old_runs: Vec::new(),
-                watchers: Vec::new(),
-                draining_since: None,
-            };
+            let server =
+                VirtualServer { table, incarnation: 1, old_runs: Vec::new(), watches: Vec::new(), drain_start: None };
             self.servers.insert(entry.id.clone(), server);
         }
     }
@@ -146,35 +141,35 @@
                 self.listed.push(ListedBox { id: id.clone(), availability_zone: zone, peer_address, leaving: false });
             }
         }
-        for listed in self.listed.clone() {
-            let box_incarnation = BoxIncarnation { id: listed.id.clone(), incarnation: Incarnation(0) };
+        for info in self.listed.clone() {
+            let incarnation = BoxIncarnation { id: info.id.clone(), number: Incarnation(0) };
             let it = VirtualBox {
-                box_incarnation,
-                zone: listed.availability_zone,
+                incarnation,
+                zone: info.availability_zone,
                 entry: None,
                 paused: false,
-                backlog: Vec::new(),
+                inputs: Vec::new(),
             };
-            self.boxes.insert(listed.id.clone(), it);
-            self.start_box(&listed.id);
+            self.boxes.insert(info.id.clone(), it);
+            self.start_box(&info.id);
         }
     }
 
     /// Starts a box under a new incarnation. Does nothing if the box is running.
     pub fn start_box(&mut self, id: &BoxId) {
-        let incarnation = Incarnation(self.now.millis());
+        let number = Incarnation(self.now.millis());
         let (limits, planner, now, listed) = (self.limits, self.planner, self.now, self.listed.clone());
         let it = self.boxes.get_mut(id).expect("the box exists");
         if it.entry.is_some() {
             return;
         }
-        it.box_incarnation.incarnation = incarnation;
+        it.incarnation.number = number;
         it.paused = false;
-        it.backlog.clear();
-        let identity = Identity { box_id: id.clone(), incarnation, availability_zone: it.zone.clone() };
+        it.inputs.clear();
+        let identity = Identity { box_id: id.clone(), incarnation: number, availability_zone: it.zone.clone() };
         it.entry = Some(EntryBox::new(identity, limits, listed, planner(&it.zone), now));
-        let box_incarnation = it.box_incarnation.clone();
-        self.queue.push(now, Event::Tick(box_incarnation));
+        let incarnation = it.incarnation.clone();
+        self.queue.push(now, Event::Tick(incarnation));
     }
 
     /// Advances virtual time by `span` and handles all events that are due.
@@ -187,16 +182,15 @@
         self.now = until;
     }
 
-    /// Applies an operator's file, edited from revision `base`, through a box. Returns the number under which
-    /// [`Cluster::applied`] gives the reply.
+    /// Applies an operator's file, edited from revision `base`. Returns the number for [`Cluster::applied`].
     pub fn apply(&mut self, id: &BoxId, apply: &str, base: Revision, file: OperatorFile) -> usize {
         let n = self.applied.len();
         self.applied.push(None);
-        if let Some(box_incarnation) = self.running_incarnation(id) {
-            let to = self.expect_reply(&box_incarnation, Requester::Operator(n));
+        if let Some(incarnation) = self.running_incarnation(id) {
+            let to = self.expect_reply(&incarnation, Requester::Operator(n));
             let apply = apply.parse().expect("a valid id");
-            let req = entry::CallerRequest::Apply { id: apply, base, file };
-            self.deliver(&box_incarnation, Input::Caller { to, req });
+            let req = CallerRequest::Apply { id: apply, base, file };
+            self.deliver(&incarnation, Input::Caller { to, req });
         }
         n
     }
@@ -262,21 +256,21 @@
             if let Some(entry) = &it.entry {
                 let revision = entry.status(self.now).revision;
                 // A new incarnation starts without a revision, so revisions are compared within one incarnation.
-                self.oracle.record_revision(&format!("{id}@{}", it.box_incarnation.incarnation), revision);
+                self.oracle.record_revision(&format!("{id}@{}", it.incarnation.number), revision);
             }
         }
         for (id, server) in &self.servers {
             let revision = server.table.document().map_or(Revision(0), |(revision, _)| revision);
-            self.oracle.record_revision(&format!("{id}@{}", server.incarnations), revision);
+            self.oracle.record_revision(&format!("{id}@{}", server.incarnation), revision);
         }
     }
 
     fn handle_event(&mut self, event: Event) {
         match event {
-            Event::Tick(box_incarnation) => {
-                if self.is_running(&box_incarnation) {
-                    self.queue.push(self.now + TICK, Event::Tick(box_incarnation.clone()));
-                    self.deliver(&box_incarnation, Input::Tick);
+            Event::Tick(incarnation) => {
+                if self.is_running(&incarnation) {
+                    self.queue.push(self.now + TICK, Event::Tick(incarnation.clone()));
+                    self.deliver(&incarnation, Input::Tick);
                 }
             }
             Event::AtServer { from, op, server, req, call } => self.handle_server_request(from, op, server, req, call),
@@ -314,23 +308,21 @@
         }
     }
 
-    fn is_running(&self, box_incarnation: &BoxIncarnation) -> bool {
-        self.boxes
-            .get(&box_incarnation.id)
-            .is_some_and(|it| it.entry.is_some() && it.box_incarnation == *box_incarnation)
+    fn is_running(&self, incarnation: &BoxIncarnation) -> bool {
+        self.boxes.get(&incarnation.id).is_some_and(|it| it.entry.is_some() && it.incarnation == *incarnation)
     }
 
     /// Delivers an input to a box, or queues it while the box is paused. Discards it if the incarnation has ended.
-    pub(crate) fn deliver(&mut self, box_incarnation: &BoxIncarnation, input: Input) {
-        if !self.is_running(box_incarnation) {
+    pub(crate) fn deliver(&mut self, incarnation: &BoxIncarnation, input: Input) {
+        if !self.is_running(incarnation) {
             return;
         }
         let now = self.now;
-        let it = self.boxes.get_mut(&box_incarnation.id).expect("a running box exists");
+        let it = self.boxes.get_mut(&incarnation.id).expect("a running box exists");
         if it.paused {
             // Several queued ticks have the effect of one.
-            if input != Input::Tick || !it.backlog.contains(&Input::Tick) {
-                it.backlog.push(input);
+            if input != Input::Tick || !it.inputs.contains(&Input::Tick) {
+                it.inputs.push(input);
             }
             return;
         }
@@ -338,11 +330,11 @@
         let outputs = entry.handle(input, now);
         let drained = entry.is_drained();
         for output in outputs {
-            trace(now, box_incarnation, &output);
-            self.carry_out(box_incarnation, output);
+            trace(now, incarnation, &output);
+            self.carry_out(incarnation, output);
         }
         if drained {
-            self.end_if_idle(box_incarnation);
+            self.end_if_idle(incarnation);
         }
     }
 
@@ -360,10 +352,10 @@
             },
             Output::ToPeer { to, reply } => {
                 let id = from.id.clone();
-                if let Some(Requester::Peer { box_incarnation, op, call }) = self.pending_replies.remove(&(from, to))
-                    && !self.faults.is_cut(&id, &box_incarnation.id)
+                if let Some(Requester::Peer { incarnation, op, call }) = self.pending_replies.remove(&(from, to))
+                    && !self.faults.is_cut(&id, &incarnation.id)
                 {
-                    self.send(Event::FromPeer { to: box_incarnation, op, peer: id, reply: Some(reply), call });
+                    self.send(Event::FromPeer { to: incarnation, op, peer: id, reply: Some(reply), call });
                 }
             }
             Output::CallPeer { op, peer, req, limit } => {
@@ -419,43 +411,36 @@
         self.queue.push(self.now + delay, event);
     }
 
-    fn handle_peer_request(
-        &mut self,
-        from: BoxIncarnation,
-        op: entry::OpId,
-        peer: BoxId,
-        req: entry::PeerRequest,
-        call: u64,
-    ) {
+    fn handle_peer_request(&mut self, from: BoxIncarnation, op: OpId, peer: BoxId, req: PeerRequest, call: u64) {
         if self.faults.is_cut(&from.id, &peer) {
             return;
         }
-        let Some(box_incarnation) = self.running_incarnation(&peer) else {
+        let Some(incarnation) = self.running_incarnation(&peer) else {
             // The box is not running, so the connection is refused.
             return self.send(Event::FromPeer { to: from, op, peer, reply: None, call });
         };
-        let to = self.expect_reply(&box_incarnation, Requester::Peer { box_incarnation: from, op, call });
-        self.deliver(&box_incarnation, Input::Peer { to, req });
+        let to = self.expect_reply(&incarnation, Requester::Peer { incarnation: from, op, call });
+        self.deliver(&incarnation, Input::Peer { to, req });
     }
 
-    fn handle_caller_request(&mut self, caller: crate::CallerId, id: BoxId, req: entry::CallerRequest, call: u64) {
-        let Some(box_incarnation) = self.running_incarnation(&id) else {
+    fn handle_caller_request(&mut self, caller: crate::CallerId, id: BoxId, req: CallerRequest, call: u64) {
+        let Some(incarnation) = self.running_incarnation(&id) else {
             return self.send(Event::AtCaller { caller, reply: None, call });
         };
-        let to = self.expect_reply(&box_incarnation, Requester::Caller { caller, call });
-        self.deliver(&box_incarnation, Input::Caller { to, req });
+        let to = self.expect_reply(&incarnation, Requester::Caller { caller, call });
+        self.deliver(&incarnation, Input::Caller { to, req });
     }
 
-    fn expect_reply(&mut self, box_incarnation: &BoxIncarnation, requester: Requester) -> entry::ReplyTo {
+    fn expect_reply(&mut self, incarnation: &BoxIncarnation, requester: Requester) -> entry::ReplyTo {
         self.next_reply += 1;
         let to = entry::ReplyTo(self.next_reply);
-        self.pending_replies.insert((box_incarnation.clone(), to), requester);
+        self.pending_replies.insert((incarnation.clone(), to), requester);
         to
     }
 
     pub(crate) fn running_incarnation(&self, id: &BoxId) -> Option<BoxIncarnation> {
         let it = self.boxes.get(id)?;
-        it.entry.as_ref().map(|_| it.box_incarnation.clone())
+        it.entry.as_ref().map(|_| it.incarnation.clone())
     }
 
     /// Ends the running incarnation of a box. Callers that wait for a reply see their connections break.
@@ -463,10 +448,10 @@
         let Some(it) = self.boxes.get_mut(id) else { return };
         it.entry = None;
         it.paused = false;
-        it.backlog.clear();
-        let box_incarnation = it.box_incarnation.clone();
+        it.inputs.clear();
+        let incarnation = it.incarnation.clone();
         let broken: Vec<PendingReply> =
-            self.pending_replies.keys().filter(|(it, _)| *it == box_incarnation).cloned().collect();
+            self.pending_replies.keys().filter(|(it, _)| *it == incarnation).cloned().collect();
         for pending in broken {
             if let Some(Requester::Caller { caller, call }) = self.pending_replies.remove(&pending) {
                 let delay = Duration::from_millis(5);
@@ -476,25 +461,24 @@
     }
 
     /// Ends a drained box if no caller waits for its reply and no input is queued.
-    fn end_if_idle(&mut self, box_incarnation: &BoxIncarnation) {
+    fn end_if_idle(&mut self, incarnation: &BoxIncarnation) {
         let awaits_reply = self
             .pending_replies
             .iter()
-            .any(|((it, _), requester)| it == box_incarnation && matches!(requester, Requester::Caller { .. }));
-        let busy = self.boxes.get(&box_incarnation.id).is_some_and(|it| !it.backlog.is_empty());
+            .any(|((it, _), requester)| it == incarnation && matches!(requester, Requester::Caller { .. }));
+        let busy = self.boxes.get(&incarnation.id).is_some_and(|it| !it.inputs.is_empty());
         if !awaits_reply && !busy {
-            self.end_incarnation(&box_incarnation.id);
+            self.end_incarnation(&incarnation.id);
         }
     }
 
-    /// Replaces a backend server's lease table by an empty one of a new incarnation, and keeps the old runs for
-    /// the oracle.
+    /// Starts an empty lease table of a new incarnation, and keeps the earlier runs for the oracle.
     pub(crate) fn replace_table(&mut self, id: &BackendServerId) {
         let checkpoints = Checkpoints::clone(&self.checkpoints);
         let now = self.now;
         let Some(server) = self.servers.get_mut(id) else { return };
         server.table.advance(now);
-        server.incarnations += 1;
+        server.incarnation += 1;
         let mut runs = std::mem::take(&mut server.table.runs);
         for run in &mut runs {
             run.ended.get_or_insert((now, backend::TaskState::Lapsed { ran: true }));
@@ -502,7 +486,7 @@
         server.old_runs.extend(runs);
         let mut info = server.table.info().clone();
         info.revision = Revision(0);
-        server.table = LeaseTable::new(info, server.incarnations, checkpoints, now);
+        server.table = LeaseTable::new(info, server.incarnation, checkpoints, now);
     }
 }
 
--- a/crates/test-utils/src/events.rs
+++ b/crates/test-utils/src/events.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct BoxIncarnation {
     pub(crate) id: BoxId,
-    pub(crate) incarnation: Incarnation,
+    pub(crate) number: Incarnation,
 }
 
 /// An event of a simulated cluster. `call` numbers calls, so that only the first reply or time-out counts.
@@ -96,7 +96,7 @@
     /// An operator, by the number of the request.
     Operator(usize),
     Peer {
-        box_incarnation: BoxIncarnation,
+        incarnation: BoxIncarnation,
         op: OpId,
         call: u64,
     },
@@ -154,13 +154,13 @@
 }
 
 /// Prints the outputs of boxes if `MARTENSCALE_TRACE` is set, to follow a failed case.
-pub(crate) fn trace(now: Moment, box_incarnation: &BoxIncarnation, output: &Output) {
+pub(crate) fn trace(now: Moment, incarnation: &BoxIncarnation, output: &Output) {
     if std::env::var_os("MARTENSCALE_TRACE").is_none() {
         return;
     }
     let text = format!("{output:?}");
     // Watches and heartbeats are so frequent that they would hide the rest.
     if !text.contains("Watch") && !text.contains("Heartbeat") {
-        println!("{now} {} {text}", box_incarnation.id);
+        println!("{now} {} {text}", incarnation.id);
     }
 }
--- a/crates/test-utils/src/external.rs
+++ b/crates/test-utils/src/external.rs
@@ -11,7 +11,7 @@
 };
 
 /// A pending watch on a lease table.
-pub(crate) struct Watcher {
+pub(crate) struct Watch {
     pub(crate) to: BoxIncarnation,
     pub(crate) req: BackendRequest,
     pub(crate) until: Moment,
@@ -19,7 +19,7 @@
 }
 
 /// A pending watch on the store.
-pub(crate) struct StoreWatcher {
+pub(crate) struct StoreWatch {
     pub(crate) to: BoxIncarnation,
     pub(crate) op: entry::OpId,
     pub(crate) key: String,
@@ -43,7 +43,7 @@
         let now = self.now;
         let Some(server) = self.servers.get_mut(&id) else { return };
         if let BackendRequest::Reserve { .. } = &req
-            && let Some(since) = server.draining_since
+            && let Some(since) = server.drain_start
         {
             let free_before = server.table.free();
             let reply = server.table.call(req.clone(), now);
@@ -61,7 +61,7 @@
             && update.version == *since
         {
             let until = now + *wait;
-            server.watchers.push(Watcher { to: from, req, until, call });
+            server.watches.push(Watch { to: from, req, until, call });
             self.queue.push(until, Event::ServerWake(id));
             return;
         }
@@ -78,7 +78,7 @@
                 let Some(other) = self.servers.get(&member.server) else { continue };
                 let armed = match other.table.state_of(&run.job) {
                     Some((token, state)) => token.attempt > run.token.attempt || *state != TaskState::Reserved,
-                    None => other.incarnations > 1,
+                    None => other.incarnation > 1,
                 };
                 if !armed {
                     self.oracle.record_violation(Violation::BeganInPart {
@@ -111,12 +111,12 @@
         let now = self.now;
         let Some(server) = self.servers.get_mut(id) else { return };
         let version = server.table.version();
-        let due = |w: &Watcher| {
+        let due = |w: &Watch| {
             let BackendRequest::Watch { since, .. } = &w.req else { return true };
             *since != version || w.until <= now
         };
-        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut server.watchers).into_iter().partition(due);
-        server.watchers = waiting;
+        let (ready, waiting): (Vec<_>, Vec<_>) = std::mem::take(&mut server.watches).into_iter().partition(due);
+        server.watches = waiting;
         let replies: Vec<_> = ready.into_iter().map(|w| (server.table.call(w.req.clone(), now), w)).collect();
         if let Some(at) = server.table.next_event() {
             self.queue.push(at.max(now + Duration::from_millis(1)), Event::ServerWake(id.clone()));
@@ -136,7 +136,7 @@
             && *wait > Duration::ZERO
         {
             let until = self.now + *wait;
-            self.store_watchers.push(StoreWatcher { to: from, op, key: key.clone(), above: *above, until, call });
+            self.store_watches.push(StoreWatch { to: from, op, key: key.clone(), above: *above, until, call });
             self.queue.push(until, Event::StoreWake);
             return;
         }
@@ -159,17 +159,17 @@
         let now = self.now;
         let mut replies = Vec::new();
         let mut waiting = Vec::new();
-        for watcher in std::mem::take(&mut self.store_watchers) {
-            let reply = self.store.peek(&watcher.key, now);
-            if store_version(&reply) > watcher.above || watcher.until <= now {
-                replies.push((watcher, reply));
+        for watch in std::mem::take(&mut self.store_watches) {
+            let reply = self.store.peek(&watch.key, now);
+            if store_version(&reply) > watch.above || watch.until <= now {
+                replies.push((watch, reply));
             } else {
-                waiting.push(watcher);
+                waiting.push(watch);
             }
         }
-        self.store_watchers = waiting;
-        for (watcher, reply) in replies {
-            self.reply_from_store(watcher.to, watcher.op, reply, watcher.call);
+        self.store_watches = waiting;
+        for (watch, reply) in replies {
+            self.reply_from_store(watch.to, watch.op, reply, watch.call);
         }
     }
 }
--- a/crates/test-utils/src/faults.rs
+++ b/crates/test-utils/src/faults.rs
@@ -75,19 +75,19 @@
     pub fn resume_box(&mut self, id: &BoxId) {
         let Some(it) = self.boxes.get_mut(id) else { return };
         it.paused = false;
-        let box_incarnation = it.box_incarnation.clone();
+        let incarnation = it.incarnation.clone();
         while let Some(it) = self.boxes.get_mut(id)
-            && !it.backlog.is_empty()
+            && !it.inputs.is_empty()
         {
-            let input = it.backlog.remove(0);
-            self.deliver(&box_incarnation, input);
+            let input = it.inputs.remove(0);
+            self.deliver(&incarnation, input);
         }
     }
 
     /// Asks a box to drain and end.
     pub fn drain_box(&mut self, id: &BoxId) {
-        if let Some(box_incarnation) = self.running_incarnation(id) {
-            self.deliver(&box_incarnation, Input::Drain);
+        if let Some(incarnation) = self.running_incarnation(id) {
+            self.deliver(&incarnation, Input::Drain);
         }
     }
 
@@ -132,7 +132,7 @@
         let now = self.now;
         if let Some(server) = self.servers.get_mut(id) {
             server.table.set_leaving(on);
-            server.draining_since = on.then_some(now);
+            server.drain_start = on.then_some(now);
         }
         self.answer_server_watches(id);
     }
--- a/xtask/src/plans.rs
+++ b/xtask/src/plans.rs
@@ -42,13 +42,14 @@
             fixture.fill();
             fixture.add_waiting(waiting);
             let idle = median(|| fixture.time_plan());
-            let completion = median(|| fixture.time_completion());
+            let completed = median(|| fixture.time_completion());
             let placed = median(|| fixture.time_placing());
             let evacuated = median(|| fixture.time_evacuating());
             let preempting = Fixture::full(servers, waiting).time_preempting();
             let _ = writeln!(
                 table,
-                "{servers:>15} {waiting:>15} {idle:>20.1} {completion:>20.1} {placed:>20.1} {preempting:>20.1} {evacuated:>20.1}"
+                "{servers:>15} {waiting:>15} {idle:>20.1} {completed:>20.1} {placed:>20.1} {preempting:>20.1} \
+                 {evacuated:>20.1}"
             );
         }
     }
