--- a/crates/replay/src/sim.rs
+++ b/crates/replay/src/sim.rs
@@ -60,6 +60,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// A job arrives.
     Arrive(usize),
     /// A disturbance starts (`true`) or ends (`false`).
     Disturbance(usize, bool),
@@ -67,11 +68,13 @@
     EndQuarantine(usize),
     /// A gang ends. The second number is that of its start, to ignore events of earlier starts.
     End(usize, u64),
+    /// A plan is made even though nothing else has changed.
     Replan,
 }
 
 /// State of a job that has not ended.
 struct Waiting {
+    /// Time of the arrival, from which the planner counts the wait.
     since: Moment,
     /// Work saved by checkpoints.
     done: Duration,
@@ -84,6 +87,7 @@
 struct Gang {
     began: Moment,
     members: Vec<Member>,
+    /// Number of the start, or of the preemption that replaced its end.
     start: u64,
     ending: Ending,
     state: Waiting,
@@ -109,9 +113,12 @@
     events: BinaryHeap<Reverse<(Moment, Event)>>,
     waiting: BTreeMap<usize, Waiting>,
     running: BTreeMap<usize, Gang>,
+    /// Backend servers that fail every task.
     failing: BTreeSet<usize>,
+    /// Backend servers of lost racks.
     lost: BTreeSet<usize>,
     quarantined: BTreeSet<usize>,
+    /// Consecutive failures by backend server.
     failures: BTreeMap<usize, usize>,
     starts: u64,
     is_replan_scheduled: bool,
--- a/crates/standins/src/lease_table.rs
+++ b/crates/standins/src/lease_table.rs
@@ -30,11 +30,11 @@
 /// Record of one run of a task, for oracles.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
-    /// The job.
+    /// Job of the task.
     pub job: JobId,
     /// Attempt and epoch at the start of the run.
     pub token: LeaseToken,
-    /// The task that ran.
+    /// Specification of the task that ran.
     pub task: TaskSpec,
     /// Start of the run.
     pub began: Moment,
@@ -49,7 +49,7 @@
     started: Moment,
     version: u64,
     rows: BTreeMap<JobId, Row>,
-    seen: BTreeMap<JobId, Seen>,
+    highest_tokens: BTreeMap<JobId, HighestToken>,
     removed: VecDeque<(u64, JobId)>,
     document: Option<String>,
     checkpoints: Checkpoints,
@@ -60,7 +60,7 @@
 }
 
 /// Highest token received for a job, and whether the job has run.
-struct Seen {
+struct HighestToken {
     token: LeaseToken,
     ran: bool,
     at: Moment,
@@ -75,7 +75,7 @@
             started,
             version: 1,
             rows: BTreeMap::new(),
-            seen: BTreeMap::new(),
+            highest_tokens: BTreeMap::new(),
             removed: VecDeque::new(),
             document: None,
             checkpoints,
@@ -192,7 +192,7 @@
                 return Err(Refusal::WrongState { state: row.state.clone() });
             }
         }
-        if let Some(seen) = self.seen.get(&job)
+        if let Some(seen) = self.highest_tokens.get(&job)
             && seen.token.attempt >= token.attempt
         {
             return Err(self.stale(&job));
@@ -204,8 +204,8 @@
         if !free.contains(&task.resources()) {
             return Err(Refusal::NoCapacity { free });
         }
-        let ran = self.seen.get(&job).is_some_and(|s| s.ran);
-        self.seen.insert(job.clone(), Seen { token, ran, at: now });
+        let ran = self.highest_tokens.get(&job).is_some_and(|s| s.ran);
+        self.highest_tokens.insert(job.clone(), HighestToken { token, ran, at: now });
         self.version += 1;
         let row = Row {
             task,
@@ -274,7 +274,7 @@
             began: now,
             ended: None,
         });
-        self.seen.get_mut(job).expect("a reserved job has been seen").ran = true;
+        self.highest_tokens.get_mut(job).expect("the token of a reserved job is recorded").ran = true;
     }
 
     fn checkpoint(
@@ -304,7 +304,7 @@
                 self.end(job, now, TaskState::Stopped { ran, checkpointed: false });
             }
         }
-        let seen = self.seen.entry(job.clone()).or_insert(Seen { token, ran: false, at: now });
+        let seen = self.highest_tokens.entry(job.clone()).or_insert(HighestToken { token, ran: false, at: now });
         seen.token = seen.token.max(token);
         seen.at = now;
         let remembers = now.since(self.started).min(TOKEN_RETENTION);
@@ -337,7 +337,7 @@
             row.until = until;
         }
         let state = row.state.clone();
-        let seen = self.seen.get_mut(job).expect("a reserved job has been seen");
+        let seen = self.highest_tokens.get_mut(job).expect("the token of a reserved job is recorded");
         seen.token = seen.token.max(token);
         Ok(BackendReply::Ok { state })
     }
@@ -389,13 +389,13 @@
         match self.rows.get(job) {
             Some(row) if row.token == token => Ok(row),
             Some(row) if row.token > token => Err(self.stale(job)),
-            _ if self.seen.get(job).is_some_and(|s| s.token > token) => Err(self.stale(job)),
+            _ if self.highest_tokens.get(job).is_some_and(|s| s.token > token) => Err(self.stale(job)),
             _ => Err(Refusal::UnknownLease),
         }
     }
 
     fn stale(&self, job: &JobId) -> Refusal {
-        let seen = self.seen.get(job).map_or(LeaseToken::default(), |s| s.token);
+        let seen = self.highest_tokens.get(job).map_or(LeaseToken::default(), |s| s.token);
         let holder = self.rows.get(job).map(|row| row.holder.clone());
         Refusal::Stale { seen, holder }
     }
@@ -453,7 +453,7 @@
         while self.removed.len() > MAX_REMOVED {
             self.removed.pop_front();
         }
-        self.seen.retain(|job, seen| self.rows.contains_key(job) || now.since(seen.at) < TOKEN_RETENTION);
+        self.highest_tokens.retain(|job, seen| self.rows.contains_key(job) || now.since(seen.at) < TOKEN_RETENTION);
     }
 
     fn update(&self, table: u64, since: u64, now: Moment) -> TableUpdate {
--- a/crates/standins/src/oracle.rs
+++ b/crates/standins/src/oracle.rs
@@ -15,9 +15,9 @@
     /// A member of a gang ran without another member for longer than allowed.
     #[display("partial gang: {job} attempt {attempt} ran on {ran} for {alone} without {missing}")]
     PartialGang {
-        /// The job.
+        /// Job of the gang.
         job: JobId,
-        /// The attempt.
+        /// Attempt of the job.
         attempt: Attempt,
         /// Backend server of the member that ran.
         ran: BackendServerId,
@@ -29,9 +29,9 @@
     /// A member of a gang started while another had not been armed.
     #[display("partial start: {job} attempt {attempt} started on {began} while {missing} was not armed")]
     BeganInPart {
-        /// The job.
+        /// Job of the gang.
         job: JobId,
-        /// The attempt.
+        /// Attempt of the job.
         attempt: Attempt,
         /// Backend server of the member that started.
         began: BackendServerId,
--- a/xtask/src/replays.rs
+++ b/xtask/src/replays.rs
@@ -71,7 +71,7 @@
 fn write_table(text: &mut String, deployment: Deployment, results: &[(&'static str, Measures)]) {
     let mut row = |name: String, values: Vec<String>| {
         let values: Vec<String> = values.iter().map(|v| format!("{v:>12}")).collect();
-        writeln!(text, "| {name:44} | {} |", values.join(" | ")).expect("writing to a string cannot fail");
+        writeln!(text, "| {name:44} | {} |", values.join(" | ")).expect("writing to a string can't fail");
     };
     let of = |f: &dyn Fn(&Measures) -> String| results.iter().map(|(_, m)| f(m)).collect::<Vec<_>>();
     row(format!("{deployment:?}"), results.iter().map(|(name, _)| (*name).to_owned()).collect());
--- a/xtask/src/slopes.rs
+++ b/xtask/src/slopes.rs
@@ -54,7 +54,7 @@
     let (slope, base, r2) = fit(points);
     let shown: Vec<String> = points.iter().map(|(x, y)| format!("{x:.0}: {y:.1}")).collect();
     writeln!(text, "| {name} | {} | {slope:.4} {unit} | {base:.1} | {r2:.3} |", shown.join(", "))
-        .expect("writing to a string cannot fail");
+        .expect("writing to a string can't fail");
 }
 
 fn zone() -> AvailabilityZoneId {
