--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -19,7 +19,7 @@
 
 /// Fault that applies to one call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StoreFault {
+pub enum CallFault {
     /// The call is handled and answered.
     None,
     /// The call is dropped before it takes effect.
@@ -83,15 +83,15 @@
     }
 
     /// Returns the fault for the next call, and counts it against the answers to drop.
-    pub fn next_call(&self) -> StoreFault {
+    pub fn next_call(&self) -> CallFault {
         let mut inner = self.inner.lock().expect("no holder panics");
         if inner.down {
-            return StoreFault::Down;
+            return CallFault::Down;
         }
         if inner.lose_answers > 0 {
             inner.lose_answers -= 1;
-            return StoreFault::LoseAnswer;
+            return CallFault::LoseAnswer;
         }
-        StoreFault::None
+        CallFault::None
     }
 }
--- a/crates/standins/src/lib.rs
+++ b/crates/standins/src/lib.rs
@@ -14,7 +14,7 @@
 mod work;
 
 pub use crate::{
-    faults::{Faults, StoreFault},
+    faults::{CallFault, Faults},
     kv_table::KvTable,
     lease_table::{Checkpoints, LeaseTable, RunRecord},
     oracle::{Final, Oracle, Violation},
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -17,7 +17,7 @@
 use outside::{Clock, ListedBox, StoreReply, StoreRequest, SystemClock};
 use smol::{Task, net::TcpListener};
 
-use crate::{Faults, KvTable, LeaseTable, StoreFault};
+use crate::{CallFault, Faults, KvTable, LeaseTable};
 
 type Body = http_body_util::Full<Bytes>;
 
@@ -193,18 +193,18 @@
 }
 
 /// Delays a call by the configured time and returns its fault; `None` if the call is to be dropped.
-async fn admit(faults: &Faults) -> Option<StoreFault> {
+async fn admit(faults: &Faults) -> Option<CallFault> {
     let slow = faults.slow_ms();
     if slow > 0 {
         smol::Timer::after(Duration::from_millis(slow)).await;
     }
     let fault = faults.next_call();
-    (fault != StoreFault::Down).then_some(fault)
+    (fault != CallFault::Down).then_some(fault)
 }
 
 /// Returns the response; `None` if it is to be dropped or the stand-in went down during the call.
-fn respond(faults: &Faults, fault: StoreFault, reply: &impl serde::Serialize) -> Option<Response<Body>> {
-    if fault == StoreFault::LoseAnswer || faults.is_down() {
+fn respond(faults: &Faults, fault: CallFault, reply: &impl serde::Serialize) -> Option<Response<Body>> {
+    if fault == CallFault::LoseAnswer || faults.is_down() {
         return None;
     }
     Some(json_response(StatusCode::OK, reply))
