--- a/crates/standins/src/lease_table.rs
+++ b/crates/standins/src/lease_table.rs
@@ -100,8 +100,8 @@
     }
 
     /// Marks the backend server as draining, or ends its draining.
-    pub fn set_leaving(&mut self, leaving: bool) {
-        self.info.leaving = leaving;
+    pub fn set_draining(&mut self, draining: bool) {
+        self.info.leaving = draining;
         self.version += 1;
     }
 
--- a/crates/test-utils/src/faults.rs
+++ b/crates/test-utils/src/faults.rs
@@ -131,7 +131,7 @@
     pub fn drain_server(&mut self, id: &BackendServerId, on: bool) {
         let now = self.now;
         if let Some(server) = self.servers.get_mut(id) {
-            server.table.set_leaving(on);
+            server.table.set_draining(on);
             server.drain_start = on.then_some(now);
         }
         self.answer_server_watches(id);
