--- a/crates/standins/src/faults.rs
+++ b/crates/standins/src/faults.rs
@@ -10,7 +10,7 @@
 
 #[derive(Debug, Default, Clone)]
 struct Inner {
-    slow_ms: u64,
+    delay_ms: u64,
     down: bool,
     lose_answers: u32,
     fail_tasks: bool,
@@ -38,8 +38,8 @@
     }
 
     /// Delays every call by `ms` milliseconds.
-    pub fn set_slow(&self, ms: u64) {
-        self.set(|f| f.slow_ms = ms);
+    pub fn set_delay_ms(&self, ms: u64) {
+        self.set(|f| f.delay_ms = ms);
     }
 
     /// Drops all calls while set, as if the stand-in were down or unreachable.
@@ -63,8 +63,8 @@
     }
 
     /// Returns the delay of every call, in milliseconds.
-    pub fn slow_ms(&self) -> u64 {
-        self.get().slow_ms
+    pub fn delay_ms(&self) -> u64 {
+        self.get().delay_ms
     }
 
     /// Returns whether all calls are dropped.
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -194,9 +194,9 @@
 
 /// Delays a call by the configured time and returns its fault; `None` if the call is to be dropped.
 async fn admit(faults: &Faults) -> Option<CallFault> {
-    let slow = faults.slow_ms();
-    if slow > 0 {
-        smol::Timer::after(Duration::from_millis(slow)).await;
+    let delay_ms = faults.delay_ms();
+    if delay_ms > 0 {
+        smol::Timer::after(Duration::from_millis(delay_ms)).await;
     }
     let fault = faults.next_call();
     (fault != CallFault::Down).then_some(fault)
