--- a/crates/entry/tests/crashes.rs
+++ b/crates/entry/tests/crashes.rs
@@ -55,7 +55,7 @@
     let starts = restart_after_each_start(&mut cluster, Duration::from_secs(1));
     // Each box that has the job counts failures for itself; the job moves between availability zones once.
     assert!(starts <= 6, "it started {starts} times");
-    assert!(matches!(cluster.outcome(caller), Some(Outcome::Failed { .. })), "{}", cluster.story(caller));
+    assert!(matches!(cluster.outcome(caller), Some(Outcome::Failed { .. })), "{}", cluster.transcript(caller));
     assert_eq!(cluster.violations(), vec![]);
 }
 
--- a/crates/entry/tests/fuzz.rs
+++ b/crates/entry/tests/fuzz.rs
@@ -126,8 +126,8 @@
             cluster.advance(Duration::from_secs(10));
         }
         assert_eq!(cluster.violations(), vec![]);
-        let stories: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.story(id)).collect();
-        assert!(stories.is_empty(), "callers without an outcome:\n{}", stories.join("\n"));
+        let transcripts: Vec<String> = cluster.open_callers().into_iter().map(|id| cluster.transcript(id)).collect();
+        assert!(transcripts.is_empty(), "callers without an outcome:\n{}", transcripts.join("\n"));
     }
 }
 
@@ -158,7 +158,7 @@
         Step::CutServer { server, on } => cluster.cut_server(&a_server(server), on),
         Step::RestartServer { server } => cluster.restart_server(&a_server(server)),
         Step::FailServer { server, on } => cluster.fail_server(&a_server(server), on),
-        Step::LeaveServer { server, on } => cluster.leave_server(&a_server(server), on),
+        Step::LeaveServer { server, on } => cluster.drain_server(&a_server(server), on),
         Step::StoreDown { on } => cluster.set_store_down(on),
         Step::LoseStoreAnswers { n } => cluster.lose_store_answers(n),
         Step::Network { loss_permille, max_delay_ms } => cluster.set_network(loss_permille, max_delay_ms),
--- a/crates/entry/tests/promises.rs
+++ b/crates/entry/tests/promises.rs
@@ -90,7 +90,7 @@
     // The availability zone continues to serve without the platform.
     let caller = cluster.submit(spec(1, 0, 2, 100), false, &a_box("az-1-box-1"));
     cluster.advance(Duration::from_secs(5));
-    assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.story(caller));
+    assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.transcript(caller));
 }
 
 #[test]
@@ -125,7 +125,7 @@
     cluster.advance(Duration::from_secs(40));
     assert!(cluster.has_left(&first), "{}", cluster.statuses());
     for caller in [running, waiting] {
-        assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.story(caller));
+        assert!(matches!(cluster.outcome(caller), Some(Outcome::Done { .. })), "{}", cluster.transcript(caller));
     }
     // A job that may run only once ran once: nothing was stopped and restarted.
     assert_eq!(cluster.violations(), vec![]);
--- a/xtask/src/replays.rs
+++ b/xtask/src/replays.rs
@@ -1,4 +1,4 @@
-//! Measures placement: the same arrivals under three planners, for both deployments.
+//! Compares three planners on the same arrivals, for both deployments.
 
 use std::{fmt::Write as _, fs, sync::Arc};
 
@@ -7,15 +7,15 @@
 use policy::{CellPlanner, Easy, FirstFit, Planner};
 use replay::{
     measure::Measures,
-    sim::{Sim, Trouble},
+    sim::{Disturbance, Sim},
     workload::Deployment,
 };
 
 use crate::codegen::root;
 
-/// Length of a replay.
+/// Virtual time of a replay.
 const LENGTH: Duration = Duration::from_secs(24 * 3600);
-/// One seed for each availability zone of a deployment, in turn.
+/// Seed of a deployment's first availability zone; each further zone adds one.
 const SEED: u64 = 2026;
 
 type MakePlanner = fn(&AvailabilityZoneId) -> Box<dyn Planner>;
@@ -26,7 +26,7 @@
     ("cells", |zone| Box::new(CellPlanner::new(zone.clone()))),
 ];
 
-/// Runs every replay and prints the table.
+/// Runs all replays and returns the tables.
 pub(crate) fn run() -> Result<String, String> {
     let mut text = String::new();
     for deployment in [Deployment::Tsehay, Deployment::Yonghe] {
@@ -34,7 +34,7 @@
         let raw = fs::read(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         let file: OperatorFile = model::from_json(&raw).map_err(|e| format!("{}: {e}", path.display()))?;
         let results = replay(deployment, &Arc::new(file));
-        print(&mut text, deployment, &results);
+        write_table(&mut text, deployment, &results);
     }
     Ok(text)
 }
@@ -51,27 +51,27 @@
         let accelerators = here().map(|s| s.resources.accelerators).sum();
         let arrivals = deployment.arrivals(accelerators, LENGTH, SEED + n as u64);
         let hours = |h: u64| Moment::ZERO + Duration::from_secs(h * 3600);
-        let troubles = [
-            Trouble::FailAll {
-                server: here().nth(2).expect("each availability zone has servers").id.clone(),
+        let disturbances = [
+            Disturbance::FailAll {
+                server: here().nth(2).expect("each availability zone has at least three backend servers").id.clone(),
                 from: hours(6),
                 until: hours(8),
             },
-            Trouble::CancelWave { at: hours(12), part: 0.3 },
-            Trouble::LostRack { rack: "r2".parse().expect("a valid id"), from: hours(16), until: hours(17) },
+            Disturbance::CancelBurst { at: hours(12), share: 0.3 },
+            Disturbance::LostRack { rack: "r2".parse().expect("a valid id"), from: hours(16), until: hours(17) },
         ];
         for ((name, make), (_, measures)) in PLANNERS.iter().zip(&mut results) {
             eprintln!("{deployment:?} {zone}: {} jobs under {name} ...", arrivals.len());
-            measures.merge(&Sim::new(file, zone, &arrivals, &troubles, make(zone)).run());
+            measures.merge(&Sim::new(file, zone, &arrivals, &disturbances, make(zone)).run());
         }
     }
     results
 }
 
-fn print(text: &mut String, deployment: Deployment, results: &[(&'static str, Measures)]) {
+fn write_table(text: &mut String, deployment: Deployment, results: &[(&'static str, Measures)]) {
     let mut row = |name: String, values: Vec<String>| {
         let values: Vec<String> = values.iter().map(|v| format!("{v:>12}")).collect();
-        writeln!(text, "| {name:44} | {} |", values.join(" | ")).expect("writing to a string cannot fail");
+        writeln!(text, "| {name:44} | {} |", values.join(" | ")).expect("writing to a string can't fail");
     };
     let of = |f: &dyn Fn(&Measures) -> String| results.iter().map(|(_, m)| f(m)).collect::<Vec<_>>();
     row(format!("{deployment:?}"), results.iter().map(|(name, _)| (*name).to_owned()).collect());
@@ -110,6 +110,7 @@
     text.push('\n');
 }
 
+/// Formats a quantile of a histogram of milliseconds in seconds.
 fn secs(histogram: &Histogram<u64>, quantile: f64) -> String {
     format!("{:.2}", histogram.value_at_quantile(quantile) as f64 / 1000.0)
 }
