--- a/crates/entry/src/message.rs
+++ b/crates/entry/src/message.rs
@@ -86,16 +86,16 @@
 pub enum JobAnswer {
     /// Has not ended.
     Pending {
-        /// Its ticket; `None` until its claim is stored.
+        /// Ticket of the job; `None` until the job's claim is stored.
         job: Option<JobId>,
         /// `claiming`, `waiting`, `starting`, `running`, `stopping` or `recording`.
         stage: String,
     },
     /// Has ended, and the answer is at hand.
     Ended {
-        /// Its ticket.
+        /// Ticket of the job.
         job: JobId,
-        /// Its outcome, with the answer if it was done.
+        /// Outcome of the job, with the answer if it was done.
         outcome: Outcome,
     },
     /// The state can't be determined now; not final.
--- a/crates/lifecycle/src/coordinator.rs
+++ b/crates/lifecycle/src/coordinator.rs
@@ -122,7 +122,7 @@
     pub spec: Arc<JobSpec>,
     /// Whether `spec` is the whole request. False for an adopted job whose request has not been read yet.
     pub described: bool,
-    /// Its stage.
+    /// Stage that the job is in.
     pub stage: Stage,
     /// Backend servers of its current or last attempt; empty while it waits.
     pub servers: Vec<BackendServerId>,
--- a/crates/marten/src/commands.rs
+++ b/crates/marten/src/commands.rs
@@ -28,7 +28,7 @@
         Command::Wait { customer, request } => submit::wait(opts, customer, request).await,
         Command::Cancel { customer, request } => submit::cancel(opts, customer, request).await,
         Command::Drain { file, server } => drain(file, server),
-        Command::Evacuate { zone, take_back, follow } => evacuate::evacuate(opts, zone, *take_back, *follow).await,
+        Command::Evacuate { zone, end, follow } => evacuate::evacuate(opts, zone, *end, *follow).await,
         Command::Explain { job, logs } => explain::explain(job, logs),
     }
 }
--- a/crates/marten/src/evacuate.rs
+++ b/crates/marten/src/evacuate.rs
@@ -1,4 +1,6 @@
 //! Evacuates an availability zone, ends an evacuation, and shows the progress of one.
+//!
+//! Only the scheduling box, which is the one box elected to schedule, answers these calls.
 
 use std::time::Duration;
 
@@ -13,10 +15,10 @@
     options::{Format, Options},
 };
 
-/// Interval at which progress is shown.
+/// Interval between polls. It is one second because [`evacuate`] makes `timeout_s` of them.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Progress of an evacuation, as the scheduling box reports it.
+/// Progress of an evacuation, as reported by the scheduling box.
 #[derive(Debug, Deserialize)]
 struct Evacuation {
     availability_zone: AvailabilityZoneId,
@@ -32,16 +34,17 @@
     evacuations: Vec<Evacuation>,
 }
 
-/// Starts or ends an evacuation; with `follow`, waits until nothing runs in the zone any more.
+/// Starts an evacuation or, with `end`, ends it. With `follow`, waits after a start until no task runs in the zone or
+/// the evacuation has been ended.
 ///
 /// Returns [`Failure::Pending`] if something still runs there after the timeout.
-pub(crate) async fn evacuate(opts: &Options, zone: &str, take_back: bool, follow: bool) -> Result<(), Failure> {
+pub(crate) async fn evacuate(opts: &Options, zone: &str, end: bool, follow: bool) -> Result<(), Failure> {
     let zone: AvailabilityZoneId = zone.parse().map_err(|e| Failure::Usage { why: format!("{e}") })?;
     let boxes = Boxes::new(&opts.boxes)?;
-    let method = if take_back { Method::DELETE } else { Method::PUT };
+    let method = if end { Method::DELETE } else { Method::PUT };
     let path = format!("/v1/evacuations/{zone}");
     show(opts.format, &zone, &call(&boxes, method, &path).await?);
-    if !follow || take_back {
+    if !follow || end {
         return Ok(());
     }
     for _ in 0..opts.timeout_s {
@@ -68,6 +71,7 @@
     }
 }
 
+/// Returns the evacuation of `zone`; `None` if the zone is not evacuated or the response is malformed.
 fn find_evacuation(reply: &Value, zone: &AvailabilityZoneId) -> Option<Evacuation> {
     let all: Evacuations = serde_json::from_value(reply.clone()).ok()?;
     all.evacuations.into_iter().find(|evacuation| evacuation.availability_zone == *zone)
--- a/crates/marten/src/exit.rs
+++ b/crates/marten/src/exit.rs
@@ -8,7 +8,7 @@
     /// Exit code 2: the command line is invalid.
     #[display("{why}")]
     Usage { why: String },
-    /// Exit code 3: a file or a request was refused; nothing was changed.
+    /// Exit code 3: a file is unreadable or invalid, a request was refused, or nothing was found; nothing was changed.
     #[display("{why}")]
     Refused { why: String },
     /// Exit code 4: another change was applied first; nothing was changed.
@@ -26,8 +26,7 @@
 }
 
 impl Failure {
-    /// Returns the exit code.
-    pub(crate) fn code(&self) -> u8 {
+    pub(crate) fn exit_code(&self) -> u8 {
         match self {
             Failure::Usage { .. } => 2,
             Failure::Refused { .. } => 3,
--- a/crates/marten/src/explain.rs
+++ b/crates/marten/src/explain.rs
@@ -9,15 +9,16 @@
     /// Milliseconds since the Unix epoch by the clock of the box that wrote the line.
     at_ms: u64,
     text: String,
-    /// The line is about which box schedules, not about a job.
+    /// Whether the line is about which box schedules rather than about the job.
     is_about_scheduler: bool,
 }
 
-/// Events about which box schedules, shown between the first and last line of a job.
+/// Events about which box schedules, shown between the first and last line of a job. They are compared as substrings;
+/// the trailing space of the last one excludes longer values that begin with it.
 const SCHEDULER_EVENTS: [&str; 4] = ["event=elected", "event=stopped_scheduling", "event=deposed", "event=scheduling "];
 
-/// Prints the lines about `job` in `files`, or in standard input if there are none, in order of time, with the
-/// elections between them.
+/// Prints the lines about `job` in order of time, with the changes of the scheduling box between them. Reads standard
+/// input if `files` is empty.
 ///
 /// Returns [`Failure::Refused`] if a file cannot be read or no line is about the job.
 pub(crate) fn explain(job: &str, files: &[String]) -> Result<(), Failure> {
@@ -48,7 +49,8 @@
     Ok(text)
 }
 
-/// Returns the lines about a job and the elections in order of time, each with its offset from the job's first line.
+/// Returns the lines about a job and about changes of the scheduling box, in order of time, from the last election
+/// before the job's first line to the job's last line. Each has its offset from the job's first line.
 fn job_history(job: &str, text: &str) -> Vec<String> {
     let job_field = format!("job={job}");
     let mut lines: Vec<Line> = text.lines().filter_map(|text| parse_line(text, &job_field)).collect();
--- a/crates/marten/src/main.rs
+++ b/crates/marten/src/main.rs
@@ -42,7 +42,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
             eprintln!("marten: {failure}");
-            ExitCode::from(failure.code())
+            ExitCode::from(failure.exit_code())
         }
     }
 }
--- a/crates/marten/src/options.rs
+++ b/crates/marten/src/options.rs
@@ -44,7 +44,7 @@
     Wait { customer: String, request: String },
     Cancel { customer: String, request: String },
     Drain { file: String, server: String },
-    Evacuate { zone: String, take_back: bool, follow: bool },
+    Evacuate { zone: String, end: bool, follow: bool },
     Explain { job: String, logs: Vec<String> },
 }
 
@@ -94,8 +94,8 @@
         let free: Vec<&str> = matches.free.iter().map(String::as_str).collect();
         let base = parse_opt(&matches, "from", "a revision")?;
         let mut command = parse_command(&free, base.map(Revision), matches.opt_present("detach"))?;
-        if let Command::Evacuate { take_back, follow, .. } = &mut command {
-            (*take_back, *follow) = (matches.opt_present("take-back"), matches.opt_present("follow"));
+        if let Command::Evacuate { end, follow, .. } = &mut command {
+            (*end, *follow) = (matches.opt_present("take-back"), matches.opt_present("follow"));
         }
         let boxes = matches.opt_strs("box");
         let boxes: Result<Vec<SocketAddr>, Failure> = boxes
@@ -129,7 +129,7 @@
         ["wait", customer, request] => Ok(Command::Wait { customer: own(customer), request: own(request) }),
         ["cancel", customer, request] => Ok(Command::Cancel { customer: own(customer), request: own(request) }),
         ["drain", file, server] => Ok(Command::Drain { file: own(file), server: own(server) }),
-        ["evacuate", zone] => Ok(Command::Evacuate { zone: own(zone), take_back: false, follow: false }),
+        ["evacuate", zone] => Ok(Command::Evacuate { zone: own(zone), end: false, follow: false }),
         ["explain", job, logs @ ..] => {
             Ok(Command::Explain { job: own(job), logs: logs.iter().map(|path| own(path)).collect() })
         }
--- a/crates/marten/src/submit.rs
+++ b/crates/marten/src/submit.rs
@@ -16,7 +16,8 @@
 
 /// Longest wait of one call, after which the command polls again.
 const POLL_WAIT: Duration = Duration::from_secs(20);
-/// Shortest pause before polling again, also if the response names no pause.
+/// Minimum pause before polling or submitting again, also if the response names no pause. It does not apply if the job
+/// is pending, since the call itself has waited then.
 const MIN_PAUSE: Duration = Duration::from_millis(500);
 
 /// Next action after a response about a job.
@@ -44,14 +45,14 @@
         }
         match next_action(&reply)? {
             Next::Finish(answer) => return finish(opts, &boxes, &spec.customer, &spec.request, &answer).await,
-            Next::Poll(pause) | Next::Resubmit(pause) => pause_until(pause, deadline).await?,
+            Next::Poll(pause) | Next::Resubmit(pause) => pause_unless_overdue(pause, deadline).await?,
         }
         retry = true;
     }
 }
 
 pub(crate) async fn wait(opts: &Options, customer: &str, request: &str) -> Result<(), Failure> {
-    let (customer, request) = parse_names(customer, request)?;
+    let (customer, request) = parse_ids(customer, request)?;
     let boxes = Boxes::new(&opts.boxes)?;
     let deadline = Instant::now() + Duration::from_secs(opts.timeout_s);
     loop {
@@ -59,13 +60,13 @@
         let reply = boxes.call(Method::GET, &path, Vec::new(), POLL_WAIT).await?;
         match next_action(&reply)? {
             Next::Finish(answer) => return finish(opts, &boxes, &customer, &request, &answer).await,
-            Next::Poll(pause) | Next::Resubmit(pause) => pause_until(pause, deadline).await?,
+            Next::Poll(pause) | Next::Resubmit(pause) => pause_unless_overdue(pause, deadline).await?,
         }
     }
 }
 
 pub(crate) async fn cancel(opts: &Options, customer: &str, request: &str) -> Result<(), Failure> {
-    let (customer, request) = parse_names(customer, request)?;
+    let (customer, request) = parse_ids(customer, request)?;
     let path = format!("/v1/jobs/{customer}/{request}");
     let reply = Boxes::new(&opts.boxes)?.call(Method::DELETE, &path, Vec::new(), MIN_PAUSE).await?;
     match reply.status {
@@ -78,7 +79,7 @@
     }
 }
 
-fn parse_names(customer: &str, request: &str) -> Result<(CustomerId, RequestId), Failure> {
+fn parse_ids(customer: &str, request: &str) -> Result<(CustomerId, RequestId), Failure> {
     let usage = |e: model::IdError| Failure::Usage { why: e.to_string() };
     Ok((customer.parse().map_err(usage)?, request.parse().map_err(usage)?))
 }
@@ -100,7 +101,8 @@
     }
 }
 
-async fn pause_until(pause: Duration, deadline: Instant) -> Result<(), Failure> {
+/// Waits for `pause` and up to 100 ms more. Returns [`Failure::Pending`] at once if `pause` would reach the deadline.
+async fn pause_unless_overdue(pause: Duration, deadline: Instant) -> Result<(), Failure> {
     if Instant::now() + pause >= deadline {
         return Err(Failure::Pending { why: "the job has not ended; wait for it with `marten wait`".to_owned() });
     }
--- a/crates/martend/src/convert.rs
+++ b/crates/martend/src/convert.rs
@@ -1,4 +1,4 @@
-//! Conversions between gRPC messages and checked types.
+//! Conversions between gRPC messages and the validated types of `model`, `entry` and `policy`.
 
 use derive_more::{Display, Error, From};
 use entry::{JobAnswer, PeerRequest, Submission};
@@ -17,10 +17,7 @@
     /// A required field is missing.
     #[display("the field {field} is missing")]
     #[from(ignore)]
-    Missing {
-        /// Name of the field.
-        field: &'static str,
-    },
+    Missing { field: &'static str },
     /// JSON that cannot be parsed as the expected type.
     #[display("{_0}")]
     Json(serde_json::Error),
@@ -34,7 +31,7 @@
 
 type Result<T> = std::result::Result<T, ConvertError>;
 
-pub(crate) fn heartbeat(m: wire::HeartbeatRequest) -> Result<PeerRequest> {
+pub(crate) fn heartbeat_from_wire(m: wire::HeartbeatRequest) -> Result<PeerRequest> {
     Ok(PeerRequest::Heartbeat {
         from: m.from.parse()?,
         incarnation: Incarnation(m.incarnation),
@@ -43,18 +40,18 @@
     })
 }
 
-pub(crate) fn offer(m: wire::OfferRequest) -> Result<PeerRequest> {
+pub(crate) fn offer_from_wire(m: wire::OfferRequest) -> Result<PeerRequest> {
     Ok(PeerRequest::Offer {
         from: m.from.parse()?,
         incarnation: Incarnation(m.incarnation),
         seq: m.seq,
         full: m.full,
-        added: m.added.into_iter().map(queued).collect::<Result<_>>()?,
+        added: m.added.into_iter().map(queued_from_wire).collect::<Result<_>>()?,
         removed: m.removed.iter().map(|job| Ok(job.parse()?)).collect::<Result<_>>()?,
     })
 }
 
-pub(crate) fn grant(m: wire::GrantRequest) -> Result<PeerRequest> {
+pub(crate) fn grant_from_wire(m: wire::GrantRequest) -> Result<PeerRequest> {
     let start = |m: wire::Start| -> Result<(JobId, Vec<Member>)> {
         let members = m.members.into_iter().map(|m| Ok(Member { server: m.server.parse()?, tasks: m.tasks }));
         Ok((m.job.parse()?, members.collect::<Result<_>>()?))
@@ -66,7 +63,7 @@
     })
 }
 
-pub(crate) fn lookup(m: wire::LookupRequest) -> Result<PeerRequest> {
+pub(crate) fn lookup_from_wire(m: wire::LookupRequest) -> Result<PeerRequest> {
     let ticket = if m.ticket.is_empty() { None } else { Some(m.ticket.parse()?) };
     Ok(PeerRequest::Lookup {
         ticket,
@@ -77,7 +74,7 @@
     })
 }
 
-pub(crate) fn submit(m: wire::SubmitRequest) -> Result<PeerRequest> {
+pub(crate) fn submission_from_wire(m: wire::SubmitRequest) -> Result<PeerRequest> {
     let ticket = if m.ticket.is_empty() { None } else { Some(m.ticket.parse()?) };
     Ok(PeerRequest::Submit(Submission {
         spec: model::from_json(&m.spec)?,
@@ -106,17 +103,17 @@
     wire::JobReply { answer: serde_json::to_vec(answer).expect("our own types always serialize") }
 }
 
-pub(crate) fn answer(m: &wire::JobReply) -> Result<JobAnswer> {
+pub(crate) fn answer_from_wire(m: &wire::JobReply) -> Result<JobAnswer> {
     Ok(serde_json::from_slice(&m.answer)?)
 }
 
-fn queued(m: wire::QueuedJob) -> Result<Queued> {
+fn queued_from_wire(m: wire::QueuedJob) -> Result<Queued> {
     let gang = m.gang.ok_or(ConvertError::Missing { field: "gang" })?;
     Ok(Queued {
         job: m.job.parse()?,
         customer: m.customer.parse()?,
         class: m.class.parse()?,
-        gang: self::gang(gang)?,
+        gang: gang_from_wire(gang)?,
         declared: Duration::from_millis(m.declared_ms),
         waited: Duration::from_millis(m.waited_ms),
         repeatable: m.repeatable,
@@ -139,7 +136,7 @@
     }
 }
 
-fn gang(m: wire::Gang) -> Result<Gang> {
+fn gang_from_wire(m: wire::Gang) -> Result<Gang> {
     let within = match m.within() {
         wire::Within::AvailabilityZone => Within::AvailabilityZone,
         wire::Within::Rack => Within::Rack,
--- a/crates/martend/src/peer_client.rs
+++ b/crates/martend/src/peer_client.rs
@@ -113,6 +113,6 @@
 }
 
 fn job_reply(res: tonic::Response<wire::JobReply>) -> Result<PeerReply, Status> {
-    let answer = convert::answer(&res.into_inner()).map_err(|e| Status::internal(e.to_string()))?;
+    let answer = convert::answer_from_wire(&res.into_inner()).map_err(|e| Status::internal(e.to_string()))?;
     Ok(PeerReply::Job(answer))
 }
--- a/crates/martend/src/peer_server.rs
+++ b/crates/martend/src/peer_server.rs
@@ -44,7 +44,7 @@
 #[tonic::async_trait]
 impl Peer for PeerService {
     async fn heartbeat(&self, req: Request<wire::HeartbeatRequest>) -> Result<Response<wire::HeartbeatReply>, Status> {
-        match self.request(convert::heartbeat(req.into_inner())).await? {
+        match self.request(convert::heartbeat_from_wire(req.into_inner())).await? {
             PeerReply::Heartbeat { incarnation, revision, leaving } => {
                 Ok(Response::new(wire::HeartbeatReply { incarnation: incarnation.0, revision: revision.0, leaving }))
             }
@@ -53,19 +53,19 @@
     }
 
     async fn offer(&self, req: Request<wire::OfferRequest>) -> Result<Response<wire::OfferReply>, Status> {
-        match self.request(convert::offer(req.into_inner())).await? {
+        match self.request(convert::offer_from_wire(req.into_inner())).await? {
             PeerReply::Offered { need_full } => Ok(Response::new(wire::OfferReply { need_full })),
             _ => Err(unexpected_reply()),
         }
     }
 
     async fn grant(&self, req: Request<wire::GrantRequest>) -> Result<Response<wire::GrantReply>, Status> {
-        self.request(convert::grant(req.into_inner())).await?;
+        self.request(convert::grant_from_wire(req.into_inner())).await?;
         Ok(Response::new(wire::GrantReply {}))
     }
 
     async fn lookup(&self, req: Request<wire::LookupRequest>) -> Result<Response<wire::JobReply>, Status> {
-        self.request_job(convert::lookup(req.into_inner())).await
+        self.request_job(convert::lookup_from_wire(req.into_inner())).await
     }
 
     async fn cancel(&self, req: Request<wire::NameRequest>) -> Result<Response<wire::JobReply>, Status> {
@@ -85,7 +85,7 @@
     }
 
     async fn submit(&self, req: Request<wire::SubmitRequest>) -> Result<Response<wire::JobReply>, Status> {
-        self.request_job(convert::submit(req.into_inner())).await
+        self.request_job(convert::submission_from_wire(req.into_inner())).await
     }
 
     async fn fetch_configuration(
--- a/crates/scheduler/src/orders.rs
+++ b/crates/scheduler/src/orders.rs
@@ -61,7 +61,7 @@
 /// Outcome of a start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StartReply {
-    /// It runs.
+    /// The task runs on the backend server.
     Started,
     /// It has run or was stopped: an earlier order for it had been received. Its completion is listed.
     Over,
