--- a/crates/logs/tests/service.rs
+++ b/crates/logs/tests/service.rs
@@ -1,4 +1,4 @@
-//! The logger of a service: a flush writes all earlier lines, and a reader that does not read blocks nobody.
+//! Tests of a service's logger: a flush writes all earlier lines, and a blocked output blocks no caller.
 
 use std::{
     io::Write,
@@ -10,6 +10,12 @@
 use logs::service_logger;
 use simplelog::SharedLogger;
 
+/// Capacity of the logger's queue in lines.
+const QUEUE_CAPACITY: usize = 2048;
+
+/// Lines of each kind. The logger drops lines beyond 400 of one kind per second, which these tests must not reach.
+const LINES_PER_KIND: usize = 300;
+
 /// Output that delays each write.
 #[derive(Clone)]
 struct SlowOutput {
@@ -51,26 +57,26 @@
 }
 
 #[test]
-fn logging_does_not_wait_for_a_reader_that_does_not_read() {
+fn neither_logging_nor_flushing_waits_for_a_blocked_output() {
     let (logger, _) = logger(Duration::from_secs(3600));
     let started = Instant::now();
     for n in 0..5000 {
-        log(&*logger, &format!("event=test{} n={n}", n / 300));
+        log(&*logger, &format!("event=test{} n={n}", n / LINES_PER_KIND));
     }
     logger.flush();
     assert!(started.elapsed() < Duration::from_secs(10), "{:?}", started.elapsed());
 }
 
 #[test]
-fn flush_with_a_full_queue_writes_its_lines() {
+fn flush_writes_all_lines_of_a_full_queue() {
     let (logger, out) = logger(Duration::from_millis(40));
     log(&*logger, "event=first");
-    // The thread is writing the first line while these fill the queue.
-    for n in 0..2048 {
-        log(&*logger, &format!("event=test{} n={n}", n / 300));
+    // The logger's thread is still writing the first line, so these fill the queue.
+    for n in 0..QUEUE_CAPACITY {
+        log(&*logger, &format!("event=test{} n={n}", n / LINES_PER_KIND));
     }
     logger.flush();
     let written =
         String::from_utf8(out.written.lock().expect("no holder panics").clone()).expect("the output is UTF-8");
-    assert!(written.lines().count() >= 2048, "{} lines", written.lines().count());
+    assert!(written.lines().count() >= QUEUE_CAPACITY, "{} lines", written.lines().count());
 }
--- a/crates/scheduler/tests/permits.rs
+++ b/crates/scheduler/tests/permits.rs
@@ -22,19 +22,20 @@
 }
 
 fn permit(i: usize) -> Permit {
-    Arc::from(format!("ticket-{i}"))
+    Arc::from(format!("permit-{i}"))
 }
 
-/// Plans and returns the resulting permit request; nothing may start before it is answered.
+/// Plans, asserts that nothing starts without a permit, and returns the request for one.
 fn permit_request(fixture: &mut Fixture) -> PermitRequest {
     assert!(fixture.start_all().is_empty(), "nothing starts without a permit");
     fixture.scheduler.take_permit_request().expect("a permit is requested")
 }
 
-fn grant(fixture: &mut Fixture, request: &PermitRequest, permitted: &[usize]) {
-    let allowed: BTreeMap<BackendServerId, Permit> = permitted.iter().map(|&i| (server_id(i), permit(i))).collect();
+/// Answers a request: the `allowed` backend servers get a permit, the others are refused.
+fn answer(fixture: &mut Fixture, request: &PermitRequest, allowed: &[usize]) {
+    let permits: BTreeMap<BackendServerId, Permit> = allowed.iter().map(|&i| (server_id(i), permit(i))).collect();
     let now = fixture.now;
-    fixture.scheduler.permits_received(request, &allowed, now);
+    fixture.scheduler.permits_received(request, &permits, now);
 }
 
 /// Returns a task that has started with its permit on the only backend server.
@@ -42,7 +43,7 @@
     let mut fixture = fixture(1);
     fixture.submit(job(1, vec![step(1, 8)]));
     let request = permit_request(&mut fixture);
-    grant(&mut fixture, &request, &[0]);
+    answer(&mut fixture, &request, &[0]);
     let started = fixture.start_all().remove(0);
     (fixture, started)
 }
@@ -61,8 +62,9 @@
     let request = permit_request(&mut fixture);
     assert_eq!(request.step, StepId { occurrence: OccurrenceId { job: JobId(1), number: 0 }, step: 0 });
     assert_eq!(request.servers.len(), 4);
+    // 100 ms + 4 x 2 ms.
     assert_eq!(request.takes, Duration::from_millis(108));
-    grant(&mut fixture, &request, &[2]);
+    answer(&mut fixture, &request, &[2]);
     let started = fixture.start_all();
     assert_eq!(servers(&started), [server_id(2)]);
     assert!(started.iter().all(|s| s.permit == Some(permit(2))));
@@ -70,18 +72,18 @@
 }
 
 #[test]
-fn refused_backend_servers_are_not_requested_again_and_a_gang_requests_more_until_it_fits() {
+fn permits_for_a_gang_are_requested_until_it_fits_and_never_twice_for_a_refused_backend_server() {
     let mut fixture = fixture(40);
     fixture.submit(job(1, vec![gang(2, 8)]));
     let first = permit_request(&mut fixture);
-    assert_eq!(first.servers.len(), 30);
-    grant(&mut fixture, &first, &[0]);
+    assert_eq!(first.servers.len(), 30, "the most that one request may name");
+    answer(&mut fixture, &first, &[0]);
     let second = permit_request(&mut fixture);
-    assert_eq!(second.servers.len(), 10, "only those that were not requested");
+    assert_eq!(second.servers.len(), 10, "only backend servers that the first request did not name");
     assert!(second.servers.iter().all(|id| !first.servers.contains(id)));
-    let last = (0..40).map(server_id).position(|id| id == second.servers[0]).expect("its number is below 40");
-    grant(&mut fixture, &second, &[last]);
-    assert_eq!(servers(&fixture.start_all()), [server_id(0), server_id(last)]);
+    let added = (0..40).map(server_id).position(|id| id == second.servers[0]).expect("its number is below 40");
+    answer(&mut fixture, &second, &[added]);
+    assert_eq!(servers(&fixture.start_all()), [server_id(0), server_id(added)]);
 }
 
 #[test]
@@ -91,7 +93,7 @@
     fixture.complete(&started, CompletionKind::Stopped);
     let again = permit_request(&mut fixture);
     assert_eq!(again.servers, [server_id(0)]);
-    grant(&mut fixture, &again, &[0]);
+    answer(&mut fixture, &again, &[0]);
     assert_eq!(fixture.start_all().len(), 1);
 }
 
@@ -100,16 +102,16 @@
     let mut fixture = fixture(1);
     fixture.submit(job(1, vec![step(1, 8)]));
     let request = permit_request(&mut fixture);
-    grant(&mut fixture, &request, &[0]);
+    answer(&mut fixture, &request, &[0]);
     let ordered = fixture.ordered_starts().remove(0);
     fixture.reply(&ordered, StartReply::NoTicket);
     let again = permit_request(&mut fixture);
-    grant(&mut fixture, &again, &[0]);
-    assert_eq!(fixture.start_all().len(), 1, "at once: the backend server is not paused");
+    answer(&mut fixture, &again, &[0]);
+    assert_eq!(fixture.start_all().len(), 1, "a refused permit does not pause the backend server");
 }
 
 #[test]
-fn one_request_is_in_flight_at_a_time_and_a_lost_one_is_repeated() {
+fn one_request_is_in_flight_at_a_time_and_a_failed_one_is_repeated() {
     let mut fixture = fixture(2);
     fixture.submit(job(1, vec![step(1, 1)]));
     fixture.submit(job(2, vec![step(1, 1)]));
@@ -119,7 +121,7 @@
     fixture.scheduler.permit_request_failed(&first);
     let again = permit_request(&mut fixture);
     assert_eq!(again, first);
-    grant(&mut fixture, &again, &[0, 1]);
+    answer(&mut fixture, &again, &[0, 1]);
     assert_eq!(fixture.start_all().len(), 1);
     let second = fixture.scheduler.take_permit_request().expect("the second job needs a permit of its own");
     assert_eq!(second.step.occurrence.job, JobId(2));
