--- a/crates/scheduler/src/server.rs
+++ b/crates/scheduler/src/server.rs
@@ -14,8 +14,8 @@
 
 use crate::{health::Health, policy::ServiceId, speed::Speed};
 
-/// Longest time between a draining backend server becoming unresponsive and the platform removing it from its list; the
-/// measured time is 25 ms. A partitioned one is removed three heartbeats after its last (1.5 s each by the platform's
+/// Longest time between a draining backend server becoming unresponsive and the platform removing it from its list;
+/// it usually takes 25 ms. A partitioned one is removed three heartbeats after its last (1.5 s each by the platform's
 /// rules), so at least 3 s later, and the call that it leaves without a response is detected within 2.5 s.
 const MAX_DEPARTURE_SKEW: Duration = Duration::from_millis(300);
 
