--- a/crates/lifecycle/src/adoption.rs
+++ b/crates/lifecycle/src/adoption.rs
@@ -37,7 +37,7 @@
         job.started = Some(now);
         job.members = first.members.iter().cloned().map(GangMember::new).collect();
         let limits = self.limits;
-        job.phase = Phase::Adopting { next: now, until: now + limits.lease_ttl };
+        job.phase = Phase::Adopting { send_at: now, until: now + limits.lease_ttl };
         self.by_request.insert(name, id.clone());
         self.jobs.insert(id.clone(), job);
         self.tick_adopting(id, now);
@@ -53,14 +53,14 @@
         let resend = now + self.limits.resend_every;
         // After the call above the job may have been queued again under another ticket.
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let Phase::Adopting { next, until } = &mut job.phase else { return };
+        let Phase::Adopting { send_at, until } = &mut job.phase else { return };
         if *until <= now {
             let server = job.members.iter().find(|p| p.state.is_none()).map(|p| p.placement.server.clone());
             let server = server.unwrap_or_else(|| job.members[0].placement.server.clone());
             return self.stop(id, Cause::MemberLost { server }, now);
         }
-        if *next <= now {
-            *next = resend;
+        if *send_at <= now {
+            *send_at = resend;
             self.send_adoptions(id);
         }
     }
--- a/crates/lifecycle/src/commit.rs
+++ b/crates/lifecycle/src/commit.rs
@@ -47,17 +47,18 @@
         self.send_stops(id);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.failed_commits += 1;
-        let unresponsive = job.members.iter().filter(|p| p.state.is_none());
-        job.unresponsive = unresponsive.map(|p| p.placement.server.clone()).collect();
+        let unresponsive = job.members.iter().filter(|member| member.state.is_none());
+        job.unresponsive = unresponsive.map(|member| member.placement.server.clone()).collect();
         self.requeue(id, now);
     }
 
-    /// Continues with the next step once every member has confirmed the current one.
+    /// Takes the next step of the commit once every member has confirmed the current one; requests the answer once
+    /// every member has finished.
     pub(crate) fn advance_commit(&mut self, id: &JobId, now: Moment) {
         let job = &self.jobs[id];
         match &job.phase {
             Phase::Reserving { .. } if job.all(|s| *s == TaskState::Reserved) => self.start(id, now),
-            Phase::Starting { .. } if job.all(is_armed) => self.go(id, now),
+            Phase::Starting { .. } if job.all(has_confirmed_start) => self.go(id, now),
             Phase::Running { .. } if job.all(|s| matches!(s, TaskState::Finished { .. })) => self.fetch_answer(id, now),
             _ => {}
         }
@@ -73,10 +74,10 @@
         }
     }
 
-    /// Takes the last step: every member is armed, so each may run.
+    /// Sends `go`, the last step, to every member. The caller has checked that each is at least armed.
     pub(crate) fn go(&mut self, id: &JobId, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        job.phase = Phase::Running { since: now, next: now + self.limits.resend_every };
+        job.phase = Phase::Running { since: now, resend_at: now + self.limits.resend_every };
         job.go_sent = true;
         job.ran = true;
         job.failed_commits = 0;
@@ -92,15 +93,15 @@
     pub(crate) fn resend_go(&mut self, id: &JobId, now: Moment) {
         let resend = now + self.limits.resend_every;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        if let Phase::Running { next, .. } = &mut job.phase
-            && *next <= now
+        if let Phase::Running { resend_at, .. } = &mut job.phase
+            && *resend_at <= now
         {
-            *next = resend;
+            *resend_at = resend;
             self.send_go(id);
         }
     }
 
-    /// Renews the leases of one job with `go` set, on members that have not confirmed it.
+    /// Sends `go` (a renewal with `go` set) to the members of a job that have not confirmed `go`.
     pub(crate) fn send_go(&mut self, id: &JobId) {
         let ttl = self.limits.lease_ttl;
         let job = &self.jobs[id];
@@ -112,13 +113,13 @@
 
     /// Requests the answer of a finished gang from its first member.
     pub(crate) fn fetch_answer(&mut self, id: &JobId, now: Moment) {
-        let next = now + self.limits.resend_every;
+        let resend_at = now + self.limits.resend_every;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         let until = match job.phase {
             Phase::Fetching { until, .. } => until,
             _ => now + self.limits.fetch_wait,
         };
-        job.phase = Phase::Fetching { next, until };
+        job.phase = Phase::Fetching { resend_at, until };
         let server = job.members[0].placement.server.clone();
         self.call(&server, BackendRequest::Fetch { job: id.clone() });
     }
@@ -133,11 +134,11 @@
     }
 }
 
-fn is_armed(state: &TaskState) -> bool {
+fn has_confirmed_start(state: &TaskState) -> bool {
     matches!(state, TaskState::Armed | TaskState::Running)
 }
 
 fn not_running(job: &Job) -> Vec<model::BackendServerId> {
-    let armed = |member: &&GangMember| matches!(member.state, None | Some(TaskState::Armed));
-    job.members.iter().filter(armed).map(|member| member.placement.server.clone()).collect()
+    let go_unconfirmed = |member: &&GangMember| matches!(member.state, None | Some(TaskState::Armed));
+    job.members.iter().filter(go_unconfirmed).map(|member| member.placement.server.clone()).collect()
 }
--- a/crates/lifecycle/src/coordinator.rs
+++ b/crates/lifecycle/src/coordinator.rs
@@ -199,7 +199,7 @@
         assert!(self.minted(&job), "only the minting process may start a ticket");
         self.by_request.insert((spec.customer.clone(), spec.request.clone()), job.clone());
         let Origin { resume, certain } = origin;
-        self.jobs.insert(job, Job { resume, ran: resume, certain, ..Job::new(Arc::new(spec), now) });
+        self.jobs.insert(job, Job { resume, ran: resume, run_known: certain, ..Job::new(Arc::new(spec), now) });
         self.effects.push(Effect::QueueChanged);
     }
 
@@ -263,11 +263,11 @@
     pub fn release(&mut self, job: &JobId) -> Option<(Arc<JobSpec>, Origin)> {
         let it = self.jobs.get(job)?;
         // A job that has run can continue elsewhere only from a checkpoint, or if it may run again.
-        let releasable = it.resume || it.spec.repeatable || (!it.ran && it.certain);
+        let releasable = it.resume || it.spec.repeatable || (!it.ran && it.run_known);
         if !matches!(it.phase, Phase::Waiting { .. }) || !releasable {
             return None;
         }
-        let origin = Origin { resume: it.resume, certain: it.certain && !it.ran };
+        let origin = Origin { resume: it.resume, certain: it.run_known && !it.ran };
         let found = (Arc::clone(&it.spec), origin);
         self.remove(job);
         self.effects.push(Effect::QueueChanged);
@@ -314,7 +314,7 @@
         match &it.phase {
             Phase::Ended { .. } | Phase::Moved { .. } | Phase::Void { .. } | Phase::Fetching { .. } => {}
             Phase::Waiting { .. } => {
-                let outcome = Outcome::Cancelled { ran: it.ran || !it.certain };
+                let outcome = Outcome::Cancelled { ran: it.ran || !it.run_known };
                 self.end(&id, outcome, now);
             }
             _ => self.stop(&id, Cause::Cancelled, now),
@@ -362,9 +362,9 @@
             Phase::Running { since, .. } => {
                 let since = *since;
                 self.resend_go(id, now);
-                self.detect_lost_members(id, since, now);
+                self.stop_if_member_lost(id, since, now);
             }
-            Phase::Fetching { next, until } if *next <= now => {
+            Phase::Fetching { resend_at, until } if *resend_at <= now => {
                 let until = *until;
                 self.refetch_answer(id, until, now);
             }
@@ -427,7 +427,7 @@
     if job.ran {
         return Outcome::Failed { why: format!("it ran, was stopped, and then: {reason}") };
     }
-    if !job.certain {
+    if !job.run_known {
         return Outcome::Unknown { why: format!("a start could not be taken back for certain, and then: {reason}") };
     }
     Outcome::NotRun { reason, retry_after }
--- a/crates/lifecycle/src/job.rs
+++ b/crates/lifecycle/src/job.rs
@@ -45,8 +45,9 @@
     pub(crate) go_sent: bool,
     /// Whether any attempt is known to have run, wholly or in part.
     pub(crate) ran: bool,
-    /// Whether `ran` is certain: false once an attempt may have run without this box having recorded it.
-    pub(crate) certain: bool,
+    /// Whether it is known if the job has run: false once an attempt may have run without this box having recorded it.
+    /// An attempt whose `go` was sent counts as having run.
+    pub(crate) run_known: bool,
     /// Whether the next attempt resumes from a checkpoint.
     pub(crate) resume: bool,
     /// Attempts in which not every member was reserved and started, since one last ran; part of the backoff.
@@ -110,10 +111,10 @@
     Waiting { not_before: Moment },
     Reserving { until: Moment },
     Starting { until: Moment },
-    Running { since: Moment, next: Moment },
-    Fetching { next: Moment, until: Moment },
-    Stopping { cause: Cause, next: Moment, until: Moment },
-    Adopting { next: Moment, until: Moment },
+    Running { since: Moment, resend_at: Moment },
+    Fetching { resend_at: Moment, until: Moment },
+    Stopping { cause: Cause, send_at: Moment, until: Moment },
+    Adopting { send_at: Moment, until: Moment },
     Moved { to: Holder, at: Moment },
     Void { at: Moment },
     Ended { outcome: Outcome, at: Moment },
@@ -133,7 +134,7 @@
             phase: Phase::Waiting { not_before: now },
             go_sent: false,
             ran: false,
-            certain: true,
+            run_known: true,
             resume: false,
             failed_commits: 0,
             failures: 0,
--- a/crates/lifecycle/src/renewal.rs
+++ b/crates/lifecycle/src/renewal.rs
@@ -35,8 +35,9 @@
         by_server
     }
 
-    /// Stops a gang with a member on a backend server that has not responded for the length of a lease.
-    pub(crate) fn detect_lost_members(&mut self, id: &JobId, since: Moment, now: Moment) {
+    /// Stops the gang if the backend server of a member that has not ended has not responded for longer than a lease,
+    /// counted from `since` at the earliest.
+    pub(crate) fn stop_if_member_lost(&mut self, id: &JobId, since: Moment, now: Moment) {
         let job = &self.jobs[id];
         let unresponsive = |server: &BackendServerId| {
             let last = self.last_responses.get(server).copied().unwrap_or(since).max(since);
--- a/crates/lifecycle/src/replies.rs
+++ b/crates/lifecycle/src/replies.rs
@@ -96,7 +96,7 @@
         member.state = Some(state.clone());
         match state {
             TaskState::Failed { why } => {
-                self.record_failure(id, server);
+                self.report_failed_run(id, server);
                 self.stop_if_running(id, Cause::TaskFailed { why }, now);
             }
             TaskState::Stopped { .. } => self.stop_if_running(id, Cause::Preempted, now),
@@ -151,7 +151,7 @@
         let ran = job.ran || job.go_sent || job.adopted;
         if job.spec.repeatable {
             job.ran = ran;
-            job.certain &= !ran;
+            job.run_known &= !ran;
             job.adopted = true;
             return self.requeue(id, now);
         }
