--- a/crates/entry/src/adoption.rs
+++ b/crates/entry/src/adoption.rs
@@ -1,4 +1,5 @@
-//! Adoption by the planner of gangs whose holder, the box that renewed their leases, has terminated.
+//! Adoption of gangs: by the planner if their holder, the box that renewed their leases, has terminated, and by any box
+//! if it has itself abandoned them.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +10,7 @@
 
 impl EntryBox {
     /// Adopts gangs that this process held and abandoned and, if this box is the planner, gangs whose holder
-    /// has been dead for long enough.
+    /// has terminated.
     pub(crate) fn adopt_orphans(&mut self, now: Moment) {
         // Liveness changes with heartbeats, so a more frequent check finds nothing new.
         let every = self.limits.membership.heartbeat_every;
@@ -17,7 +18,8 @@
             return;
         }
         self.orphans_checked_at = Some(now);
-        let plans = *self.view.planner(now) == self.id.box_id && self.view.can_detect_failures(now) && !self.draining;
+        let may_adopt_from_others =
+            *self.view.planner(now) == self.id.box_id && self.view.can_detect_failures(now) && !self.draining;
         let orphans: Vec<(JobId, BTreeMap<BackendServerId, Lease>)> = self
             .replicas
             .by_job()
@@ -25,7 +27,9 @@
             .filter(|(_, leases)| leases.values().any(|lease| is_worth_adopting(lease)))
             .filter(|(_, leases)| {
                 let newest = leases.values().max_by_key(|lease| lease.token);
-                newest.is_some_and(|l| self.has_abandoned(l) || (plans && self.is_gone(&l.holder, now)))
+                newest.is_some_and(|l| {
+                    self.has_abandoned(l) || (may_adopt_from_others && self.has_terminated(&l.holder, now))
+                })
             })
             .map(|(job, leases)| {
                 let leases = leases.into_iter().map(|(id, lease)| (id.clone(), lease.clone())).collect();
@@ -41,16 +45,16 @@
         }
     }
 
-    /// Returns whether this very process holds the lease but no longer tracks the job: it abandoned the gang
-    /// when a member did not respond, and the gang was whole after all.
+    /// Returns whether this process holds the lease but no longer tracks the job. That is so if it gave up the gang
+    /// because a member did not respond, while that member kept its lease.
     fn has_abandoned(&self, lease: &Lease) -> bool {
         let is_mine = lease.holder == *self.jobs.holder();
         is_mine && self.jobs.view(&lease.job).is_none_or(|view| view.stage == lifecycle::Stage::Void)
     }
 
-    /// Returns whether the incarnation that holds a lease has terminated: unresponsive for long enough, or
-    /// succeeded by another.
-    fn is_gone(&self, holder: &Holder, now: Moment) -> bool {
+    /// Returns whether the incarnation that holds a lease has terminated: a newer incarnation of the box is known, or
+    /// no heartbeat has come for `adopt_after` plus `dead_after`.
+    fn has_terminated(&self, holder: &Holder, now: Moment) -> bool {
         if holder.box_id == self.id.box_id {
             return holder.incarnation < self.id.incarnation;
         }
@@ -62,7 +66,8 @@
             Some(status) => {
                 now.since(status.last_heartbeat) > self.limits.adopt_after + self.limits.membership.dead_after
             }
-            // No heartbeat yet: this process is young, or the box terminated before this process started.
+            // No heartbeat was received from this box. Once this process has run long enough to detect failures, that
+            // means that the box terminated before this process started.
             None => self.view.can_detect_failures(now),
         }
     }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    CallerReply, EntryBox, JobAnswer, PeerReply, PeerRequest, Submission, entry_box::Op, route::moved_answer,
+    CallerReply, EntryBox, JobAnswer, PeerReply, PeerRequest, Submission, entry_box::Op, route::unsettled_answer,
     ticket_fencing::AfterFencing, waiters::Respondent,
 };
 
@@ -212,7 +212,7 @@
             );
         }
         if !self.view.can_detect_failures(now) {
-            return self.reply(op.to, CallerReply::Job(moved_answer()));
+            return self.reply(op.to, CallerReply::Job(unsettled_answer()));
         }
         let ticket = (existing.ticket, existing.repeatable);
         self.fence_existing(ClaimOp { existing: Some(ticket), ..op }, found.version, now);
@@ -267,7 +267,7 @@
             }
             Some(PeerReply::Job(JobAnswer::Orphaned)) => return self.fence_existing(op, version, now),
             Some(PeerReply::Job(answer)) => answer,
-            _ => moved_answer(),
+            _ => unsettled_answer(),
         };
         self.reply(op.to, CallerReply::Job(answer));
     }
@@ -280,7 +280,7 @@
 
     fn pass_on(&mut self, op: ClaimOp, existing: &Claim, now: Moment) {
         let Some(peer) = self.any_box_of(&existing.availability_zone, now) else {
-            return self.reply(op.to, CallerReply::Job(moved_answer()));
+            return self.reply(op.to, CallerReply::Job(unsettled_answer()));
         };
         let route = crate::route::RouteOp::forward(op.submission.clone(), op.to);
         self.call_peer(Op::Route(Box::new(route)), &peer, PeerRequest::Submit(op.submission));
@@ -399,7 +399,7 @@
         let answer = match reply {
             Some(StoreReply::Written { .. }) => JobAnswer::Over { outcome },
             // The next poll reads the stored claim.
-            _ => moved_answer(),
+            _ => unsettled_answer(),
         };
         self.reply(to, CallerReply::Job(answer));
     }
@@ -422,7 +422,7 @@
         }
         if let Some(view) = self.jobs.view(job) {
             self.jobs.void(job);
-            self.answer_waiters(&view.spec.customer, &view.spec.request, &moved_answer());
+            self.answer_waiters(&view.spec.customer, &view.spec.request, &unsettled_answer());
         }
     }
 
--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -17,27 +17,27 @@
 
 /// Delay before a failed watch on the store is sent again.
 const WATCH_RETRY: Duration = Duration::from_secs(1);
-/// Shortest time between two deliveries of a revision to one backend server, unless the first has failed.
-const CONFIGURE_RETRY: Duration = Duration::from_secs(2);
+/// Shortest time between two deliveries of a revision to one backend server. A failed delivery doesn't count.
+const MIN_CONFIGURE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// State of the configuration's watch, fetches and deliveries.
 #[derive(Default)]
 pub(crate) struct ConfigState {
     watch: Option<OpId>,
-    watch_at: Moment,
+    next_watch_at: Moment,
     /// The store's version of the configuration; 0 until it was read.
     version: u64,
     is_fetching: bool,
     /// When the configuration was last sent to each backend server.
     last_sent: BTreeMap<BackendServerId, Moment>,
-    /// When ends of claims that could not be written are written again; `None` if there are none.
+    /// Time of the next attempt to record outcomes in claims whose last write failed; `None` if there are none.
     pub(crate) claim_ends_retry_at: Option<Moment>,
 }
 
 impl EntryBox {
     pub(crate) fn tick_config(&mut self, now: Moment) {
-        let waiting = self.config.watch.is_some_and(|op| self.ops.contains_key(&op));
-        if waiting || self.config.watch_at > now {
+        let is_watching = self.config.watch.is_some_and(|op| self.ops.contains_key(&op));
+        if is_watching || self.config.next_watch_at > now {
             return;
         }
         // The first read returns what is stored, without waiting for a change.
@@ -45,24 +45,25 @@
         let above = self.config.version;
         let op = self.new_op(Op::WatchConfiguration);
         self.config.watch = Some(op);
-        self.config.watch_at = now + WATCH_RETRY;
+        self.config.next_watch_at = now + WATCH_RETRY;
         let req = StoreRequest::Watch { key: CONFIG_KEY.to_owned(), above, wait };
         self.out.push(crate::Output::CallStore { op, req });
     }
 
-    pub(crate) fn on_configuration(&mut self, reply: Option<StoreReply>, now: Moment) {
+    pub(crate) fn on_store_watch_reply(&mut self, reply: Option<StoreReply>, now: Moment) {
         self.config.watch = None;
         match reply {
             Some(StoreReply::Found { value: Some(found) }) => {
                 self.config.version = found.version;
-                self.config.watch_at = now;
+                self.config.next_watch_at = now;
                 self.take_document(&found.value, now);
             }
-            Some(_) | None => self.config.watch_at = now + WATCH_RETRY,
+            Some(_) | None => self.config.next_watch_at = now + WATCH_RETRY,
         }
     }
 
-    /// Takes a configuration document from any source; the highest revision wins.
+    /// Puts a configuration document into force if its revision is higher than the current one. The source doesn't
+    /// matter; an invalid document is only counted.
     pub(crate) fn take_document(&mut self, text: &str, now: Moment) {
         match self.current.take(text) {
             Ok(Taken::InForce) => self.on_new_revision(now),
@@ -97,14 +98,15 @@
         }
     }
 
-    pub(crate) fn on_fetched_configuration(&mut self, reply: Option<PeerReply>, now: Moment) {
+    pub(crate) fn on_peer_configuration(&mut self, reply: Option<PeerReply>, now: Moment) {
         self.config.is_fetching = false;
         if let Some(PeerReply::Configuration(Some(text))) = reply {
             self.take_document(&text, now);
         }
     }
 
-    /// Handles the revision that a backend server reports to match.
+    /// Handles a backend server's report of the revision that it has applied: sends it the current configuration if
+    /// that is newer.
     pub(crate) fn on_server_revision(&mut self, server: &BackendServerId, revision: Revision, now: Moment) {
         if revision < self.current.revision() {
             self.send_configuration(server, now);
@@ -117,7 +119,7 @@
     /// planner alone, so a failed planner does not delay a revision.
     fn send_configuration(&mut self, server: &BackendServerId, now: Moment) {
         let Some(document) = self.current.document().cloned() else { return };
-        if self.config.last_sent.get(server).is_some_and(|at| now.since(*at) < CONFIGURE_RETRY) {
+        if self.config.last_sent.get(server).is_some_and(|at| now.since(*at) < MIN_CONFIGURE_INTERVAL) {
             return;
         }
         self.config.last_sent.insert(server.clone(), now);
@@ -125,7 +127,7 @@
         self.call_backend(BackendOp::Configure, server.clone(), req);
     }
 
-    pub(crate) fn on_configured(&mut self, server: &BackendServerId, reply: Option<BackendReply>, _now: Moment) {
+    pub(crate) fn on_configure_reply(&mut self, server: &BackendServerId, reply: Option<BackendReply>, _now: Moment) {
         if !matches!(reply, Some(BackendReply::Configured { .. })) {
             self.config.last_sent.remove(server);
         }
@@ -134,6 +136,7 @@
     pub(crate) fn apply(&mut self, id: ApplyId, base: Revision, file: OperatorFile, to: Respondent) {
         let mut apply = Apply::new(id, base, file);
         let step = apply.begin();
+        // The time counts only for an accepted file, and the first step accepts none.
         self.apply_step(apply, step, to, Moment::ZERO);
     }
 
--- a/crates/entry/src/entry_box.rs
+++ b/crates/entry/src/entry_box.rs
@@ -222,7 +222,7 @@
             Input::BackendReply { op, server, req, reply } => match op {
                 BackendOp::Job => self.jobs.on_reply(&server, &req, reply, now),
                 BackendOp::Watch => self.on_watch_reply(&server, reply, now),
-                BackendOp::Configure => self.on_configured(&server, reply, now),
+                BackendOp::Configure => self.on_configure_reply(&server, reply, now),
                 BackendOp::Preempt => self.planning.mark_changed(),
                 BackendOp::Fence(op) => self.on_fenced(op, &server, reply, now),
             },
@@ -309,7 +309,7 @@
             }
             PeerRequest::Lookup { ticket: Some(ticket), .. } if !self.jobs.minted(&ticket) => {
                 // The lookup is meant for an earlier incarnation of this box.
-                let answer = crate::route::moved_answer();
+                let answer = crate::route::unsettled_answer();
                 self.out.push(Output::ToPeer { to, reply: PeerReply::Job(answer) });
             }
             PeerRequest::Lookup { customer, request, wait, ticket: _, pass_on } => {
@@ -337,7 +337,7 @@
                 self.on_heartbeat(&peer, incarnation, revision, leaving, now);
             }
             (Some(Op::Offer), reply) => self.on_offer_reply(&peer, reply, now),
-            (Some(Op::FetchConfiguration), reply) => self.on_fetched_configuration(reply, now),
+            (Some(Op::FetchConfiguration), reply) => self.on_peer_configuration(reply, now),
             (Some(Op::Route(route)), reply) => self.on_route_reply(*route, reply, now),
             (Some(Op::HandOver(it)), reply) => self.on_handed_over(*it, peer, reply, now),
             (Some(Op::PeerQuery(round)), reply) => self.on_peer_query_reply(round, &peer, reply, now),
@@ -355,7 +355,7 @@
             Some(Op::CancelClaim { to, outcome }) => self.on_cancel_recorded(to, outcome, reply),
             Some(Op::EndClaim(end)) => self.on_end_claim_reply(end, reply, now),
             Some(Op::Recover) => self.on_recover_reply(reply, now),
-            Some(Op::WatchConfiguration) => self.on_configuration(reply, now),
+            Some(Op::WatchConfiguration) => self.on_store_watch_reply(reply, now),
             _ => {}
         }
     }
--- a/crates/entry/src/handover.rs
+++ b/crates/entry/src/handover.rs
@@ -130,7 +130,7 @@
                 let action = Action::Poll { wait: until.since(now) };
                 self.route(action, name.0.clone(), name.1.clone(), to, now);
             } else {
-                self.reply(to, CallerReply::Job(crate::route::moved_answer()));
+                self.reply(to, CallerReply::Job(crate::route::unsettled_answer()));
             }
         }
     }
--- a/crates/entry/src/quarantine.rs
+++ b/crates/entry/src/quarantine.rs
@@ -1,4 +1,5 @@
-//! Quarantine of backend servers that repeatedly fail jobs: they get no new work until a later probe.
+//! Quarantine of backend servers that repeatedly fail jobs: they get no new work for a time. Afterwards one failure
+//! quarantines them again, for twice as long, up to `MAX_QUARANTINE`, until a run succeeds.
 //!
 //! One failed job says little about its backend server. A server is quarantined once several different jobs
 //! have failed on it without a successful run in between. A job that fails on several backend servers is
@@ -10,17 +11,18 @@
 
 use crate::{EntryBox, Observation};
 
-/// Different jobs that must fail in a row before a backend server is quarantined; 1 after an earlier
-/// quarantine.
+/// Number of different jobs that must fail in a row for the first quarantine of a backend server. After a quarantine,
+/// one failed job suffices until a run succeeds.
 const FAILED_JOBS_TO_QUARANTINE: usize = 3;
-/// Longest quarantine before the next probe.
-const MAX_PROBE_DELAY: Duration = Duration::from_secs(1800);
+/// Longest duration of one quarantine.
+const MAX_QUARANTINE: Duration = Duration::from_secs(1800);
 
 /// Recent failures by backend server and by job.
 #[derive(Default)]
 pub(crate) struct Quarantine {
     by_server: BTreeMap<BackendServerId, Record>,
-    by_job: BTreeMap<JobId, BTreeSet<BackendServerId>>,
+    /// Backend servers on which each job has failed.
+    failed_on: BTreeMap<JobId, BTreeSet<BackendServerId>>,
 }
 
 #[derive(Default)]
@@ -35,12 +37,12 @@
         self.by_server.get(server).is_some_and(|record| record.quarantined_until.is_some())
     }
 
-    /// Records a failure; returns whether it quarantines the backend server.
+    /// Records a failure; returns whether a quarantine of the backend server begins.
     fn record_failure(&mut self, server: &BackendServerId, job: &JobId, probe_after: Duration, now: Moment) -> bool {
-        let servers = self.by_job.entry(job.clone()).or_default();
+        let servers = self.failed_on.entry(job.clone()).or_default();
         servers.insert(server.clone());
         if servers.len() > 1 {
-            // The job is at fault: it fails on more than one backend server.
+            // The job fails on several backend servers, so none of its failures counts against them.
             for other in servers.iter() {
                 if let Some(record) = self.by_server.get_mut(other) {
                     record.failed.remove(job);
@@ -54,14 +56,15 @@
         if record.failed.len() < limit || record.quarantined_until.is_some() {
             return false;
         }
-        let wait = Duration::from_millis(probe_after.millis() << record.quarantines.min(8)).min(MAX_PROBE_DELAY);
+        let wait = Duration::from_millis(probe_after.millis() << record.quarantines.min(8)).min(MAX_QUARANTINE);
         record.quarantined_until = Some(now + wait);
         record.quarantines += 1;
         record.failed.clear();
         true
     }
 
-    /// Records a successful run on these backend servers, which clears their earlier failures.
+    /// Records a successful run: forgets the failures and past quarantines of these backend servers, except those in
+    /// quarantine now.
     pub(crate) fn record_success(&mut self, servers: &[BackendServerId]) {
         for server in servers {
             if !self.is_quarantined(server) {
--- a/crates/entry/src/route.rs
+++ b/crates/entry/src/route.rs
@@ -16,8 +16,8 @@
     entry_box::Op, waiters::Respondent,
 };
 
-/// Retry delay for a caller whose job is moving to another box.
-const RETRY_MOVED: Duration = Duration::from_millis(500);
+/// Delay after which a caller whose request is not settled should retry.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// An operation on a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -39,26 +39,34 @@
     submission: Option<Submission>,
     /// Outcome that the claim records; the reply if no box has the answer any more.
     ended: Option<String>,
-    /// Whether a reply that the request is unknown is final, rather than a reason to read the claim.
-    is_final: bool,
+    /// If set, the reply `NotKnown` goes to the caller; otherwise the request is resolved as unknown first.
+    not_known_is_final: bool,
 }
 
 impl RouteOp {
-    /// Creates the route of a submission that is forwarded to its owner.
+    /// Creates the route of a submission that is forwarded to another box, whose reply is final.
     pub(crate) fn forward(submission: Submission, to: Respondent) -> RouteOp {
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
         let action = Action::Poll { wait: submission.wait };
-        RouteOp { action, name, to, unanswered: BTreeSet::new(), submission: None, is_final: true, ended: None }
+        RouteOp {
+            action,
+            name,
+            to,
+            unanswered: BTreeSet::new(),
+            submission: None,
+            not_known_is_final: true,
+            ended: None,
+        }
     }
 
     /// Creates the route of a request that may be sent to all peers.
-    pub(crate) fn broadcast(
+    pub(crate) fn search(
         action: Action,
         name: (CustomerId, RequestId),
         to: Respondent,
         submission: Option<Submission>,
     ) -> RouteOp {
-        RouteOp { action, name, to, unanswered: BTreeSet::new(), submission, is_final: false, ended: None }
+        RouteOp { action, name, to, unanswered: BTreeSet::new(), submission, not_known_is_final: false, ended: None }
     }
 
     /// Creates the route of a request whose claim records its end.
@@ -68,7 +76,7 @@
         to: Respondent,
         outcome: String,
     ) -> RouteOp {
-        RouteOp { ended: Some(outcome), ..RouteOp::broadcast(action, name, to, None) }
+        RouteOp { ended: Some(outcome), ..RouteOp::search(action, name, to, None) }
     }
 
     /// Returns the message for a peer. `pass_on` is set for a box of another availability zone, which then
@@ -93,7 +101,7 @@
         to: Respondent,
         now: Moment,
     ) {
-        self.route_or_submit(RouteOp::broadcast(action, (customer, request), to, None), now);
+        self.route_or_submit(RouteOp::search(action, (customer, request), to, None), now);
     }
 
     /// As [`EntryBox::route`], but admits the submission in the route if the request is unknown.
@@ -117,7 +125,8 @@
                 let req = route.request(false);
                 self.call_peer(Op::Route(Box::new(route)), &holder.box_id, req);
             }
-            None if found.is_some_and(|found| found.is_whole) => self.reply(to, CallerReply::Job(moved_answer())),
+            // A whole gang without a live holder will be adopted.
+            None if found.is_some_and(|found| found.is_whole) => self.reply(to, CallerReply::Job(unsettled_answer())),
             None => self.query_peers(route, now),
         }
     }
@@ -126,7 +135,7 @@
         self.view.is_live_incarnation(&holder.box_id, holder.incarnation, self.id.incarnation, now)
     }
 
-    /// Replies to another box: from this box's jobs alone, or from wherever the request is held.
+    /// Replies to another box: from this box's own jobs, or with `pass_on` after a search for the holder.
     pub(crate) fn answer_peer(
         &mut self,
         action: Action,
@@ -184,11 +193,11 @@
     pub(crate) fn query_peers(&mut self, mut route: RouteOp, now: Moment) {
         let peers: Vec<BoxId> = self.view.live(now).into_iter().filter(|id| *id != self.id.box_id).collect();
         if peers.is_empty() {
-            return self.query_claim(route, now);
+            return self.resolve_unknown(route, now);
         }
         route.unanswered = peers.iter().cloned().collect();
         let req = route.request(false);
-        // The round is one operation; each peer's call is another that refers to it.
+        // The query as a whole is one operation; the call to each peer is an operation of its own that names it.
         let round = self.new_op(Op::Route(Box::new(route)));
         for peer in peers {
             self.call_peer(Op::PeerQuery(round), &peer, req.clone());
@@ -197,10 +206,12 @@
 
     pub(crate) fn on_route_reply(&mut self, route: RouteOp, reply: Option<PeerReply>, now: Moment) {
         let answer = match reply {
-            // The holder that the lease tables name has abandoned the job.
-            Some(PeerReply::Job(JobAnswer::NotKnown)) if !route.is_final => return self.query_claim(route, now),
+            // The box that was taken for the holder no longer knows the job.
+            Some(PeerReply::Job(JobAnswer::NotKnown)) if !route.not_known_is_final => {
+                return self.resolve_unknown(route, now);
+            }
             Some(PeerReply::Job(answer)) => answer,
-            _ => moved_answer(),
+            _ => unsettled_answer(),
         };
         self.reply(route.to, CallerReply::Job(answer));
     }
@@ -220,13 +231,13 @@
         let Some(Op::Route(route)) = self.ops.remove(&round) else { return };
         match known {
             Some(answer) => self.reply(route.to, CallerReply::Job(answer)),
-            None => self.query_claim(*route, now),
+            None => self.resolve_unknown(*route, now),
         }
     }
 
-    /// Reads the claim of a request that no box of the availability zone knows; admits it as new if a
-    /// submission comes with it.
-    fn query_claim(&mut self, route: RouteOp, now: Moment) {
+    /// Handles a request that no box of the availability zone knows: replies with its recorded outcome, admits its
+    /// submission as new, or else reads its claim.
+    fn resolve_unknown(&mut self, route: RouteOp, now: Moment) {
         if let Some(outcome) = route.ended {
             return self.reply(route.to, CallerReply::Job(JobAnswer::Over { outcome }));
         }
@@ -246,7 +257,7 @@
             },
             _ => JobAnswer::Unsettled {
                 why: "the platform's store does not answer".to_owned(),
-                retry_after: RETRY_MOVED,
+                retry_after: RETRY_DELAY,
             },
         };
         self.reply(route.to, CallerReply::Job(answer));
@@ -255,29 +266,31 @@
     fn route_by_claim(&mut self, route: RouteOp, claim: Claim, version: u64, now: Moment) {
         if claim.availability_zone != self.id.availability_zone {
             let Some(peer) = self.any_box_of(&claim.availability_zone, now) else {
-                return self.reply(route.to, CallerReply::Job(moved_answer()));
+                return self.reply(route.to, CallerReply::Job(unsettled_answer()));
             };
             let req = route.request(true);
-            let route = RouteOp { is_final: true, ..route };
+            let route = RouteOp { not_known_is_final: true, ..route };
             return self.call_peer(Op::Route(Box::new(route)), &peer, req);
         }
         if let Some(outcome) = claim.ended {
             return self.reply(route.to, CallerReply::Job(JobAnswer::Over { outcome }));
         }
-        // No box holds the request. A live box that minted the ticket has abandoned it.
+        // No box of the availability zone holds the request. If the box that minted its ticket is live, it has
+        // abandoned the ticket.
         if route.action == Action::Cancel && self.view.can_detect_failures(now) {
             return self.cancel_orphan(route.name, route.to, claim, version, now);
         }
         self.reply(route.to, CallerReply::Job(orphan_answer()));
     }
 
-    /// Returns the answer about a job of this box.
+    /// Returns what callers are told about a job of this box. An end is reported only once its outcome is recorded in
+    /// the claim.
     pub(crate) fn answer_of(&self, view: &JobView, now: Moment) -> JobAnswer {
         let stage = match &view.stage {
             Stage::Ended(_) if self.unrecorded_outcomes.contains(&view.job) => "recording",
             Stage::Ended(outcome) => return JobAnswer::Ended { job: view.job.clone(), outcome: outcome.clone() },
             Stage::Moved(holder) if self.is_orphaned(&view.job, holder, now) => return JobAnswer::Orphaned,
-            Stage::Moved(_) => return moved_answer(),
+            Stage::Moved(_) => return unsettled_answer(),
             Stage::Void => return JobAnswer::NotKnown,
             Stage::Waiting => "waiting",
             Stage::Starting => "starting",
@@ -287,8 +300,8 @@
         JobAnswer::Pending { job: Some(view.job.clone()), stage: stage.to_owned() }
     }
 
-    /// Returns whether a job's holder has terminated or abandoned it, and its gang is no longer whole and so
-    /// can't be adopted.
+    /// Returns whether no box will continue a job that has moved: its holder has terminated, or the move was at least
+    /// `fencing_timeout` ago; and its gang can't be adopted, since it is no longer whole.
     pub(crate) fn is_orphaned(&self, job: &JobId, holder: &Holder, now: Moment) -> bool {
         let gone = self.dead_since.contains_key(holder)
             || self.view.peers().get(&holder.box_id).is_some_and(|status| status.incarnation > holder.incarnation);
@@ -301,9 +314,9 @@
     }
 }
 
-/// Returns the answer about a job that another box is taking over.
-pub(crate) fn moved_answer() -> JobAnswer {
-    JobAnswer::Unsettled { why: "another box is taking the job over".to_owned(), retry_after: RETRY_MOVED }
+/// Returns the answer about a job whose holder can't be asked, for example as another box is taking it over.
+pub(crate) fn unsettled_answer() -> JobAnswer {
+    JobAnswer::Unsettled { why: "another box is taking the job over".to_owned(), retry_after: RETRY_DELAY }
 }
 
 pub(crate) fn claiming_answer() -> JobAnswer {
@@ -312,5 +325,5 @@
 
 pub(crate) fn orphan_answer() -> JobAnswer {
     let why = "the box that took the request is gone; send the request again to have it settled".to_owned();
-    JobAnswer::Unsettled { why, retry_after: RETRY_MOVED }
+    JobAnswer::Unsettled { why, retry_after: RETRY_DELAY }
 }
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -42,7 +42,8 @@
     pub live: bool,
     /// Whether it reported that it is draining.
     pub leaving: bool,
-    /// Number of its returns after a gap or with a new incarnation.
+    /// How often its heartbeats resumed after a gap or came from a new incarnation. Earlier returns no longer count
+    /// after a long time without a gap.
     pub returns: u32,
 }
 
@@ -53,11 +54,12 @@
     pub id: BackendServerId,
     /// Whether it may get new work.
     pub open: bool,
-    /// Why it gets no new work, or lags behind the configuration; empty if neither.
+    /// Reasons why it gets no new work, and a note if its configuration is not the current one; empty if neither
+    /// applies.
     pub why: String,
-    /// Revision of the configuration that it matches; 0 until it has reported one.
+    /// Revision of the configuration that it has applied; 0 until it has reported one.
     pub revision: Revision,
-    /// Resources of its worker, according to the operators' file.
+    /// Resources that the operators' file gives it.
     pub resources: Resources,
     /// Resources that leases hold there.
     pub held: Resources,
@@ -78,7 +80,8 @@
     pub stopping: usize,
     /// Jobs that have ended and are still recorded.
     pub ended: usize,
-    /// Jobs that another box holds now, and jobs whose ticket is void.
+    /// Jobs that another box holds now, and jobs that will not run under their ticket, which was fenced, replaced or
+    /// abandoned ([`Stage::Void`]).
     pub moved: usize,
 }
 
@@ -115,7 +118,7 @@
             ServerStatus {
                 id: entry.id.clone(),
                 open: self.is_open(&file, &entry.id, now),
-                why: self.why_closed(entry, revision, now),
+                why: self.remarks(entry, revision, now),
                 revision,
                 resources: entry.resources,
                 held: holding().map(|lease| lease.resources).sum(),
@@ -125,7 +128,7 @@
         .collect()
     }
 
-    fn why_closed(&self, entry: &model::BackendServerEntry, revision: Revision, now: Moment) -> String {
+    fn remarks(&self, entry: &model::BackendServerEntry, revision: Revision, now: Moment) -> String {
         let replica = self.replicas.get(&entry.id);
         let mut reasons = Vec::new();
         if entry.mode != model::ServerMode::Active {
--- a/crates/entry/src/submissions.rs
+++ b/crates/entry/src/submissions.rs
@@ -134,7 +134,7 @@
         }
         let action = Action::Poll { wait: submission.wait };
         let name = (spec.customer.clone(), spec.request.clone());
-        self.route_or_submit(RouteOp::broadcast(action, name, to, Some(submission.clone())), now);
+        self.route_or_submit(RouteOp::search(action, name, to, Some(submission.clone())), now);
         true
     }
 
@@ -215,7 +215,7 @@
     fn query_peers_first(&mut self, submission: Submission, to: Respondent, now: Moment) {
         let action = Action::Poll { wait: Duration::ZERO };
         let name = (submission.spec.customer.clone(), submission.spec.request.clone());
-        let route = RouteOp::broadcast(action, name, to, Some(submission));
+        let route = RouteOp::search(action, name, to, Some(submission));
         self.query_peers(route, now);
     }
 }
--- a/crates/entry/src/ticket_fencing.rs
+++ b/crates/entry/src/ticket_fencing.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     BackendOp, CallerReply, Claim, EntryBox, JobAnswer, Observation, OpId, Submission, claims::CLAIM_PREFIX,
-    entry_box::Op, route::moved_answer, waiters::Respondent,
+    entry_box::Op, route::unsettled_answer, waiters::Respondent,
 };
 
 /// Delay before an unanswered fence is sent again.
@@ -54,7 +54,7 @@
     pub(crate) fn begin_fencing(&mut self, ticket: JobId, repeatable: bool, then: AfterFencing, now: Moment) {
         if self.replicas.is_whole(&ticket) {
             // The gang runs or has run whole: it is adopted instead.
-            return self.reply(then.to(), CallerReply::Job(moved_answer()));
+            return self.reply(then.to(), CallerReply::Job(unsettled_answer()));
         }
         let unanswered = self.replicas.ids();
         let deadline = now + self.limits.fencing_timeout;
--- a/crates/standins/src/lease_table.rs
+++ b/crates/standins/src/lease_table.rs
@@ -17,17 +17,19 @@
 
 /// Time that an ended lease and its answer are kept, unless they are acknowledged earlier.
 const RETENTION: Duration = Duration::from_secs(3600);
-/// Time that the highest token of a job is kept. It exceeds the day for which a ticket may wait.
+/// Time that the highest token of a job is kept. Longer than the 24 hours for which a job may wait under its
+/// ticket.
 const TOKEN_RETENTION: Duration = Duration::from_secs(48 * 3600);
 /// Time that a task takes to write a checkpoint.
 const CHECKPOINT_COST: Duration = Duration::from_millis(20);
-/// Number of removed rows that are kept, so that a watch can list them instead of sending the full table.
+/// Highest number of removed rows whose job ids are remembered, so that a reply to a watch can list them instead of
+/// sending the full table.
 const MAX_REMOVED: usize = 1024;
 
 /// Progress of checkpointed jobs, shared by the backend servers of a test as the platform's storage would be.
 pub type Checkpoints = Arc<Mutex<BTreeMap<(CustomerId, RequestId), Duration>>>;
 
-/// Record of one run of a task, for oracles.
+/// Record of one run of a task, from which the oracle of a test checks what ran and when.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RunRecord {
     /// Job of the task.
@@ -50,6 +52,7 @@
     version: u64,
     rows: BTreeMap<JobId, Row>,
     highest_tokens: BTreeMap<JobId, HighestToken>,
+    /// Removed rows, oldest first, each with the version of the table at its removal.
     removed: VecDeque<(u64, JobId)>,
     document: Option<String>,
     checkpoints: Checkpoints,
@@ -63,7 +66,9 @@
 struct HighestToken {
     token: LeaseToken,
     ran: bool,
-    at: Moment,
+    /// Time of the last reservation or stop. The token is kept for [`TOKEN_RETENTION`] from then, and in any case
+    /// while the table has a row for the job.
+    recorded_at: Moment,
 }
 
 impl LeaseTable {
@@ -99,7 +104,7 @@
         self.fail_since = fail.then(|| self.fail_since.unwrap_or(now));
     }
 
-    /// Marks the backend server as draining, or ends its draining.
+    /// Marks the backend server as draining (reported as `leaving`), or ends its draining.
     pub fn set_draining(&mut self, draining: bool) {
         self.info.leaving = draining;
         self.version += 1;
@@ -110,7 +115,7 @@
         self.version
     }
 
-    /// Returns the configuration in force with its revision; `None` before the first.
+    /// Returns the configuration in force with its revision; `None` until the first `Configure` that sets one.
     pub fn document(&self) -> Option<(Revision, &str)> {
         Some((self.info.revision, self.document.as_deref()?))
     }
@@ -126,7 +131,8 @@
         self.info.resources.saturating_sub(&held)
     }
 
-    /// Returns the time of the next change that [`LeaseTable::advance`] would make; `None` if no change is due.
+    /// Returns when the next task ends or the next lease expires; `None` if neither is pending. The removal of old
+    /// records is not counted.
     pub fn next_event(&self) -> Option<Moment> {
         self.rows.values().filter_map(|r| r.next_event(self.fail_since)).map(|(at, _)| at).min()
     }
@@ -149,10 +155,11 @@
         self.advance(now);
         let result = match req {
             BackendRequest::Reserve { job, token, holder, task, ttl, ticket_age } => {
-                let remembers = now.since(self.started).min(TOKEN_RETENTION);
-                match task.spec.repeatable || ticket_age <= remembers {
+                // A restart loses all earlier tokens, so the table covers at most the time since then.
+                let remembered_for = now.since(self.started).min(TOKEN_RETENTION);
+                match task.spec.repeatable || ticket_age <= remembered_for {
                     true => self.reserve(job, token, holder, task, now + ttl, now),
-                    false => Err(Refusal::TooYoung { remembers }),
+                    false => Err(Refusal::TooYoung { remembers: remembered_for }),
                 }
             }
             BackendRequest::Start { job, token, ttl } => self.start(&job, token, now + ttl),
@@ -205,7 +212,7 @@
             return Err(Refusal::NoCapacity { free });
         }
         let ran = self.highest_tokens.get(&job).is_some_and(|s| s.ran);
-        self.highest_tokens.insert(job.clone(), HighestToken { token, ran, at: now });
+        self.highest_tokens.insert(job.clone(), HighestToken { token, ran, recorded_at: now });
         self.version += 1;
         let row = Row {
             task,
@@ -259,9 +266,9 @@
     fn begin(&mut self, job: &JobId, now: Moment) {
         let run = self.runs.len();
         let row = self.rows.get_mut(job).expect("the caller has read the row");
-        let name = request_key(&row.task);
-        let resumed = self.checkpoints.lock().expect("no holder panics").get(&name).copied();
-        row.progress = if row.task.resume { resumed.unwrap_or_default() } else { Duration::ZERO };
+        let key = request_key(&row.task);
+        let saved_progress = self.checkpoints.lock().expect("no holder panics").get(&key).copied();
+        row.progress = if row.task.resume { saved_progress.unwrap_or_default() } else { Duration::ZERO };
         let left = Work::of(&row.task.spec).run_ms.saturating_sub(row.progress.millis());
         row.state = TaskState::Running;
         row.began = Some(now);
@@ -288,9 +295,10 @@
         if !row.state.holds() {
             return Err(Refusal::WrongState { state: row.state.clone() });
         }
-        let cost = if row.task.spec.checkpointable { CHECKPOINT_COST.min(stop_after) } else { stop_after };
+        // A checkpointable task stops once its checkpoint is written, others after `stop_after`.
+        let delay = if row.task.spec.checkpointable { CHECKPOINT_COST.min(stop_after) } else { stop_after };
         let row = self.touch(job);
-        row.stop_at = Some(row.stop_at.map_or(now + cost, |at| at.min(now + cost)));
+        row.stop_at = Some(row.stop_at.map_or(now + delay, |at| at.min(now + delay)));
         Ok(BackendReply::Ok { state: row.state.clone() })
     }
 
@@ -304,11 +312,13 @@
                 self.end(job, now, TaskState::Stopped { ran, checkpointed: false });
             }
         }
-        let seen = self.highest_tokens.entry(job.clone()).or_insert(HighestToken { token, ran: false, at: now });
+        let seen =
+            self.highest_tokens.entry(job.clone()).or_insert(HighestToken { token, ran: false, recorded_at: now });
         seen.token = seen.token.max(token);
-        seen.at = now;
-        let remembers = now.since(self.started).min(TOKEN_RETENTION);
-        Ok(BackendReply::Stopped { ran: seen.ran, remembers })
+        seen.recorded_at = now;
+        // As in `Reserve`: tokens from before the start of this table are lost.
+        let remembered_for = now.since(self.started).min(TOKEN_RETENTION);
+        Ok(BackendReply::Stopped { ran: seen.ran, remembers: remembered_for })
     }
 
     fn adopt(
@@ -453,7 +463,8 @@
         while self.removed.len() > MAX_REMOVED {
             self.removed.pop_front();
         }
-        self.highest_tokens.retain(|job, seen| self.rows.contains_key(job) || now.since(seen.at) < TOKEN_RETENTION);
+        self.highest_tokens
+            .retain(|job, seen| self.rows.contains_key(job) || now.since(seen.recorded_at) < TOKEN_RETENTION);
     }
 
     fn update(&self, table: u64, since: u64, now: Moment) -> TableUpdate {
