--- a/crates/entry/src/config.rs
+++ b/crates/entry/src/config.rs
@@ -1,4 +1,8 @@
-//! The configuration on this box: from the store, from peers and from backend servers, and on to them.
+//! The configuration on this box: received from the store and from peers, and passed on to peers and backend
+//! servers.
+//!
+//! The store may be unreachable from an availability zone, so boxes also fetch a newer revision from each
+//! other; heartbeats and backend servers report the revisions that they have.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,124 +15,128 @@
     BackendOp, CallerReply, EntryBox, Observation, OpId, PeerReply, PeerRequest, entry_box::Op, waiters::Respondent,
 };
 
-/// A watch on the store that failed is sent again after this.
+/// Delay before a failed watch on the store is sent again.
 const WATCH_RETRY: Duration = Duration::from_secs(1);
-/// A backend server that does not take the configuration is told again after this.
-const CONFIGURE_RETRY: Duration = Duration::from_secs(2);
+/// Shortest time between two deliveries of a revision to one backend server. A failed delivery doesn't count.
+const MIN_CONFIGURE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What is on its way.
+/// State of the configuration's watch, fetches and deliveries.
 #[derive(Default)]
 pub(crate) struct ConfigState {
     watch: Option<OpId>,
-    watch_at: Moment,
-    /// The store's version of the configuration.
+    next_watch_at: Moment,
+    /// The store's version of the configuration; 0 until it was read.
     version: u64,
-    fetching: bool,
-    /// When each backend server was last told.
-    told: BTreeMap<BackendServerId, Moment>,
-    /// When ends of claims are written again.
-    pub(crate) retry_ends_at: Option<Moment>,
+    is_fetching: bool,
+    /// When the configuration was last sent to each backend server.
+    last_sent: BTreeMap<BackendServerId, Moment>,
+    /// Time of the next attempt to record outcomes in claims whose last write failed; `None` if there are none.
+    pub(crate) claim_ends_retry_at: Option<Moment>,
 }
 
 impl EntryBox {
     pub(crate) fn tick_config(&mut self, now: Moment) {
-        let waiting = self.config.watch.is_some_and(|op| self.ops.contains_key(&op));
-        if waiting || self.config.watch_at > now {
+        let is_watching = self.config.watch.is_some_and(|op| self.ops.contains_key(&op));
+        if is_watching || self.config.next_watch_at > now {
             return;
         }
-        // The first read must not wait for a change.
+        // The first read returns what is stored, without waiting for a change.
         let wait = if self.config.version == 0 { Duration::ZERO } else { self.limits.watch };
         let above = self.config.version;
         let op = self.new_op(Op::WatchConfiguration);
         self.config.watch = Some(op);
-        self.config.watch_at = now + WATCH_RETRY;
+        self.config.next_watch_at = now + WATCH_RETRY;
         let req = StoreRequest::Watch { key: CONFIG_KEY.to_owned(), above, wait };
         self.out.push(crate::Output::CallStore { op, req });
     }
 
-    pub(crate) fn on_configuration(&mut self, reply: Option<StoreReply>, now: Moment) {
+    pub(crate) fn on_store_watch_reply(&mut self, reply: Option<StoreReply>, now: Moment) {
         self.config.watch = None;
         match reply {
             Some(StoreReply::Found { value: Some(found) }) => {
                 self.config.version = found.version;
-                self.config.watch_at = now;
+                self.config.next_watch_at = now;
                 self.take_document(&found.value, now);
             }
-            Some(_) | None => self.config.watch_at = now + WATCH_RETRY,
+            Some(_) | None => self.config.next_watch_at = now + WATCH_RETRY,
         }
     }
 
-    /// Takes a document, whoever sent it; the highest revision wins.
+    /// Puts a configuration document into force if its revision is higher than the current one. The source doesn't
+    /// matter; an invalid document is only counted.
     pub(crate) fn take_document(&mut self, text: &str, now: Moment) {
         match self.current.take(text) {
-            Ok(Taken::InForce) => self.in_force(now),
+            Ok(Taken::InForce) => self.on_new_revision(now),
             Ok(Taken::Known | Taken::Older) => {}
             Err(_) => self.observe(Observation::Count { name: "bad_document" }),
         }
     }
 
-    fn in_force(&mut self, now: Moment) {
+    fn on_new_revision(&mut self, now: Moment) {
         let Some(file) = self.file() else { return };
         let zone = &self.id.availability_zone;
         let here = file.backend_servers.values().filter(|s| s.availability_zone == *zone);
         let servers: BTreeSet<BackendServerId> = here.map(|s| s.id.clone()).collect();
-        self.replicas.keep(&servers);
-        self.planning.mark_dirty();
+        self.replicas.set_servers(&servers);
+        self.planning.mark_changed();
         self.out.push(crate::Output::Configured(file));
         self.observe(Observation::InForce { revision: self.current.revision() });
-        self.config.told.clear();
-        // Peers hear of it with a heartbeat at once, rather than with the next.
+        self.config.last_sent.clear();
+        // An immediate heartbeat reports the new revision to the peers.
         self.last_heartbeat = None;
         self.send_heartbeats(now);
         for server in servers {
-            self.tell_server(&server, now);
+            self.send_configuration(&server, now);
         }
         self.send_watches(now);
     }
 
     pub(crate) fn fetch_configuration(&mut self, peer: &BoxId) {
-        if !self.config.fetching {
-            self.config.fetching = true;
+        if !self.config.is_fetching {
+            self.config.is_fetching = true;
             self.call_peer(Op::FetchConfiguration, peer, PeerRequest::FetchConfiguration);
         }
     }
 
-    pub(crate) fn on_fetched_configuration(&mut self, reply: Option<PeerReply>, now: Moment) {
-        self.config.fetching = false;
+    pub(crate) fn on_peer_configuration(&mut self, reply: Option<PeerReply>, now: Moment) {
+        self.config.is_fetching = false;
         if let Some(PeerReply::Configuration(Some(text))) = reply {
             self.take_document(&text, now);
         }
     }
 
-    /// A backend server said which revision it matches.
+    /// Handles a backend server's report of the revision that it has applied: sends it the current configuration if
+    /// that is newer.
     pub(crate) fn on_server_revision(&mut self, server: &BackendServerId, revision: Revision, now: Moment) {
         if revision < self.current.revision() {
-            self.tell_server(server, now);
+            self.send_configuration(server, now);
         } else {
-            self.current.hear_of(revision);
+            self.current.record_revision(revision);
         }
     }
 
-    /// Only the planner tells backend servers, unless it fails to: then whoever sees it.
-    fn tell_server(&mut self, server: &BackendServerId, now: Moment) {
+    /// Sends the configuration to a backend server that lags behind this box. Every box does so, not the
+    /// planner alone, so a failed planner does not delay a revision.
+    fn send_configuration(&mut self, server: &BackendServerId, now: Moment) {
         let Some(document) = self.current.document().cloned() else { return };
-        if self.config.told.get(server).is_some_and(|at| now.since(*at) < CONFIGURE_RETRY) {
+        if self.config.last_sent.get(server).is_some_and(|at| now.since(*at) < MIN_CONFIGURE_INTERVAL) {
             return;
         }
-        self.config.told.insert(server.clone(), now);
+        self.config.last_sent.insert(server.clone(), now);
         let req = BackendRequest::Configure { revision: self.current.revision(), document: document.to_string() };
         self.call_backend(BackendOp::Configure, server.clone(), req);
     }
 
-    pub(crate) fn on_configured(&mut self, server: &BackendServerId, reply: Option<BackendReply>, _now: Moment) {
+    pub(crate) fn on_configure_reply(&mut self, server: &BackendServerId, reply: Option<BackendReply>, _now: Moment) {
         if !matches!(reply, Some(BackendReply::Configured { .. })) {
-            self.config.told.remove(server);
+            self.config.last_sent.remove(server);
         }
     }
 
     pub(crate) fn apply(&mut self, id: ApplyId, base: Revision, file: OperatorFile, to: Respondent) {
         let mut apply = Apply::new(id, base, file);
         let step = apply.begin();
+        // The time counts only for an accepted file, and the first step accepts none.
         self.apply_step(apply, step, to, Moment::ZERO);
     }
 
--- a/crates/entry/src/offers.rs
+++ b/crates/entry/src/offers.rs
@@ -1,5 +1,5 @@
-//! Queues on their way to the planner: each box offers its waiting jobs, whole at first and then
-//! by what changed.
+//! Offers of queues to the planner: each box sends its waiting jobs, the whole queue first and the changes
+//! after that.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,31 +9,31 @@
 
 use crate::{EntryBox, PeerReply, PeerRequest, entry_box::Op};
 
-/// Most jobs that one offer adds; the rest follows in the next.
-const MAX_ADDED: usize = 256;
+/// Most jobs that one offer adds; the rest follows in later offers.
+const MAX_JOBS_PER_OFFER: usize = 256;
 
-/// What a planner holds of another box's queue.
-pub(crate) struct Offered {
+/// A planner's copy of another box's queue.
+pub(crate) struct ReceivedOffers {
     incarnation: Incarnation,
     seq: u64,
-    /// When it last came; a box with a queue offers at least every `offer_every`.
+    /// When the last offer arrived; a box with a queue sends one at least every `offer_every`.
     pub(crate) last: Moment,
     pub(crate) jobs: BTreeMap<JobId, (Queued, Moment)>,
 }
 
-/// This box's offers to the planner.
+/// State of this box's offers to the planner.
 #[derive(Default)]
-pub(crate) struct Offering {
+pub(crate) struct OwnOffers {
     to: Option<BoxId>,
     seq: u64,
     need_full: bool,
     sent: BTreeSet<JobId>,
-    in_flight: Option<Moment>,
+    in_flight_until: Option<Moment>,
     last: Option<Moment>,
     changed: bool,
 }
 
-/// A waiting job as it is offered.
+/// Converts a waiting job to the form in which it is offered.
 pub(crate) fn queued(waiting: Waiting) -> Queued {
     let spec = &waiting.spec;
     Queued {
@@ -50,66 +50,67 @@
 }
 
 impl EntryBox {
-    /// The planner grants a job that does not wait: what it holds of this queue is out of date.
-    pub(crate) fn offer_anew(&mut self) {
-        self.offering.need_full = true;
-        self.offering.changed = true;
+    /// Makes the next offer contain the whole queue: the planner granted a job that isn't waiting, so its
+    /// copy is out of date.
+    pub(crate) fn request_full_offer(&mut self) {
+        self.own_offers.need_full = true;
+        self.own_offers.changed = true;
     }
 
     pub(crate) fn queue_changed(&mut self) {
-        self.offering.changed = true;
-        self.planning.mark_dirty();
+        self.own_offers.changed = true;
+        self.planning.mark_changed();
     }
 
-    /// Offers the queue to the planner, if that is another box and there is news.
+    /// Offers the queue to the planner if that is another box, and the queue has changed or an offer is due.
     pub(crate) fn offer_queue(&mut self, now: Moment) {
         let planner = self.view.planner(now).clone();
-        if self.offering.to.as_ref() != Some(&planner) {
-            let seq = self.offering.seq;
-            self.offering =
-                Offering { to: Some(planner.clone()), seq, need_full: true, changed: true, ..Offering::default() };
+        if self.own_offers.to.as_ref() != Some(&planner) {
+            let seq = self.own_offers.seq;
+            self.own_offers =
+                OwnOffers { to: Some(planner.clone()), seq, need_full: true, changed: true, ..OwnOffers::default() };
         }
-        if planner == self.id.box_id || self.offering.in_flight.is_some_and(|until| until > now) {
+        if planner == self.id.box_id || self.own_offers.in_flight_until.is_some_and(|until| until > now) {
             return;
         }
-        let due = self.offering.last.is_none_or(|at| now.since(at) >= self.limits.offer_every);
-        if !self.offering.changed && !due {
+        let due = self.own_offers.last.is_none_or(|at| now.since(at) >= self.limits.offer_every);
+        if !self.own_offers.changed && !due {
             return;
         }
         let waiting: BTreeMap<JobId, Waiting> =
             self.jobs.waiting(now).into_iter().map(|w| (w.job.clone(), w)).collect();
-        // A planner that knew this box before must hear that its queue is empty now.
-        if waiting.is_empty() && self.offering.sent.is_empty() && !self.offering.need_full {
-            self.offering.changed = false;
+        // A planner with a copy of this queue must be informed that it is empty now.
+        if waiting.is_empty() && self.own_offers.sent.is_empty() && !self.own_offers.need_full {
+            self.own_offers.changed = false;
             return;
         }
         self.send_offer(&planner, waiting, now);
     }
 
     fn send_offer(&mut self, planner: &BoxId, mut waiting: BTreeMap<JobId, Waiting>, now: Moment) {
-        let full = self.offering.need_full;
+        let full = self.own_offers.need_full;
         if full {
-            self.offering.sent.clear();
+            self.own_offers.sent.clear();
         }
         let removed: Vec<JobId> =
-            self.offering.sent.iter().filter(|job| !waiting.contains_key(*job)).cloned().collect();
-        waiting.retain(|job, _| !self.offering.sent.contains(job));
+            self.own_offers.sent.iter().filter(|job| !waiting.contains_key(*job)).cloned().collect();
+        waiting.retain(|job, _| !self.own_offers.sent.contains(job));
         let mut fresh: Vec<Waiting> = waiting.into_values().collect();
         fresh.sort_by_key(|w| std::cmp::Reverse(w.waited));
-        self.offering.changed = fresh.len() > MAX_ADDED;
-        fresh.truncate(MAX_ADDED);
+        self.own_offers.changed = fresh.len() > MAX_JOBS_PER_OFFER;
+        fresh.truncate(MAX_JOBS_PER_OFFER);
         for job in &removed {
-            self.offering.sent.remove(job);
+            self.own_offers.sent.remove(job);
         }
-        self.offering.sent.extend(fresh.iter().map(|w| w.job.clone()));
-        self.offering.seq += 1;
-        self.offering.need_full = false;
-        self.offering.in_flight = Some(now + self.limits.call);
-        self.offering.last = Some(now);
+        self.own_offers.sent.extend(fresh.iter().map(|w| w.job.clone()));
+        self.own_offers.seq += 1;
+        self.own_offers.need_full = false;
+        self.own_offers.in_flight_until = Some(now + self.limits.call);
+        self.own_offers.last = Some(now);
         let req = PeerRequest::Offer {
             from: self.id.box_id.clone(),
             incarnation: self.id.incarnation,
-            seq: self.offering.seq,
+            seq: self.own_offers.seq,
             full,
             added: fresh.into_iter().map(queued).collect(),
             removed,
@@ -118,17 +119,17 @@
     }
 
     pub(crate) fn on_offer_reply(&mut self, peer: &BoxId, reply: Option<PeerReply>, _now: Moment) {
-        if self.offering.to.as_ref() != Some(peer) {
+        if self.own_offers.to.as_ref() != Some(peer) {
             return;
         }
-        self.offering.in_flight = None;
+        self.own_offers.in_flight_until = None;
         if !matches!(reply, Some(PeerReply::Offered { need_full: false })) {
-            self.offering.need_full = true;
-            self.offering.changed = true;
+            self.own_offers.need_full = true;
+            self.own_offers.changed = true;
         }
     }
 
-    /// Takes another box's offer; says whether the whole queue is needed.
+    /// Handles another box's offer; returns whether the whole queue is needed.
     #[expect(clippy::too_many_arguments, reason = "they are the fields of one message")]
     pub(crate) fn on_offer(
         &mut self,
@@ -140,16 +141,16 @@
         removed: Vec<JobId>,
         now: Moment,
     ) -> bool {
-        // A message that was overtaken by a later one tells what is no longer so.
-        if self.offered.get(&from).is_some_and(|o| o.incarnation == incarnation && seq <= o.seq) {
+        // A later offer has overtaken this one, whose contents are outdated.
+        if self.received_offers.get(&from).is_some_and(|o| o.incarnation == incarnation && seq <= o.seq) {
             return false;
         }
-        let fits = self.offered.get(&from).is_some_and(|o| o.incarnation == incarnation && o.seq + 1 == seq);
+        let fits = self.received_offers.get(&from).is_some_and(|o| o.incarnation == incarnation && o.seq + 1 == seq);
         if !full && !fits {
             return true;
         }
-        let empty = || Offered { incarnation, seq, last: now, jobs: BTreeMap::new() };
-        let offered = self.offered.entry(from).or_insert_with(empty);
+        let empty = || ReceivedOffers { incarnation, seq, last: now, jobs: BTreeMap::new() };
+        let offered = self.received_offers.entry(from).or_insert_with(empty);
         if full {
             *offered = empty();
         }
@@ -164,12 +165,12 @@
             offered.jobs.insert(queued.job.clone(), (queued, since));
         }
         if any {
-            self.planning.mark_dirty();
+            self.planning.mark_changed();
         }
         false
     }
 
-    /// Takes the planner's decisions about this box's jobs.
+    /// Applies the planner's decisions about this box's jobs.
     pub(crate) fn on_grant(&mut self, starts: Vec<(JobId, Vec<Member>)>, refusals: Vec<(JobId, String)>, now: Moment) {
         for (job, members) in starts {
             self.jobs.grant(&job, members, now);
--- a/crates/lifecycle/src/commit.rs
+++ b/crates/lifecycle/src/commit.rs
@@ -1,22 +1,22 @@
-//! Gang commit: reserve, start, go.
+//! Gang commit: the steps reserve, start and go, and reading the answer of a finished gang.
 
 use backend::{BackendRequest, Renewal, TaskSpec, TaskState};
 use model::{JobId, Member, Moment};
 
 use crate::{
     Coordinator, Effect,
-    job::{Cause, Job, Part, Phase},
+    job::{Cause, GangMember, Job, Phase},
 };
 
 impl Coordinator {
-    /// First step: resources on every member.
+    /// Begins an attempt with the first step: reserves resources on every member.
     pub(crate) fn reserve(&mut self, id: &JobId, members: Vec<Member>, now: Moment) {
         let ticket_age = self.ticket_age(id, now);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.attempt = job.attempt.next();
         job.go_sent = false;
-        job.attempt_began = now;
-        job.parts = members.iter().cloned().map(Part::new).collect();
+        job.attempt_started = now;
+        job.members = members.iter().cloned().map(GangMember::new).collect();
         job.phase = Phase::Reserving { until: now + self.limits.reserve_wait };
         let calls: Vec<_> = (0..members.len())
             .map(|index| {
@@ -42,23 +42,24 @@
         self.effects.push(Effect::QueueChanged);
     }
 
-    /// Gives reservations back. No start has left, so the attempt can never run.
+    /// Releases reservations and queues the job again. No start has been sent, so the attempt can never run.
     pub(crate) fn abandon_reservations(&mut self, id: &JobId, now: Moment) {
         self.send_stops(id);
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        job.misses += 1;
-        let silent = job.parts.iter().filter(|p| p.state.is_none());
-        job.silent = silent.map(|p| p.member.server.clone()).collect();
+        job.failed_commits += 1;
+        let unresponsive = job.members.iter().filter(|member| member.state.is_none());
+        job.unresponsive = unresponsive.map(|member| member.placement.server.clone()).collect();
         self.requeue(id, now);
     }
 
-    /// Goes on to the next step once every member has confirmed the present one.
+    /// Takes the next step of the commit once every member has confirmed the current one; requests the answer once
+    /// every member has finished.
     pub(crate) fn advance_commit(&mut self, id: &JobId, now: Moment) {
         let job = &self.jobs[id];
         match &job.phase {
             Phase::Reserving { .. } if job.all(|s| *s == TaskState::Reserved) => self.start(id, now),
-            Phase::Starting { .. } if job.all(is_armed) => self.go(id, now),
-            Phase::Running { .. } if job.all(|s| matches!(s, TaskState::Finished { .. })) => self.fetch(id, now),
+            Phase::Starting { .. } if job.all(has_confirmed_start) => self.go(id, now),
+            Phase::Running { .. } if job.all(|s| matches!(s, TaskState::Finished { .. })) => self.fetch_answer(id, now),
             _ => {}
         }
     }
@@ -68,18 +69,18 @@
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.phase = Phase::Starting { until: now + self.limits.start_wait };
         let token = job.token();
-        for member in job.members() {
-            self.call(&member.server, BackendRequest::Start { job: id.clone(), token, ttl });
+        for placement in job.placements() {
+            self.call(&placement.server, BackendRequest::Start { job: id.clone(), token, ttl });
         }
     }
 
-    /// Last step: every member is armed, so each may run.
+    /// Sends `go`, the last step, to every member. The caller has checked that each is at least armed.
     pub(crate) fn go(&mut self, id: &JobId, now: Moment) {
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        job.phase = Phase::Running { since: now, next: now + self.limits.resend_every };
+        job.phase = Phase::Running { since: now, resend_at: now + self.limits.resend_every };
         job.go_sent = true;
         job.ran = true;
-        job.misses = 0;
+        job.failed_commits = 0;
         if job.started.is_none() {
             job.started = Some(now);
             let delay = now.since(job.submitted);
@@ -88,19 +89,19 @@
         self.send_go(id);
     }
 
-    /// Repeats `go` to members that have not confirmed it.
-    pub(crate) fn go_again(&mut self, id: &JobId, now: Moment) {
+    /// Sends `go` again to members that have not confirmed it, if that is due.
+    pub(crate) fn resend_go(&mut self, id: &JobId, now: Moment) {
         let resend = now + self.limits.resend_every;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
-        if let Phase::Running { next, .. } = &mut job.phase
-            && *next <= now
+        if let Phase::Running { resend_at, .. } = &mut job.phase
+            && *resend_at <= now
         {
-            *next = resend;
+            *resend_at = resend;
             self.send_go(id);
         }
     }
 
-    /// Renews the leases of one job with `go` set, where that is not confirmed.
+    /// Sends `go` (a renewal with `go` set) to the members of a job that have not confirmed `go`.
     pub(crate) fn send_go(&mut self, id: &JobId) {
         let ttl = self.limits.lease_ttl;
         let job = &self.jobs[id];
@@ -110,32 +111,34 @@
         }
     }
 
-    pub(crate) fn fetch(&mut self, id: &JobId, now: Moment) {
-        let next = now + self.limits.resend_every;
+    /// Requests the answer of a finished gang from its first member.
+    pub(crate) fn fetch_answer(&mut self, id: &JobId, now: Moment) {
+        let resend_at = now + self.limits.resend_every;
         let job = self.jobs.get_mut(id).expect("the caller has read the job");
         let until = match job.phase {
             Phase::Fetching { until, .. } => until,
             _ => now + self.limits.fetch_wait,
         };
-        job.phase = Phase::Fetching { next, until };
-        let server = job.parts[0].member.server.clone();
+        job.phase = Phase::Fetching { resend_at, until };
+        let server = job.members[0].placement.server.clone();
         self.call(&server, BackendRequest::Fetch { job: id.clone() });
     }
 
-    pub(crate) fn fetch_again(&mut self, id: &JobId, until: Moment, now: Moment) {
+    /// Requests the answer again, or ends the attempt if `until` has passed.
+    pub(crate) fn refetch_answer(&mut self, id: &JobId, until: Moment, now: Moment) {
         if until <= now {
             let why = "the backend server that keeps the answer does not give it".to_owned();
             return self.stop(id, Cause::AnswerLost { why }, now);
         }
-        self.fetch(id, now);
+        self.fetch_answer(id, now);
     }
 }
 
-fn is_armed(state: &TaskState) -> bool {
+fn has_confirmed_start(state: &TaskState) -> bool {
     matches!(state, TaskState::Armed | TaskState::Running)
 }
 
 fn not_running(job: &Job) -> Vec<model::BackendServerId> {
-    let armed = |part: &&Part| matches!(part.state, None | Some(TaskState::Armed));
-    job.parts.iter().filter(armed).map(|part| part.member.server.clone()).collect()
+    let go_unconfirmed = |member: &&GangMember| matches!(member.state, None | Some(TaskState::Armed));
+    job.members.iter().filter(go_unconfirmed).map(|member| member.placement.server.clone()).collect()
 }
--- a/crates/marten/src/evacuate.rs
+++ b/crates/marten/src/evacuate.rs
@@ -1,4 +1,6 @@
-//! Evacuates an availability zone, takes it back, and follows how it empties.
+//! Evacuates an availability zone, ends an evacuation, and shows the progress of one.
+//!
+//! Only the scheduling box, which is the one box elected to schedule, answers these calls.
 
 use std::time::Duration;
 
@@ -13,10 +15,10 @@
     options::{Format, Options},
 };
 
-/// How often progress is shown.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+/// Interval between polls. It is one second because [`evacuate`] makes `timeout_s` of them.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How far an evacuation has come, as the scheduling box tells it.
+/// Progress of an evacuation, as reported by the scheduling box.
 #[derive(Debug, Deserialize)]
 struct Evacuation {
     availability_zone: AvailabilityZoneId,
@@ -32,29 +34,32 @@
     evacuations: Vec<Evacuation>,
 }
 
-/// Puts an evacuation in force, or takes it back; if asked to, waits until nothing runs there any more.
-pub(crate) async fn evacuate(opts: &Options, zone: &str, take_back: bool, follow: bool) -> Result<(), Failure> {
+/// Starts an evacuation or, with `end`, ends it. With `follow`, waits after a start until no task runs in the zone or
+/// the evacuation has been ended.
+///
+/// Returns [`Failure::Pending`] if something still runs there after the timeout.
+pub(crate) async fn evacuate(opts: &Options, zone: &str, end: bool, follow: bool) -> Result<(), Failure> {
     let zone: AvailabilityZoneId = zone.parse().map_err(|e| Failure::Usage { why: format!("{e}") })?;
     let boxes = Boxes::new(&opts.boxes)?;
-    let method = if take_back { Method::DELETE } else { Method::PUT };
+    let method = if end { Method::DELETE } else { Method::PUT };
     let path = format!("/v1/evacuations/{zone}");
     show(opts.format, &zone, &call(&boxes, method, &path).await?);
-    if !follow || take_back {
+    if !follow || end {
         return Ok(());
     }
     for _ in 0..opts.timeout_s {
         let reply = call(&boxes, Method::GET, "/v1/evacuations").await?;
-        if here(&reply, &zone).is_none_or(|evacuation| evacuation.running_tasks == 0) {
+        if find_evacuation(&reply, &zone).is_none_or(|evacuation| evacuation.running_tasks == 0) {
             show(opts.format, &zone, &reply);
             return Ok(());
         }
-        smol::Timer::after(LOOK_EVERY).await;
+        smol::Timer::after(POLL_INTERVAL).await;
         show(opts.format, &zone, &reply);
     }
     Err(Failure::Pending { why: format!("something still runs in {zone} after {} s", opts.timeout_s) })
 }
 
-/// Asks the box that schedules, whichever of the given it is.
+/// Calls the scheduling box and parses its response.
 async fn call(boxes: &Boxes, method: Method, path: &str) -> Result<Value, Failure> {
     let reply = boxes.call_scheduler(method, path).await?;
     match reply.status {
@@ -66,21 +71,22 @@
     }
 }
 
-fn here(reply: &Value, zone: &AvailabilityZoneId) -> Option<Evacuation> {
+/// Returns the evacuation of `zone`; `None` if the zone is not evacuated or the response is malformed.
+fn find_evacuation(reply: &Value, zone: &AvailabilityZoneId) -> Option<Evacuation> {
     let all: Evacuations = serde_json::from_value(reply.clone()).ok()?;
     all.evacuations.into_iter().find(|evacuation| evacuation.availability_zone == *zone)
 }
 
 fn show(format: Format, zone: &AvailabilityZoneId, reply: &Value) {
     if format == Format::Json {
-        say!("{reply}");
+        print_line!("{reply}");
         return;
     }
-    let Some(evacuation) = here(reply, zone) else {
-        say!("{zone} takes work");
+    let Some(evacuation) = find_evacuation(reply, zone) else {
+        print_line!("{zone} takes work");
         return;
     };
-    say!(
+    print_line!(
         "{zone} is evacuated (asked for by {}); {} tasks run there, the last ends in {:.1} s",
         evacuation.by.join(" and "),
         evacuation.running_tasks,
@@ -88,6 +94,6 @@
     );
     let missing = evacuation.guaranteed.saturating_sub(evacuation.accelerators_elsewhere);
     if missing > 0 {
-        say!("GUARANTEES cannot all be kept meanwhile: {missing} accelerators are missing");
+        print_line!("GUARANTEES cannot all be kept meanwhile: {missing} accelerators are missing");
     }
 }
--- a/crates/martend/src/convert.rs
+++ b/crates/martend/src/convert.rs
@@ -1,27 +1,24 @@
-//! Between the wire's messages and the checked types.
+//! Conversions between gRPC messages and the validated types of `model`, `entry` and `policy`.
 
 use derive_more::{Display, Error, From};
 use entry::{JobAnswer, PeerRequest, Submission};
 use model::{Duration, Gang, IdError, Incarnation, JobId, Member, RawGang, RawResources, Resources, Revision, Within};
 use policy::Queued;
 
-/// Why a message of another box was refused.
+/// Reason for rejecting a message of another box.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum ConvertError {
-    /// An id that is none.
+    /// An invalid id.
     #[display("{_0}")]
     Id(IdError),
-    /// A value out of its bounds.
+    /// A value out of its range.
     #[display("{_0}")]
     Check(model::CheckError),
-    /// A field that must be there is not.
+    /// A required field is missing.
     #[display("the field {field} is missing")]
     #[from(ignore)]
-    Missing {
-        /// Its name.
-        field: &'static str,
-    },
-    /// JSON that is not as agreed.
+    Missing { field: &'static str },
+    /// JSON that cannot be parsed as the expected type.
     #[display("{_0}")]
     Json(serde_json::Error),
 }
@@ -34,7 +31,7 @@
 
 type Result<T> = std::result::Result<T, ConvertError>;
 
-pub(crate) fn heartbeat(m: wire::HeartbeatRequest) -> Result<PeerRequest> {
+pub(crate) fn heartbeat_from_wire(m: wire::HeartbeatRequest) -> Result<PeerRequest> {
     Ok(PeerRequest::Heartbeat {
         from: m.from.parse()?,
         incarnation: Incarnation(m.incarnation),
@@ -43,18 +40,18 @@
     })
 }
 
-pub(crate) fn offer(m: wire::OfferRequest) -> Result<PeerRequest> {
+pub(crate) fn offer_from_wire(m: wire::OfferRequest) -> Result<PeerRequest> {
     Ok(PeerRequest::Offer {
         from: m.from.parse()?,
         incarnation: Incarnation(m.incarnation),
         seq: m.seq,
         full: m.full,
-        added: m.added.into_iter().map(queued).collect::<Result<_>>()?,
+        added: m.added.into_iter().map(queued_from_wire).collect::<Result<_>>()?,
         removed: m.removed.iter().map(|job| Ok(job.parse()?)).collect::<Result<_>>()?,
     })
 }
 
-pub(crate) fn grant(m: wire::GrantRequest) -> Result<PeerRequest> {
+pub(crate) fn grant_from_wire(m: wire::GrantRequest) -> Result<PeerRequest> {
     let start = |m: wire::Start| -> Result<(JobId, Vec<Member>)> {
         let members = m.members.into_iter().map(|m| Ok(Member { server: m.server.parse()?, tasks: m.tasks }));
         Ok((m.job.parse()?, members.collect::<Result<_>>()?))
@@ -66,7 +63,7 @@
     })
 }
 
-pub(crate) fn lookup(m: wire::LookupRequest) -> Result<PeerRequest> {
+pub(crate) fn lookup_from_wire(m: wire::LookupRequest) -> Result<PeerRequest> {
     let ticket = if m.ticket.is_empty() { None } else { Some(m.ticket.parse()?) };
     Ok(PeerRequest::Lookup {
         ticket,
@@ -77,7 +74,7 @@
     })
 }
 
-pub(crate) fn submit(m: wire::SubmitRequest) -> Result<PeerRequest> {
+pub(crate) fn submission_from_wire(m: wire::SubmitRequest) -> Result<PeerRequest> {
     let ticket = if m.ticket.is_empty() { None } else { Some(m.ticket.parse()?) };
     Ok(PeerRequest::Submit(Submission {
         spec: model::from_json(&m.spec)?,
@@ -90,15 +87,15 @@
     }))
 }
 
-pub(crate) fn submission_to_wire(it: &Submission) -> wire::SubmitRequest {
+pub(crate) fn submission_to_wire(submission: &Submission) -> wire::SubmitRequest {
     wire::SubmitRequest {
-        spec: serde_json::to_vec(&it.spec).expect("our own types always serialize"),
-        wait_ms: it.wait.millis(),
-        durable: it.durable,
-        retry: it.retry,
-        resume: it.resume,
-        may_have_run: it.may_have_run,
-        ticket: it.ticket.as_ref().map(JobId::to_string).unwrap_or_default(),
+        spec: serde_json::to_vec(&submission.spec).expect("our own types always serialize"),
+        wait_ms: submission.wait.millis(),
+        durable: submission.durable,
+        retry: submission.retry,
+        resume: submission.resume,
+        may_have_run: submission.may_have_run,
+        ticket: submission.ticket.as_ref().map(JobId::to_string).unwrap_or_default(),
     }
 }
 
@@ -106,17 +103,17 @@
     wire::JobReply { answer: serde_json::to_vec(answer).expect("our own types always serialize") }
 }
 
-pub(crate) fn answer(m: &wire::JobReply) -> Result<JobAnswer> {
+pub(crate) fn answer_from_wire(m: &wire::JobReply) -> Result<JobAnswer> {
     Ok(serde_json::from_slice(&m.answer)?)
 }
 
-fn queued(m: wire::QueuedJob) -> Result<Queued> {
+fn queued_from_wire(m: wire::QueuedJob) -> Result<Queued> {
     let gang = m.gang.ok_or(ConvertError::Missing { field: "gang" })?;
     Ok(Queued {
         job: m.job.parse()?,
         customer: m.customer.parse()?,
         class: m.class.parse()?,
-        gang: self::gang(gang)?,
+        gang: gang_from_wire(gang)?,
         declared: Duration::from_millis(m.declared_ms),
         waited: Duration::from_millis(m.waited_ms),
         repeatable: m.repeatable,
@@ -125,21 +122,21 @@
     })
 }
 
-pub(crate) fn queued_to_wire(it: &Queued) -> wire::QueuedJob {
+pub(crate) fn queued_to_wire(job: &Queued) -> wire::QueuedJob {
     wire::QueuedJob {
-        job: it.job.to_string(),
-        customer: it.customer.to_string(),
-        class: it.class.to_string(),
-        gang: Some(gang_to_wire(&it.gang)),
-        declared_ms: it.declared.millis(),
-        waited_ms: it.waited.millis(),
-        repeatable: it.repeatable,
-        checkpointable: it.checkpointable,
-        avoid: it.avoid.iter().map(ToString::to_string).collect(),
+        job: job.job.to_string(),
+        customer: job.customer.to_string(),
+        class: job.class.to_string(),
+        gang: Some(gang_to_wire(&job.gang)),
+        declared_ms: job.declared.millis(),
+        waited_ms: job.waited.millis(),
+        repeatable: job.repeatable,
+        checkpointable: job.checkpointable,
+        avoid: job.avoid.iter().map(ToString::to_string).collect(),
     }
 }
 
-fn gang(m: wire::Gang) -> Result<Gang> {
+fn gang_from_wire(m: wire::Gang) -> Result<Gang> {
     let within = match m.within() {
         wire::Within::AvailabilityZone => Within::AvailabilityZone,
         wire::Within::Rack => Within::Rack,
@@ -150,18 +147,18 @@
     Ok(Gang::try_from(RawGang { tasks: m.tasks, per_task: RawResources::from(per_task), within })?)
 }
 
-fn gang_to_wire(it: &Gang) -> wire::Gang {
-    let within = match it.within {
+fn gang_to_wire(gang: &Gang) -> wire::Gang {
+    let within = match gang.within {
         Within::AvailabilityZone => wire::Within::AvailabilityZone,
         Within::Rack => wire::Within::Rack,
         Within::Worker => wire::Within::Worker,
     };
     let per_task = wire::Resources {
-        accelerators: it.per_task.accelerators,
-        cores: it.per_task.cores,
-        memory_gb: it.per_task.memory_gb,
+        accelerators: gang.per_task.accelerators,
+        cores: gang.per_task.cores,
+        memory_gb: gang.per_task.memory_gb,
     };
-    wire::Gang { tasks: it.tasks, per_task: Some(per_task), within: within.into() }
+    wire::Gang { tasks: gang.tasks, per_task: Some(per_task), within: within.into() }
 }
 
 pub(crate) fn start_to_wire((job, members): &(JobId, Vec<Member>)) -> wire::Start {
